--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -178,7 +178,7 @@
     case EventCode::request:
       return deliver(number, arrived(in));
     case EventCode::started: {
-      SetupStood event{in.get<std::uint64_t>(), in.get<std::uint16_t>(), {}, {}};
+      CallEstablished event{in.get<std::uint64_t>(), in.get<std::uint16_t>(), {}, {}};
       event.server = server_id(in);
       event.delay = from_ms(in.get<double>());
       return deliver(number, event);
--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -106,7 +106,7 @@
 struct CallCancelled {
   CallId call = 0;
 };
-struct SetupStood {
+struct CallEstablished {
   CallId call = 0;
   unsigned attempt = 0;
   ServerId server{};
@@ -148,7 +148,7 @@
   unsigned attempts_cap = 1;
 };
 
-using Event = std::variant<ServerList, ListFailed, CallArrived, CallCancelled, SetupStood, AttemptEnded,
+using Event = std::variant<ServerList, ListFailed, CallArrived, CallCancelled, CallEstablished, AttemptEnded,
                            ServerProbed, TimerFired, PeerMessage, SettingsChanged>;
 
 // ---- Actions
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -328,7 +328,7 @@
     call.answered = true;
   }
 
-  void on(const SetupStood& stood) {
+  void on(const CallEstablished& stood) {
     const auto call = calls_.find(stood.call);
     if (call == calls_.end() || call->second.out != stood.server) return;
     const Time sent = call->second.sent_at;
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -368,7 +368,7 @@
   if (gate_) gate_->answered(exchange.request(), loop_.now());
   tally_.served(exchange.request().call_class);
   exchange.answer(std::move(line.description));
-  deliver(SetupStood{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent});
+  deliver(CallEstablished{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent});
   if (!line.load.empty()) told(attempt.server, parse_load(line.load));
   if (!attempt.ended_early) return SetUpOutcome::established;
   const Ending over = *attempt.ended_early == cause::kNormal ? Ending::completed : Ending::reset;
--- a/tests/front.hpp
+++ b/tests/front.hpp
@@ -72,7 +72,7 @@
   }
 
   std::vector<Action> stands(CallId id, std::uint8_t at, Duration delay, unsigned attempt = 0) {
-    return tell(SetupStood{id, attempt, server(at), delay});
+    return tell(CallEstablished{id, attempt, server(at), delay});
   }
 
   std::vector<Action> ends(CallId id, std::uint8_t at, Ending ending, Cause cause = Cause::none,
