--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -242,7 +242,7 @@
   const auto scope = in.get<std::uint8_t>();
   in.get<std::uint32_t>();  // version: the simulator delivers in order
   const auto id = in.get<std::uint32_t>();
-  if (scope == 3) return ListFailed{};
+  if (scope == 3) return DiscoveryFailed{};
   const auto found = pages_.find(id);
   if (scope > 3) throw WireError("unknown scope " + std::to_string(scope) + " of an update");
   if (found == pages_.end()) throw WireError("an update names list " + std::to_string(id) + ", never sent");
--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -89,7 +89,7 @@
   bool whole = false;  // replaces the list; otherwise only what changed
   std::vector<ServerEntry> entries{};
 };
-struct ListFailed {};  // a subscription or a look-up failed, or the subscription broke
+struct DiscoveryFailed {};  // a subscription or a look-up failed, or the subscription broke
 
 struct CallArrived {
   CallId call = 0;
@@ -148,8 +148,8 @@
   unsigned attempts_cap = 1;
 };
 
-using Event = std::variant<ServerList, ListFailed, CallArrived, CallCancelled, CallEstablished, AttemptEnded,
-                           ServerProbed, TimerFired, PeerMessage, SettingsChanged>;
+using Event = std::variant<ServerList, DiscoveryFailed, CallArrived, CallCancelled, CallEstablished,
+                           AttemptEnded, ServerProbed, TimerFired, PeerMessage, SettingsChanged>;
 
 // ---- Actions
 
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -263,7 +263,7 @@
     std::erase_if(servers_, [](const auto& item) { return !item.second.listed && item.second.out.empty(); });
   }
 
-  void on(const ListFailed&) { subscribed_ = false; }
+  void on(const DiscoveryFailed&) { subscribed_ = false; }
 
   void subscribe() {
     subscribed_ = true;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -1027,7 +1027,7 @@
   EXPECT_EQ(front.done<Subscribe>().size(), 1u);
   front.call(1);
   EXPECT_EQ(front.done<Subscribe>().size(), 1u);
-  front.tell(ListFailed{});
+  front.tell(DiscoveryFailed{});
   front.call(2);
   EXPECT_EQ(front.done<Subscribe>().size(), 2u);
 }
