--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -111,7 +111,7 @@
     begin(ActionCode::ask_load);
     server(a.server);
   }
-  void operator()(const TellPeer& a) {
+  void operator()(const SendPeerMessage& a) {
     begin(ActionCode::write_peer).put(a.to ? static_cast<std::uint16_t>(*a.to) : kAllPeers).text(a.body);
   }
   void operator()(const Log& a) { begin(ActionCode::trace).text(a.text); }
--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -64,7 +64,7 @@
   bool load_told = true;        // servers tell of their processors' load; else set-up delays have to do
   bool may_cancel = false;
   bool may_probe = false;
-  bool may_tell = false;
+  bool may_message_peers = false;
   bool must_subscribe = false;  // news of the servers comes only on request
 };
 
@@ -176,7 +176,7 @@
 struct Probe {
   ServerId server{};
 };
-struct TellPeer {
+struct SendPeerMessage {
   std::optional<unsigned> to{};  // absent: all others
   std::string body{};
 };
@@ -186,7 +186,7 @@
 };
 
 using Action =
-    std::variant<SendSetup, CancelAttempt, Refuse, Fail, SetTimer, Probe, TellPeer, Subscribe, Log>;
+    std::variant<SendSetup, CancelAttempt, Refuse, Fail, SetTimer, Probe, SendPeerMessage, Subscribe, Log>;
 
 // ---- The controller
 
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -115,7 +115,7 @@
   void carry_out(const Log& action);
   // The settings rule these out here, and the controller keeps to that.
   void carry_out(const Probe&) {}
-  void carry_out(const TellPeer&) {}
+  void carry_out(const SendPeerMessage&) {}
   void carry_out(const Subscribe&) {}
 
   Exchange* find(CallId call);
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -70,7 +70,7 @@
   settings.attempts_cap = count_of(limits, "attempts_cap", settings.attempts_cap);
   settings.may_cancel = value(limits, "cancelling", false);
   settings.may_probe = value(limits, "probes", false);
-  settings.may_tell = value(limits, "may_tell", false);
+  settings.may_message_peers = value(limits, "may_tell", false);
   if (value(limits, "retry_after", false)) settings.max_retry_after = time_of(limits, "max_retry_after");
   if (const auto limit = time_of(limits, "connect_timeout"); limit > Duration{0})
     start.connect_timeout = limit;
