--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -61,7 +61,7 @@
   Duration fall_window{};       // for this long falls over
   unsigned attempts_cap = 1;    // attempts allowed for a call
   Duration max_retry_after{};   // advice to callers when to dial again: the longest heeded; 0: no advice
-  bool load_told = true;        // servers tell of their processors' load; else set-up delays have to do
+  bool load_reported = true;    // servers tell of their processors' load; else set-up delays have to do
   bool may_cancel = false;
   bool may_probe = false;
   bool may_message_peers = false;
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -543,7 +543,7 @@
   // Where servers tell nothing of their processors it goes by the aim, as in the source.
   double spare_by_delay(const Server& server) const {
     if (server.delay_known == Time::min() || now_ - server.delay_known > kDelayKnownFor) return kUnknownSpare;
-    return clamped_share(1 - ratio(server.delay, settings_.load_told ? late_after() : holding_aim()));
+    return clamped_share(1 - ratio(server.delay, settings_.load_reported ? late_after() : holding_aim()));
   }
 
   // A reported wait is worked off as time goes by; one that was not is told again.
@@ -730,7 +730,7 @@
     Server* const second = others[1 + random_() % (others.size() - 1)];
     // A slowed server has few out since little is sent there: where it tells nothing its delay goes first.
     const auto waiting = [this](const Server& s) {
-      return std::tuple(settings_.load_told ? 0 : 1 - spare_by_delay(s), s.out.size(),
+      return std::tuple(settings_.load_reported ? 0 : 1 - spare_by_delay(s), s.out.size(),
                         std::max(s.delay, wait_now(s)));
     };
     return waiting(*second) < waiting(*others.front()) ? second : others.front();
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -81,7 +81,7 @@
   settings.resend = time_of(specifics, "resend");
   settings.release_guard = time_of(specifics, "release_guard");
   settings.own_number = static_cast<int>(value(specifics, "self_no", double(settings.own_number)));
-  if (text(specifics, "far_state") == "silent") settings.load_told = false;
+  if (text(specifics, "far_state") == "silent") settings.load_reported = false;
   start.waits_hinted = value(specifics, "retry_hint", false);
   std::size_t at = 0;
   each<array>(specifics, "class_cells", [&](array cells) {
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -111,7 +111,7 @@
     settings.cold_from = case_.cold_from;
     settings.fall_multiple = case_.fall_multiple;
     settings.fall_window = case_.fall_window;
-    if (case_.silent) settings.resend = Duration{0}, settings.load_told = false;
+    if (case_.silent) settings.resend = Duration{0}, settings.load_reported = false;
     std::vector<ServerEntry> list;
     for (std::uint8_t s = 1; s <= case_.servers; ++s) list.push_back(entry(s));
     if (cold_since) list.back().started = cold_since;
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -14,7 +14,7 @@
 Settings silent_settings() {
   Settings settings = plain_settings();
   settings.resend = Duration{0};
-  settings.load_told = false;
+  settings.load_reported = false;
   return settings;
 }
 
@@ -226,7 +226,7 @@
 
 TEST(Settings, SilentProcessorsAreReadFromTheSettings) {
   const auto told = [](const char* specifics) {
-    return parse_settings(std::string(R"({"specifics":)") + specifics + "}").settings.load_told;
+    return parse_settings(std::string(R"({"specifics":)") + specifics + "}").settings.load_reported;
   };
   EXPECT_FALSE(told(R"({"far_state":"silent"})"));
   EXPECT_TRUE(told(R"({"far_state":"piggyback"})"));
