--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -82,7 +82,7 @@
     case 1:
       return Cause::no_circuit;
     case 2:
-      return Cause::turned_back;
+      return Cause::rejected;
     case 3:
       return Cause::processor_full;
     case 4:
--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -115,7 +115,7 @@
 
 enum class Ending { fault, completed, full, timed_out, not_connected, reset, cancelled, not_sent };
 // Of these connection_lost alone is no word of the server's: the set-up was lost on its way there or back.
-enum class Cause { none, no_circuit, turned_back, processor_full, number_busy, connection_lost };
+enum class Cause { none, no_circuit, rejected, processor_full, number_busy, connection_lost };
 
 struct AttemptEnded {
   CallId call = 0;
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -23,7 +23,7 @@
 
 Cause cause_of(std::string_view note) {
   if (note == "blocked") return Cause::no_circuit;
-  if (note == "bounced" || note == "far_swamped") return Cause::turned_back;
+  if (note == "bounced" || note == "far_swamped") return Cause::rejected;
   if (note == "swamped") return Cause::processor_full;
   if (note == "occupied") return Cause::number_busy;
   return Cause::none;
