--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -50,18 +50,18 @@
   std::vector<CallClass> classes{};
   std::vector<Tenant> tenants{};
   double over_share_worth = 1;  // worth of a call beyond its tenant's share, as a share of the usual
-  int own_number = -1;          // of the own exchange; -1: none
+  int own_server_number = -1;   // of the own exchange; -1: none
   Duration resend{};            // a waiting set-up is repeated after this and then at doubling gaps; 0: never
   Duration release_guard{};     // after a time-out, reset or cancellation, before the call is sent again
   Duration answer_grace{};      // a final answer may be this much later than the caller's time
   Duration quantum{};           // events come at most this often
   Duration cold{};              // a started server is warm after this
   double cold_from = 1;         // and starts with this share of its capacity at least
-  double fall_multiple = 1;     // a cold server sent more than this times its present capacity
-  Duration fall_window{};       // for this long falls over
-  unsigned attempts_cap = 1;    // attempts allowed for a call
-  Duration max_retry_after{};   // advice to callers when to dial again: the longest heeded; 0: no advice
-  bool load_reported = true;    // servers tell of their processors' load; else set-up delays have to do
+  double cold_overload_factor = 1;  // a cold server sent more than this times its present capacity
+  Duration cold_overload_window{};  // for this long falls over
+  unsigned attempts_cap = 1;        // attempts allowed for a call
+  Duration max_retry_after{};       // advice to callers when to dial again: the longest heeded; 0: no advice
+  bool load_reported = true;        // servers tell of their processors' load; else set-up delays have to do
   bool may_cancel = false;
   bool may_probe = false;
   bool may_message_peers = false;
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -632,7 +632,7 @@
     const double warmth = std::clamp(ratio(now_ - cold_since(server), settings_.cold), 0.0, 1.0);
     const double capacity = settings_.cold_from + (1 - settings_.cold_from) * warmth;
     const double share =
-        std::clamp(kColdShareOfBudget * settings_.fall_multiple, kLeastColdShare, kMostColdShare);
+        std::clamp(kColdShareOfBudget * settings_.cold_overload_factor, kLeastColdShare, kMostColdShare);
     return times(seconds(1), 1 / std::max(share * capacity * fair_rate(server), kLeastRate));
   }
 
@@ -688,7 +688,7 @@
 
   bool open_to(const Call& call, const Server& server) const {
     if (!server.usable() || now_ < server.shunned_until) return false;
-    if (settings_.own_number >= 0 && server.entry.number == settings_.own_number) return false;
+    if (settings_.own_server_number >= 0 && server.entry.number == settings_.own_server_number) return false;
     if (server.entry.number == call.asked.first_choice) return true;
     const auto& pools = class_of(call).pools;
     return !call.asked.in_transit &&
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -61,8 +61,8 @@
   settings.answer_grace = time_of(contract, "grace_to_answer");
   settings.cold = time_of(contract, "cold");
   settings.cold_from = value(contract, "cold_from", settings.cold_from);
-  settings.fall_multiple = value(contract, "fall_multiple", settings.fall_multiple);
-  settings.fall_window = time_of(contract, "fall");
+  settings.cold_overload_factor = value(contract, "fall_multiple", settings.cold_overload_factor);
+  settings.cold_overload_window = time_of(contract, "fall");
 }
 
 void parse_limits(const Facts& limits, StartUp& start) {
@@ -80,7 +80,8 @@
   Settings& settings = start.settings;
   settings.resend = time_of(specifics, "resend");
   settings.release_guard = time_of(specifics, "release_guard");
-  settings.own_number = static_cast<int>(value(specifics, "self_no", double(settings.own_number)));
+  settings.own_server_number =
+      static_cast<int>(value(specifics, "self_no", double(settings.own_server_number)));
   if (text(specifics, "far_state") == "silent") settings.load_reported = false;
   start.waits_hinted = value(specifics, "retry_hint", false);
   std::size_t at = 0;
--- a/src/settings_check.cpp
+++ b/src/settings_check.cpp
@@ -119,8 +119,8 @@
   wants("specifics", "resend", settings.resend >= Duration{0}, "is under 0");
   wants("contract", "cold", settings.cold >= Duration{0}, "is under 0");
   wants("contract", "cold_from", settings.cold_from > 0 && settings.cold_from <= 1, "is not from 0 to 1");
-  wants("contract", "fall_multiple", settings.fall_multiple > 0, "is not over 0");
-  wants("contract", "fall", settings.fall_window >= Duration{0}, "is under 0");
+  wants("contract", "fall_multiple", settings.cold_overload_factor > 0, "is not over 0");
+  wants("contract", "fall", settings.cold_overload_window >= Duration{0}, "is under 0");
 }
 
 std::vector<std::string> unknown_settings(object settings) {
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -25,8 +25,8 @@
   std::uint8_t servers = 3;  // the last of them starts cold
   double use = 0.78;         // of a warm server's processor
   double cold_from = 0.35;
-  double fall_multiple = 2.5;
-  Duration fall_window = seconds(1);
+  double cold_overload_factor = 2.5;
+  Duration cold_overload_window = seconds(1);
   Duration seen = seconds(25);  // traffic before the start
   Duration told_within = milliseconds(600);
   bool restarted = false;  // the instances start anew with the server
@@ -44,7 +44,8 @@
 // A deployment's budget of four times over 2 s from 28% on, where servers are silent.
 Case wide(const std::function<void(Case&)>& change) {
   Case made;
-  made.instances = 30, made.cold_from = 0.28, made.fall_multiple = 4, made.fall_window = seconds(2);
+  made.instances = 30, made.cold_from = 0.28, made.cold_overload_factor = 4,
+  made.cold_overload_window = seconds(2);
   made.silent = true;
   change(made);
   return made;
@@ -77,7 +78,7 @@
     double found = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < reached_.size(); ++last) {
-      while (reached_[last] - reached_[first] >= case_.fall_window) ++first;
+      while (reached_[last] - reached_[first] >= case_.cold_overload_window) ++first;
       const double budget = this->budget(reached_[first]);
       const auto sum = static_cast<double>(last - first + 1);
       found = std::max(found, sum / (budget + 2 * std::sqrt(budget) + 2));
@@ -101,7 +102,8 @@
     const double warmth =
         static_cast<double>((at - started_).count()) / static_cast<double>(Duration(seconds(15)).count());
     const double now = case_.cold_from + (1 - case_.cold_from) * std::clamp(warmth, 0.0, 1.0);
-    return case_.fall_multiple * now * capacity() * static_cast<double>(case_.fall_window.count()) / 1e6;
+    return case_.cold_overload_factor * now * capacity() *
+           static_cast<double>(case_.cold_overload_window.count()) / 1e6;
   }
 
   void start(unsigned i, std::optional<Time> cold_since) {
@@ -109,8 +111,8 @@
     settings.instances = case_.instances;
     settings.cold = case_.blind ? Duration{0} : seconds(15);
     settings.cold_from = case_.cold_from;
-    settings.fall_multiple = case_.fall_multiple;
-    settings.fall_window = case_.fall_window;
+    settings.cold_overload_factor = case_.cold_overload_factor;
+    settings.cold_overload_window = case_.cold_overload_window;
     if (case_.silent) settings.resend = Duration{0}, settings.load_reported = false;
     std::vector<ServerEntry> list;
     for (std::uint8_t s = 1; s <= case_.servers; ++s) list.push_back(entry(s));
@@ -307,10 +309,11 @@
     {"faults30", changed([](Case& c) { c.instances = 30, c.fault = 0.8, c.others_full = seconds(3); })},
     {"redials30", changed([](Case& c) { c.instances = 30, c.redial = 1, c.others_full = seconds(3); })},
     {"window1500of2", changed([](Case& c) {
-       c.instances = 30, c.fall_multiple = 2, c.fall_window = milliseconds(1500), c.others_full = seconds(4);
+       c.instances = 30, c.cold_overload_factor = 2, c.cold_overload_window = milliseconds(1500),
+       c.others_full = seconds(4);
      })},
     {"window2000of4", changed([](Case& c) {
-       c.instances = 30, c.cold_from = 0.28, c.fall_multiple = 4, c.fall_window = seconds(2),
+       c.instances = 30, c.cold_from = 0.28, c.cold_overload_factor = 4, c.cold_overload_window = seconds(2),
        c.others_full = seconds(4);
      })},
     {"wideRush20", wide([](Case& c) { c.instances = 20, c.others_full = seconds(4); })},
@@ -329,7 +332,8 @@
     {"wideRedialsLostOfEightLate30",
      wide([](Case& c) { c.servers = 8, c.redial = 1, c.surge = 1.4, c.others_gone = seconds(8); })},
     {"wideRedials30", wide([](Case& c) { c.redial = 1, c.surge = 1.8, c.others_full = seconds(3); })},
-    {"narrow", changed([](Case& c) { c.instances = 30, c.fall_multiple = 1.2, c.others_full = seconds(4); })},
+    {"narrow",
+     changed([](Case& c) { c.instances = 30, c.cold_overload_factor = 1.2, c.others_full = seconds(4); })},
 };
 
 INSTANTIATE_TEST_SUITE_P(Fleet, ColdServer, ::testing::ValuesIn(kCases),
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -831,14 +831,14 @@
     const auto before = front.sent_to(2);
     front.call(++id, 2);
     at_once += front.sent_to(2) - before;
-    calls(front.now + settings.fall_window, 2);
+    calls(front.now + settings.cold_overload_window, 2);
     within_window += front.sent_to(2) - before;
   }
   // One call a second from each front is what the server bears when warm; it starts with a third of that.
   EXPECT_LE(at_once, kFronts / 10);
   const double bears = settings.cold_from * kFronts * 1.5;
   EXPECT_GE(static_cast<double>(within_window), bears / 2);
-  EXPECT_LE(static_cast<double>(within_window), bears * settings.fall_multiple);
+  EXPECT_LE(static_cast<double>(within_window), bears * settings.cold_overload_factor);
 }
 
 // Guards against the end of the cold time: without a gap of its own every front would send at once.
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -208,9 +208,9 @@
 // A deployment whose cold servers may be sent four times what they can do gets more of them than one with
 // twice; the least share is the same for all.
 TEST(Settings, AWiderBudgetLetsAColdServerHaveMore) {
-  const auto sent = [](double fall_multiple) {
+  const auto sent = [](double cold_overload_factor) {
     Settings settings = silent_settings();
-    settings.fall_multiple = fall_multiple;
+    settings.cold_overload_factor = cold_overload_factor;
     Front front(settings, {entry(1), entry(2)});
     Traffic traffic(front);
     traffic.run(200, milliseconds(50), milliseconds(30), [](int i) { return 1 + i % 2; });
--- a/tests/front.hpp
+++ b/tests/front.hpp
@@ -34,8 +34,8 @@
   settings.quantum = milliseconds(5);
   settings.cold = seconds(14);
   settings.cold_from = 0.33;
-  settings.fall_multiple = 2;
-  settings.fall_window = milliseconds(1500);
+  settings.cold_overload_factor = 2;
+  settings.cold_overload_window = milliseconds(1500);
   settings.attempts_cap = 5;
   settings.max_retry_after = seconds(2);
   settings.may_cancel = true;
