--- a/examples/one_call.cpp
+++ b/examples/one_call.cpp
@@ -10,7 +10,8 @@
 
   quartzarch::Controller controller(settings, /*seed=*/1, /*now=*/0s);
   const quartzarch::ServerId server{{10, 0, 0, 1}, 5060};
-  controller.handle(0s, quartzarch::ServerList{.whole = true, .entries = {{.id = server, .number = 0}}});
+  controller.handle(0s,
+                    quartzarch::ServerList{.is_snapshot = true, .entries = {{.id = server, .number = 0}}});
 
   quartzarch::CallArrived call;
   call.call = 1;
--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -86,7 +86,7 @@
 };
 
 struct ServerList {
-  bool whole = false;  // replaces the list; otherwise only what changed
+  bool is_snapshot = false;  // replaces the list; otherwise only what changed
   std::vector<ServerEntry> entries{};
 };
 struct DiscoveryFailed {};  // a subscription or a look-up failed, or the subscription broke
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -249,7 +249,7 @@
   // ---- The list
 
   void on(const ServerList& list) {
-    if (list.whole) {
+    if (list.is_snapshot) {
       for (auto& [id, server] : servers_) server.listed = false;
     }
     for (const ServerEntry& entry : list.entries) {
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -72,7 +72,7 @@
                                                              : "gone");
   }
   deliver(change.list);
-  if (change.list.whole) listed_servers_.clear();
+  if (change.list.is_snapshot) listed_servers_.clear();
   for (const ServerEntry& entry : change.list.entries) {
     if (entry.availability == Availability::gone) {
       listed_servers_.erase(entry.id);
