--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -72,7 +72,7 @@
 
 // What a server says of itself; late and noisy. Absent figures were not given.
 struct LoadReport {
-  std::optional<double> free_circuits{}, circuits{}, in_work{}, waiting{}, utilisation{}, wait_ms{};
+  std::optional<double> free_circuits{}, circuits{}, in_progress{}, queued{}, utilisation{}, wait_ms{};
   std::optional<double> setups_per_second{}, hold_back{};
 };
 
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -464,7 +464,7 @@
   // A call that ends brings a report as one that stands does: where it tells of the processor, it cuts the
   // gap too. What may be older than the last rise is left.
   void note_spare(Server& server, const LoadReport& report) {
-    const bool tells = report.wait_ms || report.waiting || report.utilisation;
+    const bool tells = report.wait_ms || report.queued || report.utilisation;
     if (tells && (!server.raised_at || now_ - *server.raised_at > holding_aim()))
       ease(server, spare_share(server));
   }
@@ -472,9 +472,9 @@
   // The wait at its processor as the server tells it; of the set-ups waiting there each takes as long as all
   // fronts let pass between two, by this front's rate.
   std::optional<Duration> reported_wait(const Server& server, const LoadReport& report) const {
-    if (!report.wait_ms && !report.waiting) return std::nullopt;
+    if (!report.wait_ms && !report.queued) return std::nullopt;
     const double ms =
-        report.wait_ms ? *report.wait_ms : *report.waiting * 1000 / (fair_rate(server) * settings_.instances);
+        report.wait_ms ? *report.wait_ms : *report.queued * 1000 / (fair_rate(server) * settings_.instances);
     return times(milliseconds(1), std::isfinite(ms) ? std::clamp(ms, 0.0, kLongestWaitMs) : 0.0);
   }
 
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -153,8 +153,8 @@
 std::optional<double>* report_field(LoadReport& report, std::string_view name) {
   if (name == "free" || name == "x0") return &report.free_circuits;
   if (name == "size" || name == "x1") return &report.circuits;
-  if (name == "rif" || name == "inflight") return &report.in_work;
-  if (name == "q" || name == "queue") return &report.waiting;
+  if (name == "rif" || name == "inflight") return &report.in_progress;
+  if (name == "q" || name == "queue") return &report.queued;
   if (name == "busy" || name == "util") return &report.utilisation;
   if (name == "lat_ms" || name == "latency_ms") return &report.wait_ms;
   if (name == "can_take" || name == "qps") return &report.setups_per_second;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -397,11 +397,11 @@
     front.run_until(front.now + milliseconds(100));
   }
   LoadReport told;
-  told.waiting = 2;
+  told.queued = 2;
   report(101, told);
   front.call(102);
   EXPECT_EQ(front.sent_to(2), 0u);
-  told.waiting = 20;
+  told.queued = 20;
   report(103, told);
   front.call(104);
   EXPECT_EQ(front.sent_to(2), 1u);
@@ -431,7 +431,7 @@
        {std::numeric_limits<double>::quiet_NaN(), -5.0, -std::numeric_limits<double>::infinity()}) {
     LoadReport told;
     told.wait_ms = absurd;
-    told.waiting = absurd;
+    told.queued = absurd;
     report(static_cast<CallId>(front.sent_to(1) + 1), told);
   }
   front.call(50);
@@ -1010,7 +1010,7 @@
   for (const double value : {std::numeric_limits<double>::quiet_NaN(), -5.0, 1e30}) {
     Front front(plain_settings(), {entry(1)});
     LoadReport report;
-    report.utilisation = report.wait_ms = report.waiting = value;
+    report.utilisation = report.wait_ms = report.queued = value;
     front.call(1);
     front.ends(1, 1, Ending::full, Cause::processor_full, report);
     front.call(2);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -288,9 +288,9 @@
   EXPECT_EQ(line->call, 255u);
   EXPECT_EQ(line->why, 34);
   EXPECT_EQ(line->note, "swamped");
-  EXPECT_EQ(parse_load(line->load).waiting, 3.0);
+  EXPECT_EQ(parse_load(line->load).queued, 3.0);
   EXPECT_EQ(parse_load(line->load).free_circuits, 12.0);
-  EXPECT_EQ(parse_load("q:-1;busy:x").waiting, std::nullopt);
+  EXPECT_EQ(parse_load("q:-1;busy:x").queued, std::nullopt);
   for (const char* bad :
        {"", "{}", "x", R"({"op":"end"})", R"({"op":"end","call":"00000000000000ff"} x)",
         R"({"op":"accept","call":"00000000000000ff","desc":"\ud800"})", R"({"op":"group)"}) {
