--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -279,7 +279,7 @@
   if (front && front->waits_hinted && event.cause == Cause::processor_full && why >= 16) {
     event.retry_after = from_ms(why / 16);
   }
-  event.settled = in.get<std::uint8_t>() != 0;
+  event.call_finished = in.get<std::uint8_t>() != 0;
   event.report = load_report(in, front ? front->report_fields : std::vector<std::string>{});
   return event;
 }
--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -124,7 +124,7 @@
   Duration delay{};
   Ending ending = Ending::fault;
   Cause cause = Cause::none;
-  bool settled = false;  // nothing more is owed for the call
+  bool call_finished = false;  // nothing more is owed for the call
   std::optional<Duration> retry_after{};
   LoadReport report{};
 };
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -377,7 +377,7 @@
     if (found == calls_.end() || found->second.out != ended.server) return;
     Call& call = found->second;
     call.out.reset();
-    if (ended.settled || call.answered) {
+    if (ended.call_finished || call.answered) {
       calls_.erase(found);
       return;
     }
