--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -254,16 +254,16 @@
   event.call = in.get<std::uint64_t>();
   event.call_class = in.get<std::uint8_t>();
   event.tenant = in.get<std::uint32_t>();
-  event.key = in.get<std::uint64_t>();
-  event.patience = from_ms(in.get<double>());
+  event.number_key = in.get<std::uint64_t>();
+  event.caller_timeout = from_ms(in.get<double>());
   in.take(8);  // a guess of the cost
   event.first_choice = number_of(in.get<float>());
   in.take(4);  // circuits
   event.advised = number_of(in.get<float>());
   const auto options = in.get<std::uint8_t>();
   event.retry = (options & 2) != 0;
-  event.in_transit = (options & 8) != 0;
-  event.cut = (options & 16) != 0;
+  event.forwarded = (options & 8) != 0;
+  event.reconnect = (options & 16) != 0;
   return event;
 }
 
--- a/examples/one_call.cpp
+++ b/examples/one_call.cpp
@@ -16,7 +16,7 @@
   quartzarch::CallArrived call;
   call.call = 1;
   call.first_choice = 0;
-  call.patience = 3s;
+  call.caller_timeout = 3s;
   for (const auto& action : controller.handle(10ms, call)) {
     if (const auto* setup = std::get_if<quartzarch::SendSetup>(&action)) {
       std::printf("set up call %llu at %d.%d.%d.%d:%d\n", static_cast<unsigned long long>(setup->call),
--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -95,13 +95,13 @@
   CallId call = 0;
   unsigned call_class = 0;
   unsigned tenant = 0;
-  std::uint64_t key = 0;    // the dialled number; 0: not told
-  Duration patience{};      // the caller abandons this try after it
-  int first_choice = -1;    // number of the server named by the call
-  int advised = -1;         // number of the server with most room at the centre's last look
-  bool in_transit = false;  // passed on by another front: may go to its first choice only
-  bool retry = false;       // marked by the caller as a further try
-  bool cut = false;         // stood, was cut and comes again
+  std::uint64_t number_key = 0;  // the dialled number; 0: not told
+  Duration caller_timeout{};     // the caller abandons this try after it
+  int first_choice = -1;         // number of the server named by the call
+  int advised = -1;              // number of the server with most room at the centre's last look
+  bool forwarded = false;        // passed on by another front: may go to its first choice only
+  bool retry = false;            // marked by the caller as a further try
+  bool reconnect = false;        // stood, was cut and comes again
 };
 struct CallCancelled {
   CallId call = 0;
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -277,7 +277,7 @@
     call.asked = asked;
     call.arrived = now_;
     call.first_try = first_try_of(call);
-    call.leaves = now_ + std::max(asked.patience, Duration{0});
+    call.leaves = now_ + std::max(asked.caller_timeout, Duration{0});
     call.over_share = over_share(asked.tenant);
     calls_.insert_or_assign(asked.call, call);
     // A flood to one number says nothing of what the server it names was planned for.
@@ -290,12 +290,14 @@
   // A further try has a new id and mostly no mark: the number called tells when its caller first asked. Of a
   // number that many call, no more calls are taken for further tries than were not served.
   Time first_try_of(const Call& call) {
-    const auto found = call.asked.cut ? decltype(unserved_)::node_type{} : unserved_.extract(call.asked.key);
+    const auto found =
+        call.asked.reconnect ? decltype(unserved_)::node_type{} : unserved_.extract(call.asked.number_key);
     return !found.empty() && now_ - found.mapped() < class_of(call).deadline ? found.mapped() : now_;
   }
 
   void note_unserved(const Call& call) {
-    if (call.asked.key != 0 && unserved_.size() < kMostUnserved) unserved_[call.asked.key] = call.first_try;
+    if (call.asked.number_key != 0 && unserved_.size() < kMostUnserved)
+      unserved_[call.asked.number_key] = call.first_try;
   }
 
   // A tenant may bring this front's part of its quota, and what falls due within kShareBurst at once.
@@ -335,7 +337,7 @@
     const Duration waited = part_waited(stood.call, stood.delay);
     if (Gap* const number = crowded(call->second)) {
       number->ease(kLineFound);
-      if (number->width == Duration{0}) numbers_.erase(call->second.asked.key);
+      if (number->width == Duration{0}) numbers_.erase(call->second.asked.number_key);
     }
     note_taken(call->second);
     calls_.erase(call);
@@ -601,14 +603,14 @@
 
   // A number without a free line gets a gap of its own, so that its calls do not use up the processors.
   void crowd(const Call& call) {
-    if (call.asked.key == 0) return;
-    Gap& number = numbers_[call.asked.key];
+    if (call.asked.number_key == 0) return;
+    Gap& number = numbers_[call.asked.number_key];
     number.raise();
     number.last_sent = now_;
   }
 
   Gap* crowded(const Call& call) {
-    const auto found = numbers_.find(call.asked.key);
+    const auto found = numbers_.find(call.asked.number_key);
     return found == numbers_.end() ? nullptr : &found->second;
   }
 
@@ -691,7 +693,7 @@
     if (settings_.own_server_number >= 0 && server.entry.number == settings_.own_server_number) return false;
     if (server.entry.number == call.asked.first_choice) return true;
     const auto& pools = class_of(call).pools;
-    return !call.asked.in_transit &&
+    return !call.asked.forwarded &&
            (pools.empty() || std::find(pools.begin(), pools.end(), server.entry.number) != pools.end());
   }
 
@@ -773,7 +775,7 @@
     const bool late = now_ + late_after() > call.first_try + c.aim;
     const double share = call.over_share ? settings_.over_share_worth : 1.0;
     return c.worth * share * (late ? c.late_worth : 1.0) *
-           (numbers_.count(call.asked.key) ? kCrowdedWorth : 1.0);
+           (numbers_.count(call.asked.number_key) ? kCrowdedWorth : 1.0);
   }
 
   // A call that is held, as one look at all of them leaves it.
@@ -865,7 +867,7 @@
   // What route() looks at is the same for both, so that no server is open for either or one is for both.
   bool alike(const Call& a, const Call& b) const {
     return a.asked.call_class == b.asked.call_class && a.asked.first_choice == b.asked.first_choice &&
-           a.asked.in_transit == b.asked.in_transit && a.faulted_at == b.faulted_at &&
+           a.asked.forwarded == b.asked.forwarded && a.faulted_at == b.faulted_at &&
            (now_ < a.elsewhere_until) == (now_ < b.elsewhere_until);
   }
 
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -160,15 +160,15 @@
   CallArrived event;
   event.call = call;
   event.call_class = static_cast<unsigned>(name - names.begin());
-  event.key = key_of(request.number);
+  event.number_key = key_of(request.number);
   // No caller waits longer than its class lets it, whatever it says.
   const Duration longest = start_.settings.classes[event.call_class].deadline;
   if (!request.patience || (longest > Duration{0} && *request.patience > longest)) request.patience = longest;
-  event.patience = *request.patience - std::max(loop_.now() - request.came, Duration{0});
+  event.caller_timeout = *request.patience - std::max(loop_.now() - request.came, Duration{0});
   event.first_choice = request.first_choice;
   event.advised = request.advised;
   event.retry = request.retry;
-  event.cut = request.cut;
+  event.reconnect = request.cut;
   ++owed_;
   waiting_bytes_ += request.description.size();
   calls_.emplace(call, Exchange(std::move(request), front));
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -505,7 +505,7 @@
     event.call = id;
     event.tenant = tenant;
     event.first_choice = 1;
-    event.patience = seconds(3);
+    event.caller_timeout = seconds(3);
     front.tell(event);
   };
   for (CallId id = 1; id <= 8; ++id) bring(id, 0);
@@ -551,9 +551,9 @@
   const auto dial = [&](CallId id, std::uint64_t key) {
     CallArrived event;
     event.call = id;
-    event.key = key;
+    event.number_key = key;
     event.first_choice = 1;
-    event.patience = seconds(3);
+    event.caller_timeout = seconds(3);
     front.tell(event);
   };
   dial(1, 77);
@@ -576,9 +576,9 @@
   const auto dial = [&] {
     CallArrived asked;
     asked.call = ++id;
-    asked.key = 77;
+    asked.number_key = 77;
     asked.first_choice = 1;
-    asked.patience = seconds(3);
+    asked.caller_timeout = seconds(3);
     front.tell(asked);
   };
   dial();
@@ -663,8 +663,8 @@
   CallArrived event;
   event.call = 1;
   event.first_choice = 9;
-  event.patience = seconds(3);
-  event.in_transit = true;
+  event.caller_timeout = seconds(3);
+  event.forwarded = true;
   front.tell(event);
   front.run_until(seconds(4));
   EXPECT_EQ(front.done<SendSetup>().size(), 0u);
@@ -874,9 +874,9 @@
   while (front.now < seconds(20)) {
     CallArrived flood;
     flood.call = ++id;
-    flood.key = 77;
+    flood.number_key = 77;
     flood.first_choice = 2;
-    flood.patience = milliseconds(500);
+    flood.caller_timeout = milliseconds(500);
     front.tell(flood);
     if (id == 1) front.ends(id, 2, Ending::fault, Cause::number_busy);
     front.run_until(front.now + milliseconds(50));
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -21,9 +21,9 @@
 CallArrived asked(CallId id, std::uint64_t key, Duration patience = seconds(3)) {
   CallArrived event;
   event.call = id;
-  event.key = key;
+  event.number_key = key;
   event.first_choice = 1;
-  event.patience = patience;
+  event.caller_timeout = patience;
   return event;
 }
 
@@ -78,7 +78,7 @@
     front.tell(asked(8, 0xb));
     front.now += milliseconds(10);
     CallArrived again = asked(9, 0xa);
-    again.cut = cut;
+    again.reconnect = cut;
     front.tell(again);
     const auto from = front.done<SendSetup>().size();
     front.tell(ServerList{true, {entry(1)}});
--- a/tests/front.hpp
+++ b/tests/front.hpp
@@ -67,7 +67,7 @@
     event.call = id;
     event.call_class = call_class;
     event.first_choice = first_choice;
-    event.patience = patience;
+    event.caller_timeout = patience;
     return tell(event);
   }
 
