--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -20,62 +20,62 @@
 // ---- Tuned values
 
 // The source's rise, for each 'processor full'.
-constexpr double kGapRise = 1.2;
+constexpr double kGapRiseFactor = 1.2;
 // A full processor gets nothing for this many of a front's usual spacings there: turning calls away is work,
 // and with many fronts that of each one's next try after an aim is more than a slowed processor can do.
-constexpr double kFullPause = 3;
+constexpr double kProcessorFullPause = 3;
 // A front that sends less often than this, in set-ups a second, has seen too little to tell.
-constexpr double kLeastRate = 0.001;
+constexpr double kMinRate = 0.001;
 // A time-out is as many refusals: it took a whole try of its caller, and some 200 fronts that come back after
 // it must leave a slowed server room to work off what it holds. The gap triples.
-constexpr int kRisesOfTimeOut = 6;
+constexpr int kRisesPerTimeout = 6;
 // A gap lifted off nought starts from this where the sender has no wider spacing of its own (design page).
-constexpr Duration kFirstGap = milliseconds(10);
+constexpr Duration kInitialGap = milliseconds(10);
 // Below this a gap holds nobody up, since events come in steps of some milliseconds anyway.
-constexpr Duration kLeastGap = milliseconds(1);
+constexpr Duration kMinGap = milliseconds(1);
 // A server counts as pressed for this long after its last sign of pressure ("the last few seconds").
-constexpr Duration kPressedFor = seconds(2);
+constexpr Duration kDegradedFor = seconds(2);
 // A set-up that finds a line of a crowded number undoes one rise of its gap: half of what is sent stands.
-constexpr double kLineFound = 1 - 1 / kGapRise;
+constexpr double kEaseOnFreeLine = 1 - 1 / kGapRiseFactor;
 // A call to a crowded number comes after its equals, since about half of them find a line.
-constexpr double kCrowdedWorth = 0.5;
+constexpr double kBusyNumberWorth = 0.5;
 // Weight of the newest spacing in this sender's recent spacing.
 constexpr double kSpacingWeight = 0.3;
 // A server out of reach is left alone for this long, doubled with each further failure up to the longest.
-constexpr Duration kFirstShun = milliseconds(500), kLongestShun = seconds(8);
+constexpr Duration kMinBackoff = milliseconds(500), kMaxBackoff = seconds(8);
 // Share of a cold server's present capacity that the fronts use together, by the budget before it falls, from
 // the least (what warm servers bear is a guess) to the most (more would only wait in its line).
-constexpr double kColdShareOfBudget = 0.36, kLeastColdShare = 0.9, kMostColdShare = 1.25;
+constexpr double kColdShareOfBudget = 0.36, kMinColdShare = 0.9, kMaxColdShare = 1.25;
 // Where no waiting set-up is repeated a line works off by itself, which a gap of more usual spacings sees
 // late.
-constexpr double kWidestGap = 2;
+constexpr double kMaxGapInSpacings = 2;
 // Set-ups may be out at a server as its fair rate brings them in this share of the aim, or the resend time.
 constexpr double kWindowShareOfAim = 1.0 / 3;
 // A set-up's delay tells of a processor for this long, and then neither that it is idle nor that it is full.
-constexpr Duration kDelayKnownFor = seconds(5);
-constexpr double kUnknownSpare = 0.5;
+constexpr Duration kDelayValidFor = seconds(5);
+constexpr double kDefaultSpareShare = 0.5;
 // Tries that were not served are remembered up to so many: a flood of them must not take the memory.
-constexpr std::size_t kMostUnserved = 20000;
+constexpr std::size_t kMaxUnserved = 20000;
 // A front's rates are those of about this time: where calls go shifts within some ten seconds.
-constexpr Duration kRateMemory = seconds(20);
+constexpr Duration kRateTimeConstant = seconds(20);
 // A fading count below this is nothing.
-constexpr double kQuietCount = 0.01;
+constexpr double kNegligibleCount = 0.01;
 // A call that as many servers could make nothing of is at fault itself.
-constexpr unsigned kMostFaults = 2;
+constexpr unsigned kMaxFaults = 2;
 // A server of whose set-ups so large a share fails that others then take is pressed by its own fault.
 constexpr double kFailingShare = 0.15;
 // Weight of a server's share of the lines against its share of the calls' first choices.
 constexpr double kLinesWeight = 0.25;
 // Calls assumed before any was seen.
-constexpr double kUnseenCalls = 2;
+constexpr double kAssumedCalls = 2;
 // A tenant's calls come by chance: what its share brings in this time may come at once.
-constexpr Duration kShareBurst = seconds(5);
+constexpr Duration kTenantBurst = seconds(5);
 // Set-ups that may be out beyond this front's share: less would hold up calls that come by chance.
-constexpr double kFewOut = 1;
+constexpr double kWindowAllowance = 1;
 // No processor's wait is longer and no pool has more lines than this; a larger figure is a fault.
-constexpr double kLongestWaitMs = 60e3, kMostLines = 1e9;
+constexpr double kMaxWaitMs = 60e3, kMaxLines = 1e9;
 // A call is answered this many steps of the clock before its caller leaves.
-constexpr int kAnswerSteps = 2;
+constexpr int kAnswerMarginQuanta = 2;
 // A set-up that takes longer than this share of the resend time is late: past it the server repeats work.
 // Without resends, than this share of the holding aim.
 constexpr double kLateShare = 0.5, kLateShareOfAim = 0.25;
@@ -83,15 +83,15 @@
 // the late time has its answer. Its own got lost on the way.
 constexpr double kOvertakenShare = 0.25;
 // An overtaken set-up is given up after this many late times.
-constexpr int kLateTimesForLost = 2, kMostDoublings = 10;
+constexpr int kLostAfterLateTimes = 2, kMaxDoublings = 10;
 // A pool without a free line is tried again after this, news or no news: lines fall free all the time.
-constexpr Duration kLinesKnownFor = milliseconds(300);
+constexpr Duration kNoLinePause = milliseconds(300);
 // A refused caller is asked to stay away for at least this.
-constexpr Duration kLeastAway = milliseconds(100);
+constexpr Duration kMinRetryAfter = milliseconds(100);
 // An aim of nought would leave no scale to judge a set-up by.
-constexpr Duration kLeastAim = milliseconds(1);
+constexpr Duration kMinAim = milliseconds(1);
 
-Duration times(Duration time, double factor) {
+Duration scaled(Duration time, double factor) {
   return Duration{std::llround(static_cast<double>(time.count()) * factor)};
 }
 
@@ -132,12 +132,12 @@
   // A refusal that came after a wait tells how much work was in line: `waited` is this front's part of it.
   void raise(Duration waited = Duration{0}, int rises = 1, Duration usual = Duration{0}) {
     const Duration base =
-        width > Duration{0} ? width : std::max({spacing.value_or(kFirstGap), kFirstGap, usual});
-    width = times(std::max(base, waited), std::pow(kGapRise, rises));
+        width > Duration{0} ? width : std::max({spacing.value_or(kInitialGap), kInitialGap, usual});
+    width = scaled(std::max(base, waited), std::pow(kGapRiseFactor, rises));
   }
   void ease(double spare) {
-    width -= times(width, spare);
-    if (width < kLeastGap) width = Duration{0};
+    width -= scaled(width, spare);
+    if (width < kMinGap) width = Duration{0};
   }
   void sent(Time now) {
     sent_before = last_sent;
@@ -145,7 +145,7 @@
     if (last_sent) {
       const Duration newest = now - *last_sent;
       const Duration before = spacing.value_or(newest);
-      spacing = before + times(newest - before, kSpacingWeight);
+      spacing = before + scaled(newest - before, kSpacingWeight);
     }
     last_sent = now;
   }
@@ -164,14 +164,14 @@
 struct Fading {
   double value = 0;
   Time at{};
-  double count(Time now) const { return value * std::exp(-ratio(now - at, kRateMemory)); }
+  double count(Time now) const { return value * std::exp(-ratio(now - at, kRateTimeConstant)); }
   void add(Time now) {
     value = count(now) + 1;
     at = now;
   }
   // What came at `then` is not counted any more.
   void take_back(Time then, Time now) {
-    value = std::max(count(now) - std::exp(-ratio(now - then, kRateMemory)), 0.0);
+    value = std::max(count(now) - std::exp(-ratio(now - then, kRateTimeConstant)), 0.0);
     at = now;
   }
 };
@@ -201,7 +201,7 @@
   Fading stood{}, failed{};        // set-ups that stood, and such as it made nothing of and another took
 
   bool usable() const { return listed && entry.availability == Availability::ready; }
-  bool pressed(Time now) const { return pressed_at && now - *pressed_at < kPressedFor; }
+  bool pressed(Time now) const { return pressed_at && now - *pressed_at < kDegradedFor; }
 };
 
 }  // namespace
@@ -218,7 +218,7 @@
   std::vector<Action> handle(Time now, const Event& event) {
     now_ = now;
     if (settings_.must_subscribe && !subscribed_) subscribe();
-    if (now_ - forgot_at_ > kRateMemory) forget();
+    if (now_ - forgot_at_ > kRateTimeConstant) forget();
     std::visit([this](const auto& e) { on(e); }, event);
     count_lines();
     dispatch();
@@ -230,10 +230,10 @@
   void forget() {
     forgot_at_ = now_;
     std::erase_if(numbers_, [this](const auto& item) {
-      return now_ - item.second.last_sent.value_or(now_) > std::max(item.second.width, kRateMemory);
+      return now_ - item.second.last_sent.value_or(now_) > std::max(item.second.width, kRateTimeConstant);
     });
-    std::erase_if(unserved_, [this](const auto& item) { return now_ - item.second > kRateMemory; });
-    std::erase_if(named_, [this](const auto& item) { return item.second.count(now_) < kQuietCount; });
+    std::erase_if(unserved_, [this](const auto& item) { return now_ - item.second > kRateTimeConstant; });
+    std::erase_if(named_, [this](const auto& item) { return item.second.count(now_) < kNegligibleCount; });
   }
 
   void count_lines() {
@@ -296,16 +296,16 @@
   }
 
   void note_unserved(const Call& call) {
-    if (call.asked.number_key != 0 && unserved_.size() < kMostUnserved)
+    if (call.asked.number_key != 0 && unserved_.size() < kMaxUnserved)
       unserved_[call.asked.number_key] = call.first_try;
   }
 
-  // A tenant may bring this front's part of its quota, and what falls due within kShareBurst at once.
+  // A tenant may bring this front's part of its quota, and what falls due within kTenantBurst at once.
   bool over_share(unsigned tenant) {
     if (tenant >= settings_.tenants.size() || !(settings_.tenants[tenant].quota > 0)) return false;
     const double rate = settings_.tenants[tenant].quota / settings_.instances;
     TokenBucket& bucket = buckets_[tenant];
-    const double most = std::max(rate * ratio(kShareBurst, seconds(1)), 1.0);
+    const double most = std::max(rate * ratio(kTenantBurst, seconds(1)), 1.0);
     const double due = bucket.at ? rate * ratio(now_ - *bucket.at, seconds(1)) : most;
     bucket.tokens = std::min(most, bucket.tokens + due);
     bucket.at = now_;
@@ -336,7 +336,7 @@
     const Time sent = call->second.sent_at;
     const Duration waited = part_waited(stood.call, stood.delay);
     if (Gap* const number = crowded(call->second)) {
-      number->ease(kLineFound);
+      number->ease(kEaseOnFreeLine);
       if (number->width == Duration{0}) numbers_.erase(call->second.asked.number_key);
     }
     note_taken(call->second);
@@ -421,7 +421,7 @@
   }
 
   bool may_go_on(const Call& call, const AttemptEnded& ended) const {
-    if (call.faults >= kMostFaults) return false;
+    if (call.faults >= kMaxFaults) return false;
     if (ended.ending == Ending::completed || ended.ending == Ending::not_sent) return false;
     if (ended.cause == Cause::number_busy) return false;  // another server has no more lines of that number
     if (call.attempts >= settings_.attempts_cap) return false;
@@ -440,10 +440,11 @@
     if (ended.ending == Ending::reset) shun(server, "set-up cut");
     if (ended.ending == Ending::timed_out && !before_rise(server, sent) && !overtaken(server, sent)) {
       raise(server, "set-up timed out", part_waited(ended.call, ended.delay),
-            seldom_seen(server) ? kRisesOfTimeOut : 1);
+            seldom_seen(server) ? kRisesPerTimeout : 1);
     }
     if (ended.cause == Cause::processor_full)
-      server.closed_until = now_ + std::max(holding_aim(), times(usual_spacing(server), kFullPause));
+      server.closed_until =
+          now_ + std::max(holding_aim(), scaled(usual_spacing(server), kProcessorFullPause));
   }
 
   void note_report(Server& server, const LoadReport& report) {
@@ -451,7 +452,7 @@
       server.free_lines = *report.free_circuits;
       server.told_at = now_;
       const double lines = report.circuits.value_or(0);
-      server.lines = std::isfinite(lines) ? std::clamp(lines, 0.0, kMostLines) : 0.0;
+      server.lines = std::isfinite(lines) ? std::clamp(lines, 0.0, kMaxLines) : 0.0;
       server.free_share = std::nullopt;
       if (server.lines > 0) server.free_share = clamped_share(*report.free_circuits / server.lines);
     }
@@ -477,7 +478,7 @@
     if (!report.wait_ms && !report.queued) return std::nullopt;
     const double ms =
         report.wait_ms ? *report.wait_ms : *report.queued * 1000 / (fair_rate(server) * settings_.instances);
-    return times(milliseconds(1), std::isfinite(ms) ? std::clamp(ms, 0.0, kLongestWaitMs) : 0.0);
+    return scaled(milliseconds(1), std::isfinite(ms) ? std::clamp(ms, 0.0, kMaxWaitMs) : 0.0);
   }
 
   void on(const ServerProbed& probed) {
@@ -500,7 +501,7 @@
     server.raised_at = now_;
     const Duration before = server.gap.width;
     server.gap.raise(waited, rises, seldom_seen(server) ? usual_spacing(server) : Duration{0});
-    const Duration widest = std::max(before, times(usual_spacing(server), kWidestGap));
+    const Duration widest = std::max(before, scaled(usual_spacing(server), kMaxGapInSpacings));
     if (settings_.resend == Duration{0}) server.gap.width = std::min(server.gap.width, widest);
     press(server, cause);
   }
@@ -544,7 +545,8 @@
 
   // Where servers tell nothing of their processors it goes by the aim, as in the source.
   double spare_by_delay(const Server& server) const {
-    if (server.delay_known == Time::min() || now_ - server.delay_known > kDelayKnownFor) return kUnknownSpare;
+    if (server.delay_known == Time::min() || now_ - server.delay_known > kDelayValidFor)
+      return kDefaultSpareShare;
     return clamped_share(1 - ratio(server.delay, settings_.load_reported ? late_after() : holding_aim()));
   }
 
@@ -554,14 +556,14 @@
   }
 
   Duration late_after() const {
-    const Duration late = settings_.resend > Duration{0} ? times(settings_.resend, kLateShare)
-                                                         : times(holding_aim(), kLateShareOfAim);
-    return std::max(late, kLeastAim);
+    const Duration late = settings_.resend > Duration{0} ? scaled(settings_.resend, kLateShare)
+                                                         : scaled(holding_aim(), kLateShareOfAim);
+    return std::max(late, kMinAim);
   }
 
   // Its answer got lost: of what was sent a while later the server has answered something.
   bool overtaken(const Server& server, Time sent) const {
-    return sent + times(late_after(), kOvertakenShare) < server.answered_to;
+    return sent + scaled(late_after(), kOvertakenShare) < server.answered_to;
   }
 
   // How many set-ups out are late: the server is slow or silent. One whose answer got lost tells nothing of
@@ -579,7 +581,7 @@
     if (late == 0) return Time::min();
     Time newest{0};
     for (const auto& [id, sent] : server.out) newest = std::max(newest, sent);
-    return newest + times(late_after(), std::exp2(std::min(late, kMostDoublings)));
+    return newest + scaled(late_after(), std::exp2(std::min(late, kMaxDoublings)));
   }
 
   bool pressed(const Server& server) const { return server.pressed(now_) || overdue(server) > 0; }
@@ -587,14 +589,14 @@
   Duration holding_aim() const {
     Duration aim = settings_.classes.front().aim;
     for (const CallClass& c : settings_.classes) aim = std::min(aim, c.aim);
-    return std::max(aim, kLeastAim);
+    return std::max(aim, kMinAim);
   }
 
   // When the next set-up may go to the server.
   Time opens_at(const Server& server) const {
     const bool no_line = server.free_lines && *server.free_lines <= 0;
     return std::max({server.gap.opens(cold_gap(server)), server.shunned_until, server.closed_until,
-                     no_line ? server.told_at + kLinesKnownFor : Time{0}});
+                     no_line ? server.told_at + kNoLinePause : Time{0}});
   }
 
   bool open_now(const Server& server) const {
@@ -617,7 +619,7 @@
   // ---- Guards
 
   void shun(Server& server, const char* cause) {
-    server.shun = std::clamp(server.shun * 2, kFirstShun, kLongestShun);
+    server.shun = std::clamp(server.shun * 2, kMinBackoff, kMaxBackoff);
     server.shunned_until = now_ + server.shun;
     press(server, cause);
     if (!seldom_seen(server)) return;
@@ -634,8 +636,8 @@
     const double warmth = std::clamp(ratio(now_ - cold_since(server), settings_.cold), 0.0, 1.0);
     const double capacity = settings_.cold_from + (1 - settings_.cold_from) * warmth;
     const double share =
-        std::clamp(kColdShareOfBudget * settings_.cold_overload_factor, kLeastColdShare, kMostColdShare);
-    return times(seconds(1), 1 / std::max(share * capacity * fair_rate(server), kLeastRate));
+        std::clamp(kColdShareOfBudget * settings_.cold_overload_factor, kMinColdShare, kMaxColdShare);
+    return scaled(seconds(1), 1 / std::max(share * capacity * fair_rate(server), kMinRate));
   }
 
   static Time cold_since(const Server& server) {
@@ -650,7 +652,7 @@
   void begin_gap(Server& server) {
     const double phase = static_cast<double>(random_() % 1024) / 1024;
     server.gap.width = std::max(server.gap.width, cold_gap(server));
-    if (server.gap.width > Duration{0}) server.gap.last_sent = now_ - times(server.gap.width, phase);
+    if (server.gap.width > Duration{0}) server.gap.last_sent = now_ - scaled(server.gap.width, phase);
   }
 
   // A server was planned for the calls that name it, and has lines for them; what names it tells more of its
@@ -658,9 +660,9 @@
   double fair_rate(const Server& server) const {
     const auto seen = named_.find(server.entry.number);
     const double named = seen == named_.end() ? 0.0 : seen->second.count(now_);
-    const double by_lines = (kLinesWeight * arrivals_.count(now_) + kUnseenCalls) * lines_share(server);
-    const double watched = ratio(now_ - began_, kRateMemory);
-    const double memory = ratio(kRateMemory, seconds(1)) * (1 - std::exp(-watched));
+    const double by_lines = (kLinesWeight * arrivals_.count(now_) + kAssumedCalls) * lines_share(server);
+    const double watched = ratio(now_ - began_, kRateTimeConstant);
+    const double memory = ratio(kRateTimeConstant, seconds(1)) * (1 - std::exp(-watched));
     return ((1 - kLinesWeight) * named + by_lines) / (memory + 1);
   }
 
@@ -668,7 +670,7 @@
   bool seldom_seen(const Server& server) const { return usual_spacing(server) > holding_aim(); }
 
   Duration usual_spacing(const Server& server) const {
-    return times(seconds(1), 1 / std::max(fair_rate(server), kLeastRate));
+    return scaled(seconds(1), 1 / std::max(fair_rate(server), kMinRate));
   }
 
   double lines_share(const Server& server) const {
@@ -679,8 +681,8 @@
 
   // As many set-ups may be out as a fair share brings within a part of the aim, and a few for chance.
   bool window_full(const Server& server) const {
-    const Duration span = std::max(settings_.resend, times(holding_aim(), kWindowShareOfAim));
-    const double window = kFewOut + fair_rate(server) * ratio(span, seconds(1));
+    const Duration span = std::max(settings_.resend, scaled(holding_aim(), kWindowShareOfAim));
+    const double window = kWindowAllowance + fair_rate(server) * ratio(span, seconds(1));
     const auto lost = std::count_if(server.out.begin(), server.out.end(),
                                     [&](const auto& sent) { return overtaken(server, sent.second); });
     return static_cast<double>(server.out.size()) - static_cast<double>(lost) >= window;
@@ -744,7 +746,7 @@
     return settings_.classes[std::min<std::size_t>(call.asked.call_class, settings_.classes.size() - 1)];
   }
 
-  Time refuse_at(const Call& call) const { return call.leaves - kAnswerSteps * settings_.quantum; }
+  Time refuse_at(const Call& call) const { return call.leaves - kAnswerMarginQuanta * settings_.quantum; }
 
   // A set-up that is out for too long is pressure while it is: the server is slow, stands still or is gone.
   // One whose answer got lost is called off, so that the call may be sent again.
@@ -754,7 +756,7 @@
       if (late && !server.overdue_told && !server.pressed(now_)) log(server, "no answer in time");
       server.overdue_told = late;
       for (const auto& [call, sent] : server.out) {
-        if (overtaken(server, sent) && now_ - sent > kLateTimesForLost * late_after()) call_off_lost(call);
+        if (overtaken(server, sent) && now_ - sent > kLostAfterLateTimes * late_after()) call_off_lost(call);
       }
     }
   }
@@ -775,7 +777,7 @@
     const bool late = now_ + late_after() > call.first_try + c.aim;
     const double share = call.over_share ? settings_.over_share_worth : 1.0;
     return c.worth * share * (late ? c.late_worth : 1.0) *
-           (numbers_.count(call.asked.number_key) ? kCrowdedWorth : 1.0);
+           (numbers_.count(call.asked.number_key) ? kBusyNumberWorth : 1.0);
   }
 
   // A call that is held, as one look at all of them leaves it.
@@ -835,7 +837,8 @@
     const auto want = [&next](Time at) { next = std::min(next.value_or(at), at); };
     for (const auto& [id, server] : servers_) {
       for (const auto& [call, sent] : server.out) {
-        if (const Time lost = sent + kLateTimesForLost * late_after(); lost > now_) want(lost + Duration{1});
+        if (const Time lost = sent + kLostAfterLateTimes * late_after(); lost > now_)
+          want(lost + Duration{1});
       }
     }
     for (const Held& each : held) want(refuse_at(*each.call));
@@ -891,7 +894,7 @@
     for (const auto& [id, server] : servers_) {
       if (open_to(call, server)) away = std::min(away, opens_at(server) - now_);
     }
-    return std::max(away, kLeastAway);
+    return std::max(away, kMinRetryAfter);
   }
 
   // The one final answer to a call that does not stand.
