--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -103,31 +103,31 @@
 double clamped_share(double value) { return std::isnan(value) ? 0.0 : std::clamp(value, 0.0, 1.0); }
 
 struct Call {
-  CallArrived asked;
+  CallArrived request;
   Time arrived{};
-  Time first_try{};                      // when its caller first asked, as far as is known here
-  Time leaves{};                         // the caller abandons this try
-  Time not_before{};                     // the release guard
-  Time sent_at{};                        // the last attempt
-  bool over_share = false;               // beyond its tenant's share when it came
-  unsigned attempts = 0;                 // sent so far
-  unsigned faults = 0;                   // of these, ended as a fault
-  std::optional<ServerId> faulted_at{};  // where the last of them did
-  Time elsewhere_until{};                // and until when it waits for another to open
-  int out_with_it = 1;                   // out at the server then, this one counted
-  std::optional<ServerId> out{};         // where its attempt is out
-  bool answered = false;                 // the caller has its answer; an attempt may still be out
-  bool called_off = false;               // its attempt was, as lost
-  bool may_have_run = false;             // an attempt ended without proof that it never ran
+  Time first_try{};                          // when its caller first asked, as far as is known here
+  Time abandoned_at{};                       // the caller abandons this try
+  Time not_before{};                         // the release guard
+  Time sent_at{};                            // the last attempt
+  bool over_share = false;                   // beyond its tenant's share when it came
+  unsigned attempts = 0;                     // sent so far
+  unsigned faults = 0;                       // of these, ended as a fault
+  std::optional<ServerId> faulted_server{};  // where the last of them did
+  Time avoid_faulted_until{};                // and until when it waits for another to open
+  int in_flight_at_send = 1;                 // out at the server then, this one counted
+  std::optional<ServerId> in_flight_at{};    // where its attempt is out
+  bool answered = false;                     // the caller has its answer; an attempt may still be out
+  bool cancel_sent = false;                  // its attempt was, as lost
+  bool may_have_run = false;                 // an attempt ended without proof that it never ran
 };
 
 // The least time between new set-ups, as the source has it; nought lets everything pass.
 struct Gap {
   Duration width{};
   std::optional<Time> last_sent{};
-  std::optional<Duration> spacing{};  // this sender's recent spacing of set-ups
-  std::optional<Time> sent_before{};  // both as they were before the last send
-  std::optional<Duration> spacing_before{};
+  std::optional<Duration> spacing{};    // this sender's recent spacing of set-ups
+  std::optional<Time> previous_sent{};  // both as they were before the last send
+  std::optional<Duration> previous_spacing{};
 
   // A refusal that came after a wait tells how much work was in line: `waited` is this front's part of it.
   void raise(Duration waited = Duration{0}, int rises = 1, Duration usual = Duration{0}) {
@@ -135,13 +135,13 @@
         width > Duration{0} ? width : std::max({spacing.value_or(kInitialGap), kInitialGap, usual});
     width = scaled(std::max(base, waited), std::pow(kGapRiseFactor, rises));
   }
-  void ease(double spare) {
+  void lower(double spare) {
     width -= scaled(width, spare);
     if (width < kMinGap) width = Duration{0};
   }
-  void sent(Time now) {
-    sent_before = last_sent;
-    spacing_before = spacing;
+  void note_sent(Time now) {
+    previous_sent = last_sent;
+    previous_spacing = spacing;
     if (last_sent) {
       const Duration newest = now - *last_sent;
       const Duration before = spacing.value_or(newest);
@@ -150,18 +150,18 @@
     last_sent = now;
   }
   // The set-up of that time was no work: its place is free for the next, if none has taken it.
-  void give_back(Time sent) {
+  void undo_send(Time sent) {
     if (last_sent != sent) return;
-    last_sent = sent_before;
-    spacing = spacing_before;
+    last_sent = previous_sent;
+    spacing = previous_spacing;
   }
-  Time opens(Duration least = Duration{0}) const {
+  Time opens_at(Duration least = Duration{0}) const {
     return last_sent ? *last_sent + std::max(width, least) : Time::min();
   }
 };
 
 // A count that fades, so that it follows what changes.
-struct Fading {
+struct DecayingCount {
   double value = 0;
   Time at{};
   double count(Time now) const { return value * std::exp(-ratio(now - at, kRateTimeConstant)); }
@@ -170,7 +170,7 @@
     at = now;
   }
   // What came at `then` is not counted any more.
-  void take_back(Time then, Time now) {
+  void remove(Time then, Time now) {
     value = std::max(count(now) - std::exp(-ratio(now - then, kRateTimeConstant)), 0.0);
     at = now;
   }
@@ -195,10 +195,10 @@
   Time told_at{};
   Time shunned_until{};
   Duration shun{};
-  Time down_at = Time::min();      // last out of reach, or a set-up cut
-  Time answered_to = Time::min();  // when the latest of the set-ups that were answered had been sent
-  bool overdue_told = false;       // to the staff
-  Fading stood{}, failed{};        // set-ups that stood, and such as it made nothing of and another took
+  Time down_at = Time::min();       // last out of reach, or a set-up cut
+  Time answered_to = Time::min();   // when the latest of the set-ups that were answered had been sent
+  bool overdue_told = false;        // to the staff
+  DecayingCount stood{}, failed{};  // set-ups that stood, and such as it made nothing of and another took
 
   bool usable() const { return listed && entry.availability == Availability::ready; }
   bool pressed(Time now) const { return pressed_at && now - *pressed_at < kDegradedFor; }
@@ -272,17 +272,17 @@
 
   // ---- Calls
 
-  void on(const CallArrived& asked) {
+  void on(const CallArrived& request) {
     Call call;
-    call.asked = asked;
+    call.request = request;
     call.arrived = now_;
     call.first_try = first_try_of(call);
-    call.leaves = now_ + std::max(asked.caller_timeout, Duration{0});
-    call.over_share = over_share(asked.tenant);
-    calls_.insert_or_assign(asked.call, call);
+    call.abandoned_at = now_ + std::max(request.caller_timeout, Duration{0});
+    call.over_share = over_share(request.tenant);
+    calls_.insert_or_assign(request.call, call);
     // A flood to one number says nothing of what the server it names was planned for.
     if (!crowded(call)) {
-      named_[asked.first_choice].add(now_);
+      named_[request.first_choice].add(now_);
       arrivals_.add(now_);
     }
   }
@@ -290,14 +290,14 @@
   // A further try has a new id and mostly no mark: the number called tells when its caller first asked. Of a
   // number that many call, no more calls are taken for further tries than were not served.
   Time first_try_of(const Call& call) {
-    const auto found =
-        call.asked.reconnect ? decltype(unserved_)::node_type{} : unserved_.extract(call.asked.number_key);
+    const auto found = call.request.reconnect ? decltype(unserved_)::node_type{}
+                                              : unserved_.extract(call.request.number_key);
     return !found.empty() && now_ - found.mapped() < class_of(call).deadline ? found.mapped() : now_;
   }
 
   void note_unserved(const Call& call) {
-    if (call.asked.number_key != 0 && unserved_.size() < kMaxUnserved)
-      unserved_[call.asked.number_key] = call.first_try;
+    if (call.request.number_key != 0 && unserved_.size() < kMaxUnserved)
+      unserved_[call.request.number_key] = call.first_try;
   }
 
   // A tenant may bring this front's part of its quota, and what falls due within kTenantBurst at once.
@@ -319,25 +319,25 @@
     if (found == calls_.end()) return;
     if (!found->second.answered) note_unserved(found->second);
     answer_over(found->second);
-    if (!found->second.out) calls_.erase(found);
+    if (!found->second.in_flight_at) calls_.erase(found);
   }
 
   // Nobody waits any more: an attempt still out is called off, so that the server need not work on it.
   void answer_over(Call& call) {
-    if (!call.answered && call.out && settings_.may_cancel) {
-      add(CancelAttempt{call.asked.call, call.attempts - 1});
+    if (!call.answered && call.in_flight_at && settings_.may_cancel) {
+      add(CancelAttempt{call.request.call, call.attempts - 1});
     }
     call.answered = true;
   }
 
   void on(const CallEstablished& stood) {
     const auto call = calls_.find(stood.call);
-    if (call == calls_.end() || call->second.out != stood.server) return;
+    if (call == calls_.end() || call->second.in_flight_at != stood.server) return;
     const Time sent = call->second.sent_at;
     const Duration waited = part_waited(stood.call, stood.delay);
     if (Gap* const number = crowded(call->second)) {
-      number->ease(kEaseOnFreeLine);
-      if (number->width == Duration{0}) numbers_.erase(call->second.asked.number_key);
+      number->lower(kEaseOnFreeLine);
+      if (number->width == Duration{0}) numbers_.erase(call->second.request.number_key);
     }
     note_taken(call->second);
     calls_.erase(call);
@@ -363,7 +363,7 @@
 
   // A cold server's gap outlasts its cold time and shrinks then.
   void ease(Server& server, double spare) {
-    server.gap.ease(spare);
+    server.gap.lower(spare);
     server.gap.width = std::max(server.gap.width, cold_gap(server));
   }
 
@@ -376,9 +376,9 @@
       server->second.out.erase(ended.call);
     }
     const auto found = calls_.find(ended.call);
-    if (found == calls_.end() || found->second.out != ended.server) return;
+    if (found == calls_.end() || found->second.in_flight_at != ended.server) return;
     Call& call = found->second;
-    call.out.reset();
+    call.in_flight_at.reset();
     if (ended.call_finished || call.answered) {
       calls_.erase(found);
       return;
@@ -399,20 +399,20 @@
   void note_fault(Call& call, const ServerId& at) {
     // Whatever reaches a cold server brings it nearer to its fall.
     if (const auto server = servers_.find(at); server != servers_.end() && !cold(server->second))
-      server->second.gap.give_back(call.sent_at);
+      server->second.gap.undo_send(call.sent_at);
     // Said again by the same server while others are there, it is no second opinion.
-    const bool repeated = call.faulted_at == at && fleet_.usable > 1;
-    call.faulted_at = at;
-    call.elsewhere_until = now_ + late_after();
+    const bool repeated = call.faulted_server == at && fleet_.usable > 1;
+    call.faulted_server = at;
+    call.avoid_faulted_until = now_ + late_after();
     if (repeated || ++call.faults > 1 || crowded(call)) return;
-    arrivals_.take_back(call.arrived, now_);
-    named_[call.asked.first_choice].take_back(call.arrived, now_);
+    arrivals_.remove(call.arrived, now_);
+    named_[call.request.first_choice].remove(call.arrived, now_);
   }
 
   // The call stands: it was not its own fault that a server made nothing of it before.
   void note_taken(const Call& call) {
-    const auto found = call.faulted_at ? servers_.find(*call.faulted_at) : servers_.end();
-    if (found == servers_.end() || call.faulted_at == call.out) return;
+    const auto found = call.faulted_server ? servers_.find(*call.faulted_server) : servers_.end();
+    if (found == servers_.end() || call.faulted_server == call.in_flight_at) return;
     Server& server = found->second;
     server.failed.add(now_);
     const double failed = server.failed.count(now_);
@@ -510,7 +510,7 @@
   // own.
   Duration part_waited(CallId id, Duration waited) const {
     const auto call = calls_.find(id);
-    return call == calls_.end() ? Duration{0} : waited / call->second.out_with_it;
+    return call == calls_.end() ? Duration{0} : waited / call->second.in_flight_at_send;
   }
 
   // One rise for a set-up just late, one more for each doubling of its wait: a long line must be worked off
@@ -595,7 +595,7 @@
   // When the next set-up may go to the server.
   Time opens_at(const Server& server) const {
     const bool no_line = server.free_lines && *server.free_lines <= 0;
-    return std::max({server.gap.opens(cold_gap(server)), server.shunned_until, server.closed_until,
+    return std::max({server.gap.opens_at(cold_gap(server)), server.shunned_until, server.closed_until,
                      no_line ? server.told_at + kNoLinePause : Time{0}});
   }
 
@@ -605,14 +605,14 @@
 
   // A number without a free line gets a gap of its own, so that its calls do not use up the processors.
   void crowd(const Call& call) {
-    if (call.asked.number_key == 0) return;
-    Gap& number = numbers_[call.asked.number_key];
+    if (call.request.number_key == 0) return;
+    Gap& number = numbers_[call.request.number_key];
     number.raise();
     number.last_sent = now_;
   }
 
   Gap* crowded(const Call& call) {
-    const auto found = numbers_.find(call.asked.number_key);
+    const auto found = numbers_.find(call.request.number_key);
     return found == numbers_.end() ? nullptr : &found->second;
   }
 
@@ -693,9 +693,9 @@
   bool open_to(const Call& call, const Server& server) const {
     if (!server.usable() || now_ < server.shunned_until) return false;
     if (settings_.own_server_number >= 0 && server.entry.number == settings_.own_server_number) return false;
-    if (server.entry.number == call.asked.first_choice) return true;
+    if (server.entry.number == call.request.first_choice) return true;
     const auto& pools = class_of(call).pools;
-    return !call.asked.forwarded &&
+    return !call.request.forwarded &&
            (pools.empty() || std::find(pools.begin(), pools.end(), server.entry.number) != pools.end());
   }
 
@@ -703,9 +703,9 @@
   // second server can tell, and one that fails sound calls would fail it again. Behind the others' gaps it
   // does not wait for long, for then most that were failed once would be failed by the wait.
   bool left_out(const Call& call, const ServerId& id) const {
-    return call.faulted_at == id && std::any_of(servers_.begin(), servers_.end(), [&](const auto& other) {
+    return call.faulted_server == id && std::any_of(servers_.begin(), servers_.end(), [&](const auto& other) {
              return other.first != id && open_to(call, other.second) &&
-                    (now_ < call.elsewhere_until || open_now(other.second));
+                    (now_ < call.avoid_faulted_until || open_now(other.second));
            });
   }
 
@@ -716,7 +716,7 @@
     std::vector<Server*> calm, busy;
     for (auto& [id, server] : servers_) {
       if (!open_to(call, server) || left_out(call, id)) continue;
-      if (server.entry.number == call.asked.first_choice && !first) {
+      if (server.entry.number == call.request.first_choice && !first) {
         first = &server;
       } else if (open_now(server)) {
         (pressed(server) ? busy : calm).push_back(&server);
@@ -743,10 +743,12 @@
   // ---- Holding and sending
 
   const CallClass& class_of(const Call& call) const {
-    return settings_.classes[std::min<std::size_t>(call.asked.call_class, settings_.classes.size() - 1)];
+    return settings_.classes[std::min<std::size_t>(call.request.call_class, settings_.classes.size() - 1)];
   }
 
-  Time refuse_at(const Call& call) const { return call.leaves - kAnswerMarginQuanta * settings_.quantum; }
+  Time refuse_at(const Call& call) const {
+    return call.abandoned_at - kAnswerMarginQuanta * settings_.quantum;
+  }
 
   // A set-up that is out for too long is pressure while it is: the server is slow, stands still or is gone.
   // One whose answer got lost is called off, so that the call may be sent again.
@@ -765,9 +767,9 @@
     const auto found = calls_.find(id);
     if (found == calls_.end() || !settings_.may_cancel) return;
     Call& call = found->second;
-    if (call.answered || call.called_off || !class_of(call).repeatable) return;
+    if (call.answered || call.cancel_sent || !class_of(call).repeatable) return;
     if (call.attempts >= settings_.attempts_cap || now_ + settings_.release_guard >= refuse_at(call)) return;
-    call.called_off = true;
+    call.cancel_sent = true;
     add(CancelAttempt{id, call.attempts - 1});
   }
 
@@ -777,7 +779,7 @@
     const bool late = now_ + late_after() > call.first_try + c.aim;
     const double share = call.over_share ? settings_.over_share_worth : 1.0;
     return c.worth * share * (late ? c.late_worth : 1.0) *
-           (numbers_.count(call.asked.number_key) ? kBusyNumberWorth : 1.0);
+           (numbers_.count(call.request.number_key) ? kBusyNumberWorth : 1.0);
   }
 
   // A call that is held, as one look at all of them leaves it.
@@ -786,8 +788,8 @@
     Call* call;
     bool tried = false;
     bool before(const Held& other) const {
-      return std::tuple(other.worth, other.call->arrived, call->asked.call) <
-             std::tuple(worth, call->arrived, other.call->asked.call);
+      return std::tuple(other.worth, other.call->arrived, call->request.call) <
+             std::tuple(worth, call->arrived, other.call->request.call);
     }
   };
 
@@ -806,7 +808,7 @@
     std::vector<Held> held;
     std::vector<CallId> late;
     for (auto& [id, call] : calls_) {
-      if (call.answered || call.out) continue;
+      if (call.answered || call.in_flight_at) continue;
       if (now_ >= refuse_at(call)) {
         late.push_back(id);
       } else {
@@ -825,7 +827,7 @@
   // When the call may be sent at all.
   Time ready_at(const Call& call) {
     const Gap* const number = crowded(call);
-    return std::max(call.not_before, number ? number->opens() : call.not_before);
+    return std::max(call.not_before, number ? number->opens_at() : call.not_before);
   }
 
   // Sends what may go and refuses what has waited too long. Where no server is open none of the held calls is
@@ -854,10 +856,10 @@
     }
     bool waiting = false;
     for (const Held& each : held) {
-      if (each.call->out) continue;
+      if (each.call->in_flight_at) continue;
       const Time ready = ready_at(*each.call);
       if (now_ < ready) want(ready);
-      if (now_ < each.call->elsewhere_until) want(each.call->elsewhere_until);
+      if (now_ < each.call->avoid_faulted_until) want(each.call->avoid_faulted_until);
       waiting |= now_ >= ready;
     }
     for (const auto& [id, server] : servers_) {
@@ -869,22 +871,22 @@
 
   // What route() looks at is the same for both, so that no server is open for either or one is for both.
   bool alike(const Call& a, const Call& b) const {
-    return a.asked.call_class == b.asked.call_class && a.asked.first_choice == b.asked.first_choice &&
-           a.asked.forwarded == b.asked.forwarded && a.faulted_at == b.faulted_at &&
-           (now_ < a.elsewhere_until) == (now_ < b.elsewhere_until);
+    return a.request.call_class == b.request.call_class && a.request.first_choice == b.request.first_choice &&
+           a.request.forwarded == b.request.forwarded && a.faulted_server == b.faulted_server &&
+           (now_ < a.avoid_faulted_until) == (now_ < b.avoid_faulted_until);
   }
 
   void send(Call& call, Server& server) {
-    server.gap.sent(now_);
-    if (Gap* const number = crowded(call)) number->sent(now_);
+    server.gap.note_sent(now_);
+    if (Gap* const number = crowded(call)) number->note_sent(now_);
     if (server.free_lines) *server.free_lines -= settings_.instances;  // the others are sending too
-    server.out[call.asked.call] = now_;
+    server.out[call.request.call] = now_;
     call.sent_at = now_;
-    call.called_off = false;
-    call.out_with_it = static_cast<int>(server.out.size());
-    call.out = server.entry.id;
+    call.cancel_sent = false;
+    call.in_flight_at_send = static_cast<int>(server.out.size());
+    call.in_flight_at = server.entry.id;
     ++call.attempts;
-    add(SendSetup{call.asked.call, server.entry.id, {}});
+    add(SendSetup{call.request.call, server.entry.id, {}});
   }
 
   // When to come back: as soon as a server that the call may go to opens, by what is known now.
@@ -930,8 +932,8 @@
   };
   Fleet fleet_;  // the usable servers, those that told their lines, and these lines
   Time forgot_at_{};
-  Fading arrivals_;
-  std::map<int, Fading> named_;  // calls, by the number of their first choice
+  DecayingCount arrivals_;
+  std::map<int, DecayingCount> named_;  // calls, by the number of their first choice
   struct TokenBucket {
     double tokens = 0;
     std::optional<Time> at{};
