--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -180,28 +180,29 @@
   ServerEntry entry;
   bool listed = true;
   Gap gap{};
-  std::optional<Time> pressed_at{};
-  Duration delay{};                // of the last set-up that stood
-  Time delay_known = Time::min();  // and when it stood
-  Duration wait{};                 // at its processor, as last reported
-  Time wait_told_at{};
-  std::optional<double> utilisation{};  // as last reported
-  std::map<CallId, Time> out{};         // attempts out, by their send
-  std::optional<Time> raised_at{};      // the gap's last rise
-  Time closed_until{};                  // a full processor works off its wait
-  double lines = 0;                     // as told; 0: not told
-  std::optional<double> free_share{};   // of its lines, as told
-  std::optional<double> free_lines{};   // as last told, less what was sent there since
-  Time told_at{};
-  Time shunned_until{};
-  Duration shun{};
-  Time down_at = Time::min();       // last out of reach, or a set-up cut
-  Time answered_to = Time::min();   // when the latest of the set-ups that were answered had been sent
-  bool overdue_told = false;        // to the staff
-  DecayingCount stood{}, failed{};  // set-ups that stood, and such as it made nothing of and another took
+  std::optional<Time> degraded_at{};
+  Duration delay{};                   // of the last set-up that stood
+  Time delay_known_at = Time::min();  // and when it stood
+  Duration queue_wait{};              // at its processor, as last reported
+  Time wait_reported_at{};
+  std::optional<double> utilisation{};      // as last reported
+  std::map<CallId, Time> in_flight{};       // attempts out, by their send
+  std::optional<Time> raised_at{};          // the gap's last rise
+  Time paused_until{};                      // a full processor works off its wait
+  double lines = 0;                         // as told; 0: not told
+  std::optional<double> free_line_share{};  // of its lines, as told
+  std::optional<double> free_lines{};       // as last told, less what was sent there since
+  Time lines_reported_at{};
+  Time backoff_until{};
+  Duration backoff{};
+  Time down_at = Time::min();               // last out of reach, or a set-up cut
+  Time latest_answered_send = Time::min();  // when the latest of the set-ups that were answered had been sent
+  bool overdue_logged = false;              // to the staff
+  DecayingCount established{},
+      failed{};  // set-ups that stood, and such as it made nothing of and another took
 
   bool usable() const { return listed && entry.availability == Availability::ready; }
-  bool pressed(Time now) const { return pressed_at && now - *pressed_at < kDegradedFor; }
+  bool degraded(Time now) const { return degraded_at && now - *degraded_at < kDegradedFor; }
 };
 
 }  // namespace
@@ -260,7 +261,8 @@
       server.listed = entry.availability != Availability::gone;
       if (restarted) begin_gap(server);
     }
-    std::erase_if(servers_, [](const auto& item) { return !item.second.listed && item.second.out.empty(); });
+    std::erase_if(servers_,
+                  [](const auto& item) { return !item.second.listed && item.second.in_flight.empty(); });
   }
 
   void on(const DiscoveryFailed&) { subscribed_ = false; }
@@ -330,32 +332,33 @@
     call.answered = true;
   }
 
-  void on(const CallEstablished& stood) {
-    const auto call = calls_.find(stood.call);
-    if (call == calls_.end() || call->second.in_flight_at != stood.server) return;
+  void on(const CallEstablished& established) {
+    const auto call = calls_.find(established.call);
+    if (call == calls_.end() || call->second.in_flight_at != established.server) return;
     const Time sent = call->second.sent_at;
-    const Duration waited = part_waited(stood.call, stood.delay);
+    const Duration waited = part_waited(established.call, established.delay);
     if (Gap* const number = crowded(call->second)) {
       number->lower(kEaseOnFreeLine);
       if (number->width == Duration{0}) numbers_.erase(call->second.request.number_key);
     }
     note_taken(call->second);
     calls_.erase(call);
-    const auto found = servers_.find(stood.server);
+    const auto found = servers_.find(established.server);
     if (found == servers_.end()) return;  // left the list meanwhile
     Server& server = found->second;
-    if (server.out.erase(stood.call) == 0) return;  // it went to the process that ran there before
-    server.stood.add(now_);
+    if (server.in_flight.erase(established.call) == 0)
+      return;  // it went to the process that ran there before
+    server.established.add(now_);
     const bool late_by_itself = overtaken(server, sent);
-    server.answered_to = std::max(server.answered_to, sent);
+    server.latest_answered_send = std::max(server.latest_answered_send, sent);
     if (late_by_itself) return;  // the way back took long, not the processor
-    server.delay = stood.delay;
-    server.delay_known = now_;
-    server.shun = Duration{0};
-    server.shunned_until = Time{0};
+    server.delay = established.delay;
+    server.delay_known_at = now_;
+    server.backoff = Duration{0};
+    server.backoff_until = Time{0};
     if (before_rise(server, sent)) return;
-    if (stood.delay > late_after()) {
-      raise(server, "set-up stood late", waited, rises_for(stood.delay));
+    if (established.delay > late_after()) {
+      raise(server, "set-up stood late", waited, rises_for(established.delay));
     } else {
       ease(server, std::min(spare_share(server), spare_by_delay(server)));
     }
@@ -371,9 +374,9 @@
     if (const auto server = servers_.find(ended.server); server != servers_.end()) {
       note_report(server->second, ended.report);
       if (ended.ending == Ending::completed) note_spare(server->second, ended.report);
-      const auto sent = server->second.out.find(ended.call);
-      if (sent != server->second.out.end()) note_ending(server->second, ended, sent->second);
-      server->second.out.erase(ended.call);
+      const auto sent = server->second.in_flight.find(ended.call);
+      if (sent != server->second.in_flight.end()) note_ending(server->second, ended, sent->second);
+      server->second.in_flight.erase(ended.call);
     }
     const auto found = calls_.find(ended.call);
     if (found == calls_.end() || found->second.in_flight_at != ended.server) return;
@@ -416,7 +419,7 @@
     Server& server = found->second;
     server.failed.add(now_);
     const double failed = server.failed.count(now_);
-    if (failed > 1 && failed > kFailingShare * (failed + server.stood.count(now_)))
+    if (failed > 1 && failed > kFailingShare * (failed + server.established.count(now_)))
       press(server, "fails what another takes");
   }
 
@@ -431,7 +434,7 @@
 
   void note_ending(Server& server, const AttemptEnded& ended, Time sent) {
     if (ended.ending == Ending::full || ended.ending == Ending::fault)
-      server.answered_to = std::max(server.answered_to, sent);
+      server.latest_answered_send = std::max(server.latest_answered_send, sent);
     if (ended.ending == Ending::full)
       raise(server, ended.cause == Cause::no_circuit ? "no line free" : "processor full");
     // What failed on the way tells nothing of the server's load or health.
@@ -443,23 +446,23 @@
             seldom_seen(server) ? kRisesPerTimeout : 1);
     }
     if (ended.cause == Cause::processor_full)
-      server.closed_until =
+      server.paused_until =
           now_ + std::max(holding_aim(), scaled(usual_spacing(server), kProcessorFullPause));
   }
 
   void note_report(Server& server, const LoadReport& report) {
     if (report.free_circuits && std::isfinite(*report.free_circuits)) {
       server.free_lines = *report.free_circuits;
-      server.told_at = now_;
+      server.lines_reported_at = now_;
       const double lines = report.circuits.value_or(0);
       server.lines = std::isfinite(lines) ? std::clamp(lines, 0.0, kMaxLines) : 0.0;
-      server.free_share = std::nullopt;
-      if (server.lines > 0) server.free_share = clamped_share(*report.free_circuits / server.lines);
+      server.free_line_share = std::nullopt;
+      if (server.lines > 0) server.free_line_share = clamped_share(*report.free_circuits / server.lines);
     }
     if (report.utilisation) server.utilisation = clamped_share(*report.utilisation);
     if (const auto wait = reported_wait(server, report)) {
-      server.wait = *wait;
-      server.wait_told_at = now_;
+      server.queue_wait = *wait;
+      server.wait_reported_at = now_;
       if (*wait > late_after()) press(server, "long wait reported");
     }
   }
@@ -526,8 +529,8 @@
 
   // A sign of pressure; the first of a spell is told to the staff.
   void press(Server& server, const char* cause) {
-    if (!server.pressed(now_)) log(server, cause);
-    server.pressed_at = now_;
+    if (!server.degraded(now_)) log(server, cause);
+    server.degraded_at = now_;
   }
 
   void log(const Server& server, const std::string& what) {
@@ -540,19 +543,19 @@
 
   double spare_share(const Server& server) const {
     const double told = clamped_share(1 - ratio(wait_now(server), late_after()));
-    return std::min({told, 1 - server.utilisation.value_or(0), server.free_share.value_or(1)});
+    return std::min({told, 1 - server.utilisation.value_or(0), server.free_line_share.value_or(1)});
   }
 
   // Where servers tell nothing of their processors it goes by the aim, as in the source.
   double spare_by_delay(const Server& server) const {
-    if (server.delay_known == Time::min() || now_ - server.delay_known > kDelayValidFor)
+    if (server.delay_known_at == Time::min() || now_ - server.delay_known_at > kDelayValidFor)
       return kDefaultSpareShare;
     return clamped_share(1 - ratio(server.delay, settings_.load_reported ? late_after() : holding_aim()));
   }
 
   // A reported wait is worked off as time goes by; one that was not is told again.
   Duration wait_now(const Server& server) const {
-    return std::max(server.wait - (now_ - server.wait_told_at), Duration{0});
+    return std::max(server.queue_wait - (now_ - server.wait_reported_at), Duration{0});
   }
 
   Duration late_after() const {
@@ -563,15 +566,16 @@
 
   // Its answer got lost: of what was sent a while later the server has answered something.
   bool overtaken(const Server& server, Time sent) const {
-    return sent + scaled(late_after(), kOvertakenShare) < server.answered_to;
+    return sent + scaled(late_after(), kOvertakenShare) < server.latest_answered_send;
   }
 
   // How many set-ups out are late: the server is slow or silent. One whose answer got lost tells nothing of
   // it.
   int overdue(const Server& server) const {
-    return static_cast<int>(std::count_if(server.out.begin(), server.out.end(), [&](const auto& sent) {
-      return now_ - sent.second > late_after() && !overtaken(server, sent.second);
-    }));
+    return static_cast<int>(
+        std::count_if(server.in_flight.begin(), server.in_flight.end(), [&](const auto& sent) {
+          return now_ - sent.second > late_after() && !overtaken(server, sent.second);
+        }));
   }
 
   // While the server owes answers nothing more goes there, but for one set-up now and then, after waits that
@@ -580,11 +584,11 @@
     const int late = overdue(server);
     if (late == 0) return Time::min();
     Time newest{0};
-    for (const auto& [id, sent] : server.out) newest = std::max(newest, sent);
+    for (const auto& [id, sent] : server.in_flight) newest = std::max(newest, sent);
     return newest + scaled(late_after(), std::exp2(std::min(late, kMaxDoublings)));
   }
 
-  bool pressed(const Server& server) const { return server.pressed(now_) || overdue(server) > 0; }
+  bool pressed(const Server& server) const { return server.degraded(now_) || overdue(server) > 0; }
 
   Duration holding_aim() const {
     Duration aim = settings_.classes.front().aim;
@@ -595,8 +599,8 @@
   // When the next set-up may go to the server.
   Time opens_at(const Server& server) const {
     const bool no_line = server.free_lines && *server.free_lines <= 0;
-    return std::max({server.gap.opens_at(cold_gap(server)), server.shunned_until, server.closed_until,
-                     no_line ? server.told_at + kNoLinePause : Time{0}});
+    return std::max({server.gap.opens_at(cold_gap(server)), server.backoff_until, server.paused_until,
+                     no_line ? server.lines_reported_at + kNoLinePause : Time{0}});
   }
 
   bool open_now(const Server& server) const {
@@ -619,8 +623,8 @@
   // ---- Guards
 
   void shun(Server& server, const char* cause) {
-    server.shun = std::clamp(server.shun * 2, kMinBackoff, kMaxBackoff);
-    server.shunned_until = now_ + server.shun;
+    server.backoff = std::clamp(server.backoff * 2, kMinBackoff, kMaxBackoff);
+    server.backoff_until = now_ + server.backoff;
     press(server, cause);
     if (!seldom_seen(server)) return;
     server.down_at = now_;
@@ -683,15 +687,15 @@
   bool window_full(const Server& server) const {
     const Duration span = std::max(settings_.resend, scaled(holding_aim(), kWindowShareOfAim));
     const double window = kWindowAllowance + fair_rate(server) * ratio(span, seconds(1));
-    const auto lost = std::count_if(server.out.begin(), server.out.end(),
+    const auto lost = std::count_if(server.in_flight.begin(), server.in_flight.end(),
                                     [&](const auto& sent) { return overtaken(server, sent.second); });
-    return static_cast<double>(server.out.size()) - static_cast<double>(lost) >= window;
+    return static_cast<double>(server.in_flight.size()) - static_cast<double>(lost) >= window;
   }
 
   // ---- Route
 
   bool open_to(const Call& call, const Server& server) const {
-    if (!server.usable() || now_ < server.shunned_until) return false;
+    if (!server.usable() || now_ < server.backoff_until) return false;
     if (settings_.own_server_number >= 0 && server.entry.number == settings_.own_server_number) return false;
     if (server.entry.number == call.request.first_choice) return true;
     const auto& pools = class_of(call).pools;
@@ -734,7 +738,7 @@
     Server* const second = others[1 + random_() % (others.size() - 1)];
     // A slowed server has few out since little is sent there: where it tells nothing its delay goes first.
     const auto waiting = [this](const Server& s) {
-      return std::tuple(settings_.load_reported ? 0 : 1 - spare_by_delay(s), s.out.size(),
+      return std::tuple(settings_.load_reported ? 0 : 1 - spare_by_delay(s), s.in_flight.size(),
                         std::max(s.delay, wait_now(s)));
     };
     return waiting(*second) < waiting(*others.front()) ? second : others.front();
@@ -755,9 +759,9 @@
   void look_at_out() {
     for (auto& [id, server] : servers_) {
       const bool late = overdue(server) > 0;
-      if (late && !server.overdue_told && !server.pressed(now_)) log(server, "no answer in time");
-      server.overdue_told = late;
-      for (const auto& [call, sent] : server.out) {
+      if (late && !server.overdue_logged && !server.degraded(now_)) log(server, "no answer in time");
+      server.overdue_logged = late;
+      for (const auto& [call, sent] : server.in_flight) {
         if (overtaken(server, sent) && now_ - sent > kLostAfterLateTimes * late_after()) call_off_lost(call);
       }
     }
@@ -838,7 +842,7 @@
     std::optional<Time> next;
     const auto want = [&next](Time at) { next = std::min(next.value_or(at), at); };
     for (const auto& [id, server] : servers_) {
-      for (const auto& [call, sent] : server.out) {
+      for (const auto& [call, sent] : server.in_flight) {
         if (const Time lost = sent + kLostAfterLateTimes * late_after(); lost > now_)
           want(lost + Duration{1});
       }
@@ -880,10 +884,10 @@
     server.gap.note_sent(now_);
     if (Gap* const number = crowded(call)) number->note_sent(now_);
     if (server.free_lines) *server.free_lines -= settings_.instances;  // the others are sending too
-    server.out[call.request.call] = now_;
+    server.in_flight[call.request.call] = now_;
     call.sent_at = now_;
     call.cancel_sent = false;
-    call.in_flight_at_send = static_cast<int>(server.out.size());
+    call.in_flight_at_send = static_cast<int>(server.in_flight.size());
     call.in_flight_at = server.entry.id;
     ++call.attempts;
     add(SendSetup{call.request.call, server.entry.id, {}});
