--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -213,36 +213,37 @@
     settings_.instances = std::max(settings_.instances, 1u);
     settings_.attempts_cap = std::max(settings_.attempts_cap, 1u);
     if (settings_.classes.empty()) settings_.classes.emplace_back();
-    began_ = now;
+    started_at_ = now;
   }
 
   std::vector<Action> handle(Time now, const Event& event) {
     now_ = now;
     if (settings_.must_subscribe && !subscribed_) subscribe();
-    if (now_ - forgot_at_ > kRateTimeConstant) forget();
+    if (now_ - pruned_at_ > kRateTimeConstant) prune();
     std::visit([this](const auto& e) { on(e); }, event);
-    count_lines();
+    update_fleet_totals();
     dispatch();
     return std::exchange(actions_, {});
   }
 
  private:
   // What has been quiet for long is forgotten, so that numbers dialled once do not pile up.
-  void forget() {
-    forgot_at_ = now_;
-    std::erase_if(numbers_, [this](const auto& item) {
+  void prune() {
+    pruned_at_ = now_;
+    std::erase_if(busy_numbers_, [this](const auto& item) {
       return now_ - item.second.last_sent.value_or(now_) > std::max(item.second.width, kRateTimeConstant);
     });
     std::erase_if(unserved_, [this](const auto& item) { return now_ - item.second > kRateTimeConstant; });
-    std::erase_if(named_, [this](const auto& item) { return item.second.count(now_) < kNegligibleCount; });
+    std::erase_if(first_choices_,
+                  [this](const auto& item) { return item.second.count(now_) < kNegligibleCount; });
   }
 
-  void count_lines() {
+  void update_fleet_totals() {
     fleet_ = {};
     for (const auto& [id, server] : servers_) {
       if (!server.usable()) continue;
       fleet_.usable += 1;
-      fleet_.told += server.lines > 0 ? 1 : 0;
+      fleet_.reporting += server.lines > 0 ? 1 : 0;
       fleet_.lines += server.lines;
     }
   }
@@ -259,7 +260,7 @@
       if (restarted) server = Server{};  // another process: nothing known holds
       server.entry = entry;
       server.listed = entry.availability != Availability::gone;
-      if (restarted) begin_gap(server);
+      if (restarted) stagger_gap(server);
     }
     std::erase_if(servers_,
                   [](const auto& item) { return !item.second.listed && item.second.in_flight.empty(); });
@@ -269,7 +270,7 @@
 
   void subscribe() {
     subscribed_ = true;
-    add(Subscribe{});
+    emit(Subscribe{});
   }
 
   // ---- Calls
@@ -283,8 +284,8 @@
     call.over_share = over_share(request.tenant);
     calls_.insert_or_assign(request.call, call);
     // A flood to one number says nothing of what the server it names was planned for.
-    if (!crowded(call)) {
-      named_[request.first_choice].add(now_);
+    if (!number_limit(call)) {
+      first_choices_[request.first_choice].add(now_);
       arrivals_.add(now_);
     }
   }
@@ -297,7 +298,7 @@
     return !found.empty() && now_ - found.mapped() < class_of(call).deadline ? found.mapped() : now_;
   }
 
-  void note_unserved(const Call& call) {
+  void remember_unserved(const Call& call) {
     if (call.request.number_key != 0 && unserved_.size() < kMaxUnserved)
       unserved_[call.request.number_key] = call.first_try;
   }
@@ -306,7 +307,7 @@
   bool over_share(unsigned tenant) {
     if (tenant >= settings_.tenants.size() || !(settings_.tenants[tenant].quota > 0)) return false;
     const double rate = settings_.tenants[tenant].quota / settings_.instances;
-    TokenBucket& bucket = buckets_[tenant];
+    TokenBucket& bucket = tenant_buckets_[tenant];
     const double most = std::max(rate * ratio(kTenantBurst, seconds(1)), 1.0);
     const double due = bucket.at ? rate * ratio(now_ - *bucket.at, seconds(1)) : most;
     bucket.tokens = std::min(most, bucket.tokens + due);
@@ -316,18 +317,18 @@
     return false;
   }
 
-  void on(const CallCancelled& gone) {
-    const auto found = calls_.find(gone.call);
+  void on(const CallCancelled& cancelled) {
+    const auto found = calls_.find(cancelled.call);
     if (found == calls_.end()) return;
-    if (!found->second.answered) note_unserved(found->second);
-    answer_over(found->second);
+    if (!found->second.answered) remember_unserved(found->second);
+    stop_call(found->second);
     if (!found->second.in_flight_at) calls_.erase(found);
   }
 
   // Nobody waits any more: an attempt still out is called off, so that the server need not work on it.
-  void answer_over(Call& call) {
+  void stop_call(Call& call) {
     if (!call.answered && call.in_flight_at && settings_.may_cancel) {
-      add(CancelAttempt{call.request.call, call.attempts - 1});
+      emit(CancelAttempt{call.request.call, call.attempts - 1});
     }
     call.answered = true;
   }
@@ -336,12 +337,12 @@
     const auto call = calls_.find(established.call);
     if (call == calls_.end() || call->second.in_flight_at != established.server) return;
     const Time sent = call->second.sent_at;
-    const Duration waited = part_waited(established.call, established.delay);
-    if (Gap* const number = crowded(call->second)) {
+    const Duration waited = wait_per_setup(established.call, established.delay);
+    if (Gap* const number = number_limit(call->second)) {
       number->lower(kEaseOnFreeLine);
-      if (number->width == Duration{0}) numbers_.erase(call->second.request.number_key);
+      if (number->width == Duration{0}) busy_numbers_.erase(call->second.request.number_key);
     }
-    note_taken(call->second);
+    note_established_after_fault(call->second);
     calls_.erase(call);
     const auto found = servers_.find(established.server);
     if (found == servers_.end()) return;  // left the list meanwhile
@@ -356,16 +357,16 @@
     server.delay_known_at = now_;
     server.backoff = Duration{0};
     server.backoff_until = Time{0};
-    if (before_rise(server, sent)) return;
-    if (established.delay > late_after()) {
-      raise(server, "set-up stood late", waited, rises_for(established.delay));
+    if (sent_before_rise(server, sent)) return;
+    if (established.delay > late_threshold()) {
+      raise_gap(server, "set-up stood late", waited, rises_for(established.delay));
     } else {
-      ease(server, std::min(spare_share(server), spare_by_delay(server)));
+      lower_gap(server, std::min(spare_share(server), spare_by_delay(server)));
     }
   }
 
   // A cold server's gap outlasts its cold time and shrinks then.
-  void ease(Server& server, double spare) {
+  void lower_gap(Server& server, double spare) {
     server.gap.lower(spare);
     server.gap.width = std::max(server.gap.width, cold_gap(server));
   }
@@ -373,9 +374,9 @@
   void on(const AttemptEnded& ended) {
     if (const auto server = servers_.find(ended.server); server != servers_.end()) {
       note_report(server->second, ended.report);
-      if (ended.ending == Ending::completed) note_spare(server->second, ended.report);
+      if (ended.ending == Ending::completed) lower_gap_by_report(server->second, ended.report);
       const auto sent = server->second.in_flight.find(ended.call);
-      if (sent != server->second.in_flight.end()) note_ending(server->second, ended, sent->second);
+      if (sent != server->second.in_flight.end()) note_attempt_end(server->second, ended, sent->second);
       server->second.in_flight.erase(ended.call);
     }
     const auto found = calls_.find(ended.call);
@@ -392,9 +393,9 @@
     const bool guarded = ended.ending == Ending::timed_out || ended.ending == Ending::reset ||
                          ended.ending == Ending::cancelled;
     if (guarded) call.not_before = now_ + settings_.release_guard;
-    if (ended.cause == Cause::number_busy) crowd(call);
+    if (ended.cause == Cause::number_busy) limit_number(call);
     if (ended.ending == Ending::fault && ended.cause == Cause::none) note_fault(call, ended.server);
-    if (!may_go_on(call, ended)) finish(ended.call);
+    if (!may_retry(call, ended)) refuse_or_fail(ended.call);
   }
 
   // A server turned away what it could make nothing of. Such calls come in floods from broken callers: they
@@ -406,24 +407,24 @@
     // Said again by the same server while others are there, it is no second opinion.
     const bool repeated = call.faulted_server == at && fleet_.usable > 1;
     call.faulted_server = at;
-    call.avoid_faulted_until = now_ + late_after();
-    if (repeated || ++call.faults > 1 || crowded(call)) return;
+    call.avoid_faulted_until = now_ + late_threshold();
+    if (repeated || ++call.faults > 1 || number_limit(call)) return;
     arrivals_.remove(call.arrived, now_);
-    named_[call.request.first_choice].remove(call.arrived, now_);
+    first_choices_[call.request.first_choice].remove(call.arrived, now_);
   }
 
   // The call stands: it was not its own fault that a server made nothing of it before.
-  void note_taken(const Call& call) {
+  void note_established_after_fault(const Call& call) {
     const auto found = call.faulted_server ? servers_.find(*call.faulted_server) : servers_.end();
     if (found == servers_.end() || call.faulted_server == call.in_flight_at) return;
     Server& server = found->second;
     server.failed.add(now_);
     const double failed = server.failed.count(now_);
     if (failed > 1 && failed > kFailingShare * (failed + server.established.count(now_)))
-      press(server, "fails what another takes");
+      mark_degraded(server, "fails what another takes");
   }
 
-  bool may_go_on(const Call& call, const AttemptEnded& ended) const {
+  bool may_retry(const Call& call, const AttemptEnded& ended) const {
     if (call.faults >= kMaxFaults) return false;
     if (ended.ending == Ending::completed || ended.ending == Ending::not_sent) return false;
     if (ended.cause == Cause::number_busy) return false;  // another server has no more lines of that number
@@ -432,22 +433,22 @@
     return call.not_before < refuse_at(call);
   }
 
-  void note_ending(Server& server, const AttemptEnded& ended, Time sent) {
+  void note_attempt_end(Server& server, const AttemptEnded& ended, Time sent) {
     if (ended.ending == Ending::full || ended.ending == Ending::fault)
       server.latest_answered_send = std::max(server.latest_answered_send, sent);
     if (ended.ending == Ending::full)
-      raise(server, ended.cause == Cause::no_circuit ? "no line free" : "processor full");
+      raise_gap(server, ended.cause == Cause::no_circuit ? "no line free" : "processor full");
     // What failed on the way tells nothing of the server's load or health.
     if (ended.cause == Cause::connection_lost) return;
-    if (ended.ending == Ending::not_connected) shun(server, "out of reach");
-    if (ended.ending == Ending::reset) shun(server, "set-up cut");
-    if (ended.ending == Ending::timed_out && !before_rise(server, sent) && !overtaken(server, sent)) {
-      raise(server, "set-up timed out", part_waited(ended.call, ended.delay),
-            seldom_seen(server) ? kRisesPerTimeout : 1);
+    if (ended.ending == Ending::not_connected) back_off(server, "out of reach");
+    if (ended.ending == Ending::reset) back_off(server, "set-up cut");
+    if (ended.ending == Ending::timed_out && !sent_before_rise(server, sent) && !overtaken(server, sent)) {
+      raise_gap(server, "set-up timed out", wait_per_setup(ended.call, ended.delay),
+                rarely_used(server) ? kRisesPerTimeout : 1);
     }
     if (ended.cause == Cause::processor_full)
       server.paused_until =
-          now_ + std::max(holding_aim(), scaled(usual_spacing(server), kProcessorFullPause));
+          now_ + std::max(shortest_aim(), scaled(usual_spacing(server), kProcessorFullPause));
   }
 
   void note_report(Server& server, const LoadReport& report) {
@@ -460,24 +461,24 @@
       if (server.lines > 0) server.free_line_share = clamped_share(*report.free_circuits / server.lines);
     }
     if (report.utilisation) server.utilisation = clamped_share(*report.utilisation);
-    if (const auto wait = reported_wait(server, report)) {
+    if (const auto wait = wait_from_report(server, report)) {
       server.queue_wait = *wait;
       server.wait_reported_at = now_;
-      if (*wait > late_after()) press(server, "long wait reported");
+      if (*wait > late_threshold()) mark_degraded(server, "long wait reported");
     }
   }
 
   // A call that ends brings a report as one that stands does: where it tells of the processor, it cuts the
   // gap too. What may be older than the last rise is left.
-  void note_spare(Server& server, const LoadReport& report) {
+  void lower_gap_by_report(Server& server, const LoadReport& report) {
     const bool tells = report.wait_ms || report.queued || report.utilisation;
-    if (tells && (!server.raised_at || now_ - *server.raised_at > holding_aim()))
-      ease(server, spare_share(server));
+    if (tells && (!server.raised_at || now_ - *server.raised_at > shortest_aim()))
+      lower_gap(server, spare_share(server));
   }
 
   // The wait at its processor as the server tells it; of the set-ups waiting there each takes as long as all
   // fronts let pass between two, by this front's rate.
-  std::optional<Duration> reported_wait(const Server& server, const LoadReport& report) const {
+  std::optional<Duration> wait_from_report(const Server& server, const LoadReport& report) const {
     if (!report.wait_ms && !report.queued) return std::nullopt;
     const double ms =
         report.wait_ms ? *report.wait_ms : *report.queued * 1000 / (fair_rate(server) * settings_.instances);
@@ -500,18 +501,18 @@
 
   // ---- The gap
 
-  void raise(Server& server, const char* cause, Duration waited = Duration{0}, int rises = 1) {
+  void raise_gap(Server& server, const char* cause, Duration waited = Duration{0}, int rises = 1) {
     server.raised_at = now_;
     const Duration before = server.gap.width;
-    server.gap.raise(waited, rises, seldom_seen(server) ? usual_spacing(server) : Duration{0});
+    server.gap.raise(waited, rises, rarely_used(server) ? usual_spacing(server) : Duration{0});
     const Duration widest = std::max(before, scaled(usual_spacing(server), kMaxGapInSpacings));
     if (settings_.resend == Duration{0}) server.gap.width = std::min(server.gap.width, widest);
-    press(server, cause);
+    mark_degraded(server, cause);
   }
 
   // The gap at which all fronts together would have sent what was in line: a wait, shared by this front's
   // own.
-  Duration part_waited(CallId id, Duration waited) const {
+  Duration wait_per_setup(CallId id, Duration waited) const {
     const auto call = calls_.find(id);
     return call == calls_.end() ? Duration{0} : waited / call->second.in_flight_at_send;
   }
@@ -519,16 +520,16 @@
   // One rise for a set-up just late, one more for each doubling of its wait: a long line must be worked off
   // within some aims, not kept.
   int rises_for(Duration delay) const {
-    return 1 + static_cast<int>(std::log2(std::max(ratio(delay, late_after()), 1.0)));
+    return 1 + static_cast<int>(std::log2(std::max(ratio(delay, late_threshold()), 1.0)));
   }
 
   // What was sent before the last rise tells of the time before it.
-  static bool before_rise(const Server& server, Time sent) {
+  static bool sent_before_rise(const Server& server, Time sent) {
     return server.raised_at && sent < *server.raised_at;
   }
 
   // A sign of pressure; the first of a spell is told to the staff.
-  void press(Server& server, const char* cause) {
+  void mark_degraded(Server& server, const char* cause) {
     if (!server.degraded(now_)) log(server, cause);
     server.degraded_at = now_;
   }
@@ -538,59 +539,60 @@
     for (const auto byte : server.entry.id.address) text += std::to_string(byte) + '.';
     text.back() = ':';
     text += std::to_string(server.entry.id.port) + ": " + what + ", gap ";
-    add(Log{text + std::to_string(server.gap.width / milliseconds(1)) + " ms"});
+    emit(Log{text + std::to_string(server.gap.width / milliseconds(1)) + " ms"});
   }
 
   double spare_share(const Server& server) const {
-    const double told = clamped_share(1 - ratio(wait_now(server), late_after()));
-    return std::min({told, 1 - server.utilisation.value_or(0), server.free_line_share.value_or(1)});
+    const double by_wait = clamped_share(1 - ratio(remaining_wait(server), late_threshold()));
+    return std::min({by_wait, 1 - server.utilisation.value_or(0), server.free_line_share.value_or(1)});
   }
 
   // Where servers tell nothing of their processors it goes by the aim, as in the source.
   double spare_by_delay(const Server& server) const {
     if (server.delay_known_at == Time::min() || now_ - server.delay_known_at > kDelayValidFor)
       return kDefaultSpareShare;
-    return clamped_share(1 - ratio(server.delay, settings_.load_reported ? late_after() : holding_aim()));
+    return clamped_share(1 -
+                         ratio(server.delay, settings_.load_reported ? late_threshold() : shortest_aim()));
   }
 
   // A reported wait is worked off as time goes by; one that was not is told again.
-  Duration wait_now(const Server& server) const {
+  Duration remaining_wait(const Server& server) const {
     return std::max(server.queue_wait - (now_ - server.wait_reported_at), Duration{0});
   }
 
-  Duration late_after() const {
+  Duration late_threshold() const {
     const Duration late = settings_.resend > Duration{0} ? scaled(settings_.resend, kLateShare)
-                                                         : scaled(holding_aim(), kLateShareOfAim);
+                                                         : scaled(shortest_aim(), kLateShareOfAim);
     return std::max(late, kMinAim);
   }
 
   // Its answer got lost: of what was sent a while later the server has answered something.
   bool overtaken(const Server& server, Time sent) const {
-    return sent + scaled(late_after(), kOvertakenShare) < server.latest_answered_send;
+    return sent + scaled(late_threshold(), kOvertakenShare) < server.latest_answered_send;
   }
 
   // How many set-ups out are late: the server is slow or silent. One whose answer got lost tells nothing of
   // it.
-  int overdue(const Server& server) const {
+  int overdue_count(const Server& server) const {
     return static_cast<int>(
         std::count_if(server.in_flight.begin(), server.in_flight.end(), [&](const auto& sent) {
-          return now_ - sent.second > late_after() && !overtaken(server, sent.second);
+          return now_ - sent.second > late_threshold() && !overtaken(server, sent.second);
         }));
   }
 
   // While the server owes answers nothing more goes there, but for one set-up now and then, after waits that
   // double: only the answer to a later one can show that an answer got lost and not that the server is slow.
-  Time owes_until(const Server& server) const {
-    const int late = overdue(server);
+  Time overdue_pause_until(const Server& server) const {
+    const int late = overdue_count(server);
     if (late == 0) return Time::min();
     Time newest{0};
     for (const auto& [id, sent] : server.in_flight) newest = std::max(newest, sent);
-    return newest + scaled(late_after(), std::exp2(std::min(late, kMaxDoublings)));
+    return newest + scaled(late_threshold(), std::exp2(std::min(late, kMaxDoublings)));
   }
 
-  bool pressed(const Server& server) const { return server.degraded(now_) || overdue(server) > 0; }
+  bool degraded(const Server& server) const { return server.degraded(now_) || overdue_count(server) > 0; }
 
-  Duration holding_aim() const {
+  Duration shortest_aim() const {
     Duration aim = settings_.classes.front().aim;
     for (const CallClass& c : settings_.classes) aim = std::min(aim, c.aim);
     return std::max(aim, kMinAim);
@@ -604,31 +606,31 @@
   }
 
   bool open_now(const Server& server) const {
-    return now_ >= std::max(opens_at(server), owes_until(server)) && !window_full(server);
+    return now_ >= std::max(opens_at(server), overdue_pause_until(server)) && !window_full(server);
   }
 
   // A number without a free line gets a gap of its own, so that its calls do not use up the processors.
-  void crowd(const Call& call) {
+  void limit_number(const Call& call) {
     if (call.request.number_key == 0) return;
-    Gap& number = numbers_[call.request.number_key];
+    Gap& number = busy_numbers_[call.request.number_key];
     number.raise();
     number.last_sent = now_;
   }
 
-  Gap* crowded(const Call& call) {
-    const auto found = numbers_.find(call.request.number_key);
-    return found == numbers_.end() ? nullptr : &found->second;
+  Gap* number_limit(const Call& call) {
+    const auto found = busy_numbers_.find(call.request.number_key);
+    return found == busy_numbers_.end() ? nullptr : &found->second;
   }
 
   // ---- Guards
 
-  void shun(Server& server, const char* cause) {
+  void back_off(Server& server, const char* cause) {
     server.backoff = std::clamp(server.backoff * 2, kMinBackoff, kMaxBackoff);
     server.backoff_until = now_ + server.backoff;
-    press(server, cause);
-    if (!seldom_seen(server)) return;
+    mark_degraded(server, cause);
+    if (!rarely_used(server)) return;
     server.down_at = now_;
-    begin_gap(server);
+    stagger_gap(server);
   }
 
   // This front's share of what a cold server can do now, as a gap: a warm server bears what this front sends
@@ -653,7 +655,7 @@
 
   // The fronts hear of a start within moments of one another. Each begins somewhere inside its gap, so that
   // their first set-ups come spread over it and not all together.
-  void begin_gap(Server& server) {
+  void stagger_gap(Server& server) {
     const double phase = static_cast<double>(random_() % 1024) / 1024;
     server.gap.width = std::max(server.gap.width, cold_gap(server));
     if (server.gap.width > Duration{0}) server.gap.last_sent = now_ - scaled(server.gap.width, phase);
@@ -662,30 +664,30 @@
   // A server was planned for the calls that name it, and has lines for them; what names it tells more of its
   // processor. A machine that takes another's place has its number.
   double fair_rate(const Server& server) const {
-    const auto seen = named_.find(server.entry.number);
-    const double named = seen == named_.end() ? 0.0 : seen->second.count(now_);
-    const double by_lines = (kLinesWeight * arrivals_.count(now_) + kAssumedCalls) * lines_share(server);
-    const double watched = ratio(now_ - began_, kRateTimeConstant);
+    const auto seen = first_choices_.find(server.entry.number);
+    const double named = seen == first_choices_.end() ? 0.0 : seen->second.count(now_);
+    const double by_lines = (kLinesWeight * arrivals_.count(now_) + kAssumedCalls) * share_of_lines(server);
+    const double watched = ratio(now_ - started_at_, kRateTimeConstant);
     const double memory = ratio(kRateTimeConstant, seconds(1)) * (1 - std::exp(-watched));
     return ((1 - kLinesWeight) * named + by_lines) / (memory + 1);
   }
 
   // Where a front sends less often than once in an aim, the next answer comes too late to go by small steps.
-  bool seldom_seen(const Server& server) const { return usual_spacing(server) > holding_aim(); }
+  bool rarely_used(const Server& server) const { return usual_spacing(server) > shortest_aim(); }
 
   Duration usual_spacing(const Server& server) const {
     return scaled(seconds(1), 1 / std::max(fair_rate(server), kMinRate));
   }
 
-  double lines_share(const Server& server) const {
+  double share_of_lines(const Server& server) const {
     const double mean = 1 / std::max(fleet_.usable, 1.0);
     if (!(server.lines > 0 && fleet_.lines > 0)) return mean;
-    return std::min(server.lines / fleet_.lines * fleet_.told * mean, 1.0);
+    return std::min(server.lines / fleet_.lines * fleet_.reporting * mean, 1.0);
   }
 
   // As many set-ups may be out as a fair share brings within a part of the aim, and a few for chance.
   bool window_full(const Server& server) const {
-    const Duration span = std::max(settings_.resend, scaled(holding_aim(), kWindowShareOfAim));
+    const Duration span = std::max(settings_.resend, scaled(shortest_aim(), kWindowShareOfAim));
     const double window = kWindowAllowance + fair_rate(server) * ratio(span, seconds(1));
     const auto lost = std::count_if(server.in_flight.begin(), server.in_flight.end(),
                                     [&](const auto& sent) { return overtaken(server, sent.second); });
@@ -706,7 +708,7 @@
   // Whether the server made nothing of this call while another may yet take it: whose fault it is only a
   // second server can tell, and one that fails sound calls would fail it again. Behind the others' gaps it
   // does not wait for long, for then most that were failed once would be failed by the wait.
-  bool left_out(const Call& call, const ServerId& id) const {
+  bool avoids_after_fault(const Call& call, const ServerId& id) const {
     return call.faulted_server == id && std::any_of(servers_.begin(), servers_.end(), [&](const auto& other) {
              return other.first != id && open_to(call, other.second) &&
                     (now_ < call.avoid_faulted_until || open_now(other.second));
@@ -717,29 +719,29 @@
   // where these are pressed too or not open, whichever is open, the first choice before the others.
   Server* route(const Call& call) {
     Server* first = nullptr;
-    std::vector<Server*> calm, busy;
+    std::vector<Server*> healthy, impaired;
     for (auto& [id, server] : servers_) {
-      if (!open_to(call, server) || left_out(call, id)) continue;
+      if (!open_to(call, server) || avoids_after_fault(call, id)) continue;
       if (server.entry.number == call.request.first_choice && !first) {
         first = &server;
       } else if (open_now(server)) {
-        (pressed(server) ? busy : calm).push_back(&server);
+        (degraded(server) ? impaired : healthy).push_back(&server);
       }
     }
-    if (first && !pressed(*first) && opens_at(*first) - now_ < late_after()) return first;
-    if (!calm.empty()) return less_waiting_of_two(calm);
-    if ((first && open_now(*first)) || busy.empty()) return first;
-    return less_waiting_of_two(busy);
+    if (first && !degraded(*first) && opens_at(*first) - now_ < late_threshold()) return first;
+    if (!healthy.empty()) return less_loaded_of_two(healthy);
+    if ((first && open_now(*first)) || impaired.empty()) return first;
+    return less_loaded_of_two(impaired);
   }
 
-  Server* less_waiting_of_two(std::vector<Server*>& others) {
+  Server* less_loaded_of_two(std::vector<Server*>& others) {
     std::swap(others.front(), others[random_() % others.size()]);
     if (others.size() == 1) return others.front();
     Server* const second = others[1 + random_() % (others.size() - 1)];
     // A slowed server has few out since little is sent there: where it tells nothing its delay goes first.
     const auto waiting = [this](const Server& s) {
       return std::tuple(settings_.load_reported ? 0 : 1 - spare_by_delay(s), s.in_flight.size(),
-                        std::max(s.delay, wait_now(s)));
+                        std::max(s.delay, remaining_wait(s)));
     };
     return waiting(*second) < waiting(*others.front()) ? second : others.front();
   }
@@ -756,42 +758,43 @@
 
   // A set-up that is out for too long is pressure while it is: the server is slow, stands still or is gone.
   // One whose answer got lost is called off, so that the call may be sent again.
-  void look_at_out() {
+  void check_in_flight() {
     for (auto& [id, server] : servers_) {
-      const bool late = overdue(server) > 0;
+      const bool late = overdue_count(server) > 0;
       if (late && !server.overdue_logged && !server.degraded(now_)) log(server, "no answer in time");
       server.overdue_logged = late;
       for (const auto& [call, sent] : server.in_flight) {
-        if (overtaken(server, sent) && now_ - sent > kLostAfterLateTimes * late_after()) call_off_lost(call);
+        if (overtaken(server, sent) && now_ - sent > kLostAfterLateTimes * late_threshold())
+          cancel_lost(call);
       }
     }
   }
 
-  void call_off_lost(CallId id) {
+  void cancel_lost(CallId id) {
     const auto found = calls_.find(id);
     if (found == calls_.end() || !settings_.may_cancel) return;
     Call& call = found->second;
     if (call.answered || call.cancel_sent || !class_of(call).repeatable) return;
     if (call.attempts >= settings_.attempts_cap || now_ + settings_.release_guard >= refuse_at(call)) return;
     call.cancel_sent = true;
-    add(CancelAttempt{id, call.attempts - 1});
+    emit(CancelAttempt{id, call.attempts - 1});
   }
 
   // What the call would earn if it were sent now.
   double worth(const Call& call) const {
     const CallClass& c = class_of(call);
-    const bool late = now_ + late_after() > call.first_try + c.aim;
+    const bool late = now_ + late_threshold() > call.first_try + c.aim;
     const double share = call.over_share ? settings_.over_share_worth : 1.0;
     return c.worth * share * (late ? c.late_worth : 1.0) *
-           (numbers_.count(call.request.number_key) ? kBusyNumberWorth : 1.0);
+           (busy_numbers_.count(call.request.number_key) ? kBusyNumberWorth : 1.0);
   }
 
   // A call that is held, as one look at all of them leaves it.
-  struct Held {
+  struct HeldCall {
     double worth;
     Call* call;
     bool tried = false;
-    bool before(const Held& other) const {
+    bool before(const HeldCall& other) const {
       return std::tuple(other.worth, other.call->arrived, call->request.call) <
              std::tuple(worth, call->arrived, other.call->request.call);
     }
@@ -799,17 +802,17 @@
 
   // The next to be tried: what is worth most, of equals the latest. A full sort at every event would cost a
   // front that holds some thousand calls more than its processor can do.
-  static Held* next_of(std::vector<Held>& held) {
-    Held* best = nullptr;
-    for (Held& each : held) {
+  static HeldCall* next_held(std::vector<HeldCall>& held) {
+    HeldCall* best = nullptr;
+    for (HeldCall& each : held) {
       if (!each.tried && (!best || each.before(*best))) best = &each;
     }
     return best;
   }
 
   // The held calls, after those that have waited too long were refused.
-  std::vector<Held> look_at_held() {
-    std::vector<Held> held;
+  std::vector<HeldCall> collect_held() {
+    std::vector<HeldCall> held;
     std::vector<CallId> late;
     for (auto& [id, call] : calls_) {
       if (call.answered || call.in_flight_at) continue;
@@ -819,7 +822,7 @@
         held.push_back({worth(call), &call});
       }
     }
-    for (const CallId id : late) finish(id);
+    for (const CallId id : late) refuse_or_fail(id);
     return held;
   }
 
@@ -830,25 +833,25 @@
 
   // When the call may be sent at all.
   Time ready_at(const Call& call) {
-    const Gap* const number = crowded(call);
+    const Gap* const number = number_limit(call);
     return std::max(call.not_before, number ? number->opens_at() : call.not_before);
   }
 
   // Sends what may go and refuses what has waited too long. Where no server is open none of the held calls is
   // looked at further; where none is for one call, none is for its likes, until the next send.
   void dispatch() {
-    look_at_out();
-    std::vector<Held> held = look_at_held();
+    check_in_flight();
+    std::vector<HeldCall> held = collect_held();
     std::optional<Time> next;
-    const auto want = [&next](Time at) { next = std::min(next.value_or(at), at); };
+    const auto wake_by = [&next](Time at) { next = std::min(next.value_or(at), at); };
     for (const auto& [id, server] : servers_) {
       for (const auto& [call, sent] : server.in_flight) {
-        if (const Time lost = sent + kLostAfterLateTimes * late_after(); lost > now_)
-          want(lost + Duration{1});
+        if (const Time lost = sent + kLostAfterLateTimes * late_threshold(); lost > now_)
+          wake_by(lost + Duration{1});
       }
     }
-    for (const Held& each : held) want(refuse_at(*each.call));
-    for (Held* best; any_open() && (best = next_of(held));) {
+    for (const HeldCall& each : held) wake_by(refuse_at(*each.call));
+    for (HeldCall* best; any_open() && (best = next_held(held));) {
       Call& call = *best->call;
       best->tried = true;
       if (now_ < ready_at(call)) continue;
@@ -856,25 +859,26 @@
         send(call, *server);
         continue;
       }
-      for (Held& each : held) each.tried |= alike(call, *each.call);
+      for (HeldCall& each : held) each.tried |= same_route(call, *each.call);
     }
     bool waiting = false;
-    for (const Held& each : held) {
+    for (const HeldCall& each : held) {
       if (each.call->in_flight_at) continue;
       const Time ready = ready_at(*each.call);
-      if (now_ < ready) want(ready);
-      if (now_ < each.call->avoid_faulted_until) want(each.call->avoid_faulted_until);
+      if (now_ < ready) wake_by(ready);
+      if (now_ < each.call->avoid_faulted_until) wake_by(each.call->avoid_faulted_until);
       waiting |= now_ >= ready;
     }
     for (const auto& [id, server] : servers_) {
       if (!waiting || !server.usable()) continue;
-      if (const Time opens = std::max(opens_at(server), owes_until(server)); opens > now_) want(opens);
+      if (const Time opens = std::max(opens_at(server), overdue_pause_until(server)); opens > now_)
+        wake_by(opens);
     }
-    if (next) wake(*next);
+    if (next) schedule_wake(*next);
   }
 
   // What route() looks at is the same for both, so that no server is open for either or one is for both.
-  bool alike(const Call& a, const Call& b) const {
+  bool same_route(const Call& a, const Call& b) const {
     return a.request.call_class == b.request.call_class && a.request.first_choice == b.request.first_choice &&
            a.request.forwarded == b.request.forwarded && a.faulted_server == b.faulted_server &&
            (now_ < a.avoid_faulted_until) == (now_ < b.avoid_faulted_until);
@@ -882,7 +886,7 @@
 
   void send(Call& call, Server& server) {
     server.gap.note_sent(now_);
-    if (Gap* const number = crowded(call)) number->note_sent(now_);
+    if (Gap* const number = number_limit(call)) number->note_sent(now_);
     if (server.free_lines) *server.free_lines -= settings_.instances;  // the others are sending too
     server.in_flight[call.request.call] = now_;
     call.sent_at = now_;
@@ -890,7 +894,7 @@
     call.in_flight_at_send = static_cast<int>(server.in_flight.size());
     call.in_flight_at = server.entry.id;
     ++call.attempts;
-    add(SendSetup{call.request.call, server.entry.id, {}});
+    emit(SendSetup{call.request.call, server.entry.id, {}});
   }
 
   // When to come back: as soon as a server that the call may go to opens, by what is known now.
@@ -904,45 +908,45 @@
   }
 
   // The one final answer to a call that does not stand.
-  void finish(CallId id) {
+  void refuse_or_fail(CallId id) {
     const Call& call = calls_.at(id);
-    note_unserved(call);
+    remember_unserved(call);
     if (call.may_have_run) {
-      add(Fail{id});
+      emit(Fail{id});
     } else {
-      add(Refuse{id, retry_after(call)});
+      emit(Refuse{id, retry_after(call)});
     }
     calls_.erase(id);
   }
 
-  void wake(Time at) {
+  void schedule_wake(Time at) {
     if (wake_at_ && *wake_at_ <= at) return;
     wake_at_ = at;
-    add(SetTimer{std::max(at - now_, Duration{1}), 0});
+    emit(SetTimer{std::max(at - now_, Duration{1}), 0});
   }
 
-  void add(Action action) { actions_.push_back(std::move(action)); }
+  void emit(Action action) { actions_.push_back(std::move(action)); }
 
   Settings settings_;
   std::mt19937_64 random_;
-  Time began_{};
+  Time started_at_{};
   Time now_{};
   std::map<ServerId, Server> servers_;
   std::map<CallId, Call> calls_;
-  std::map<std::uint64_t, Gap> numbers_;    // dialled numbers found without a free line
-  std::map<std::uint64_t, Time> unserved_;  // first tries of numbers whose last try was not served
+  std::map<std::uint64_t, Gap> busy_numbers_;  // dialled numbers found without a free line
+  std::map<std::uint64_t, Time> unserved_;     // first tries of numbers whose last try was not served
   struct Fleet {
-    double usable = 0, told = 0, lines = 0;
+    double usable = 0, reporting = 0, lines = 0;
   };
   Fleet fleet_;  // the usable servers, those that told their lines, and these lines
-  Time forgot_at_{};
+  Time pruned_at_{};
   DecayingCount arrivals_;
-  std::map<int, DecayingCount> named_;  // calls, by the number of their first choice
+  std::map<int, DecayingCount> first_choices_;  // calls, by the number of their first choice
   struct TokenBucket {
     double tokens = 0;
     std::optional<Time> at{};
   };
-  std::map<unsigned, TokenBucket> buckets_;  // what each tenant may still bring inside its share
+  std::map<unsigned, TokenBucket> tenant_buckets_;  // what each tenant may still bring inside its share
   std::optional<Time> wake_at_;
   bool subscribed_ = false;
   std::vector<Action> actions_;
