--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -1,9 +1,10 @@
-// quartzarch: the interface of the call controller.
+// quartzarch: the interface of the call controller, which decides for each call which setup server gets its
+// set-up and when, when an attempt is cancelled, and when the call is refused.
 //
-// One Controller is one front. The caller hands it the settings and a seed at the start, then every event
-// with the time at which it happened, and carries out the actions that come back, in their order. The
-// controller has no clock, does no I/O, starts no threads and shares nothing: equal events give equal
-// actions.
+// One Controller makes the decisions of one instance (one load balancer process among several that share the
+// setup servers). The owner passes it the settings and a random seed at the start, then every event with the
+// time at which it happened, and carries out the returned actions in order. The controller has no clock,
+// does no I/O, starts no threads and shares no state: equal events give equal actions.
 #pragma once
 
 #include <array>
@@ -19,58 +20,60 @@
 namespace quartzarch {
 
 using Duration = std::chrono::microseconds;
-using Time = std::chrono::microseconds;  // since an origin of the caller's choice; never runs backwards
+using Time = std::chrono::microseconds;  // since an origin chosen by the owner; never runs backwards
 using CallId = std::uint64_t;
 
-// A signalling server's address. It says nothing of the server's place, kind or age.
+// The signalling address of a setup server. It does not tell the server's location, hardware or age.
 struct ServerId {
   std::array<std::uint8_t, 4> address{};
   std::uint16_t port = 0;
   auto operator<=>(const ServerId&) const = default;
 };
 
-// ---- Settings, handed over once
+// ---- Settings, passed once at the start
 
 struct CallClass {
-  Duration aim{};            // full worth if the call stands within this time
-  Duration deadline{};       // a caller tries no longer than this, from the first try
-  double worth = 1;          // of a call that stands within the aim
-  double late_worth = 0;     // share of the worth if it stands later
-  bool repeatable = true;    // may be sent again although an earlier attempt may have run
-  std::vector<int> pools{};  // numbers of the servers open to the class; empty: all
+  Duration aim{};            // a call that is established within this time earns its full worth
+  Duration deadline{};       // a caller retries for no longer than this, counted from its first try
+  double worth = 1;          // of a call that is established within the aim
+  double late_worth = 0;     // of a call that is established later, as a share of `worth`
+  bool repeatable = true;    // may be sent again although an earlier attempt may have been carried out
+  std::vector<int> pools{};  // numbers of the servers that the class may use; empty: all
 };
 
 struct Tenant {
-  double quota = 0;  // calls a second inside its share, over all fronts; 0: not limited
+  double quota = 0;  // calls per second within its share, over all instances; 0: unlimited
 };
 
 struct Settings {
-  unsigned instances = 1;  // fronts that share the servers
-  unsigned rank = 0;       // this one among them
+  unsigned instances = 1;  // instances that share the servers
+  unsigned rank = 0;       // index of this instance among them
   std::vector<CallClass> classes{};
   std::vector<Tenant> tenants{};
-  double over_share_worth = 1;  // worth of a call beyond its tenant's share, as a share of the usual
-  int own_server_number = -1;   // of the own exchange; -1: none
-  Duration resend{};            // a waiting set-up is repeated after this and then at doubling gaps; 0: never
-  Duration release_guard{};     // after a time-out, reset or cancellation, before the call is sent again
-  Duration answer_grace{};      // a final answer may be this much later than the caller's time
-  Duration quantum{};           // events come at most this often
-  Duration cold{};              // a started server is warm after this
-  double cold_from = 1;         // and starts with this share of its capacity at least
-  double cold_overload_factor = 1;  // a cold server sent more than this times its present capacity
-  Duration cold_overload_window{};  // for this long falls over
-  unsigned attempts_cap = 1;        // attempts allowed for a call
-  Duration max_retry_after{};       // advice to callers when to dial again: the longest heeded; 0: no advice
-  bool load_reported = true;        // servers tell of their processors' load; else set-up delays have to do
-  bool may_cancel = false;
-  bool may_probe = false;
-  bool may_message_peers = false;
-  bool must_subscribe = false;  // news of the servers comes only on request
+  double over_share_worth = 1;  // worth of a call beyond its tenant's quota, as a share of its usual worth
+  int own_server_number = -1;   // server of this instance's own exchange, never used; -1: none
+  Duration resend{};            // an unanswered set-up is retransmitted after this, then at intervals that
+                                // double; 0: never
+  Duration release_guard{};     // delay after a time-out, reset or cancellation before the call is retried
+  Duration answer_grace{};      // a final answer may come this much after the caller's time-out
+  Duration quantum{};           // shortest interval between events
+  Duration cold{};              // a server is cold for this long after its start, then warm
+  double cold_from = 1;         // share of its capacity that a server has at its start, at the least
+  double cold_overload_factor =
+      1;  // a cold server fails when it receives this multiple of its present capacity
+  Duration cold_overload_window{};  // over this window
+  unsigned attempts_cap = 1;        // most attempts for a call
+  Duration max_retry_after{};       // longest retry-after that callers honour; 0: callers are given none
+  bool load_reported = true;  // servers report their processor load; otherwise it is inferred from delays
+  bool may_cancel = false;    // CancelAttempt is permitted
+  bool may_probe = false;     // Probe is permitted
+  bool may_message_peers = false;  // SendPeerMessage is permitted
+  bool must_subscribe = false;     // updates of the server list arrive only after Subscribe
 };
 
 // ---- Events
 
-// What a server says of itself; late and noisy. Absent figures were not given.
+// A server's report of its own load; delayed and noisy. Values that the server did not give are absent.
 struct LoadReport {
   std::optional<double> free_circuits{}, circuits{}, in_progress{}, queued{}, utilisation{}, wait_ms{};
   std::optional<double> setups_per_second{}, hold_back{};
@@ -80,28 +83,28 @@
 
 struct ServerEntry {
   ServerId id{};
-  int number = -1;
+  int number = -1;  // by which calls and classes name the server; stays with a replacement at another address
   Availability availability = Availability::ready;
   std::optional<Time> started{};  // its latest start; absent: long ago
 };
 
 struct ServerList {
-  bool is_snapshot = false;  // replaces the list; otherwise only what changed
+  bool is_snapshot = false;  // replaces the whole list; otherwise the entries are the changes
   std::vector<ServerEntry> entries{};
 };
-struct DiscoveryFailed {};  // a subscription or a look-up failed, or the subscription broke
+struct DiscoveryFailed {};  // a subscription or look-up of the server list failed, or the subscription broke
 
 struct CallArrived {
   CallId call = 0;
   unsigned call_class = 0;
   unsigned tenant = 0;
-  std::uint64_t number_key = 0;  // the dialled number; 0: not told
+  std::uint64_t number_key = 0;  // identifies the dialled number; 0: unknown
   Duration caller_timeout{};     // the caller abandons this try after it
-  int first_choice = -1;         // number of the server named by the call
-  int advised = -1;              // number of the server with most room at the centre's last look
-  bool forwarded = false;        // passed on by another front: may go to its first choice only
-  bool retry = false;            // marked by the caller as a further try
-  bool reconnect = false;        // stood, was cut and comes again
+  int first_choice = -1;         // number of the server that the call names
+  int advised = -1;        // number of the server that had most capacity at the coordinator's last update
+  bool forwarded = false;  // forwarded by another instance: may go to its first choice only
+  bool retry = false;      // marked by the caller as a retry
+  bool reconnect = false;  // was established, lost its connection and is set up again
 };
 struct CallCancelled {
   CallId call = 0;
@@ -110,21 +113,22 @@
   CallId call = 0;
   unsigned attempt = 0;
   ServerId server{};
-  Duration delay{};
+  Duration delay{};  // from the set-up to its answer
 };
 
 enum class Ending { fault, completed, full, timed_out, not_connected, reset, cancelled, not_sent };
-// Of these connection_lost alone is no word of the server's: the set-up was lost on its way there or back.
+// Only connection_lost is not reported by the server: it says that the set-up or its answer was lost on the
+// network.
 enum class Cause { none, no_circuit, rejected, processor_full, number_busy, connection_lost };
 
 struct AttemptEnded {
   CallId call = 0;
   unsigned attempt = 0;
   ServerId server{};
-  Duration delay{};
+  Duration delay{};  // from the set-up to the end of the attempt
   Ending ending = Ending::fault;
   Cause cause = Cause::none;
-  bool call_finished = false;  // nothing more is owed for the call
+  bool call_finished = false;  // the call needs neither a further attempt nor an answer
   std::optional<Duration> retry_after{};
   LoadReport report{};
 };
@@ -141,8 +145,8 @@
   std::string body{};
 };
 
-// New settings read while running: the classes by index, of which those of calls under way keep their place
-// (new and changed ones are added at the end), and the attempts a call may have from now on.
+// New settings read while running: the classes by index and the most attempts a call may have from now on.
+// Classes of calls in progress keep their index; new and changed classes are appended.
 struct SettingsChanged {
   std::vector<CallClass> classes{};
   unsigned attempts_cap = 1;
@@ -156,16 +160,18 @@
 struct SendSetup {
   CallId call = 0;
   ServerId server{};
-  std::optional<Duration> give_up_after{};  // absent: as long as the caller waits
+  std::optional<Duration> give_up_after{};  // time-out of the attempt; absent: as long as the caller waits
 };
 struct CancelAttempt {
   CallId call = 0;
   unsigned attempt = 0;
 };
+// Final answer to a call of which no attempt can have been carried out; the caller may try again.
 struct Refuse {
   CallId call = 0;
   std::optional<Duration> retry_after{};
 };
+// Final answer to a call of which an attempt may have been carried out.
 struct Fail {
   CallId call = 0;
 };
@@ -177,7 +183,7 @@
   ServerId server{};
 };
 struct SendPeerMessage {
-  std::optional<unsigned> to{};  // absent: all others
+  std::optional<unsigned> to{};  // rank of an instance; absent: all others
   std::string body{};
 };
 struct Subscribe {};
@@ -197,8 +203,8 @@
   Controller(Controller&&) noexcept;
   Controller& operator=(Controller&&) noexcept;
 
-  // What to do about `event`, which happened at `now`. Events that name unknown calls, attempts, servers or
-  // timers are ignored.
+  // Returns the actions that answer `event`, which happened at `now`. Events that name unknown calls,
+  // attempts, servers or timers are ignored.
   std::vector<Action> handle(Time now, const Event& event);
 
  private:
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -1,7 +1,9 @@
 // The decisions of quartzarch. Interface: include/quartzarch/controller.hpp
 //
-// Each sender keeps one gap per server, the least time between new set-ups sent there ("Rate Throttle
-// Clients"). docs/design.md tells what is kept of the source, what is changed and when each exception acts.
+// Each instance keeps one gap per server: the shortest interval between the set-ups that it sends there (the
+// published algorithm "Rate Throttle Clients", here called the base algorithm). A gap rises with each sign of
+// overload and is lowered by answers in time. docs/design.md describes what is kept of the base algorithm,
+// what is changed, and when each exception applies.
 #include "quartzarch/controller.hpp"
 
 #include <algorithm>
@@ -17,78 +19,93 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// ---- Tuned values
+// ---- Constants
 
-// The source's rise, for each 'processor full'.
+// Factor by which a gap rises for each 'processor full', as in the base algorithm.
 constexpr double kGapRiseFactor = 1.2;
-// A full processor gets nothing for this many of a front's usual spacings there: turning calls away is work,
-// and with many fronts that of each one's next try after an aim is more than a slowed processor can do.
+// After 'processor full' a server gets nothing for this many of the instance's usual spacings there. Refusing
+// calls costs processor time; if each of many instances retried after only one aim, the refusals alone would
+// exceed what a slowed processor can do.
 constexpr double kProcessorFullPause = 3;
-// A front that sends less often than this, in set-ups a second, has seen too little to tell.
+// An instance that sends fewer set-ups per second than this has seen too few to estimate a rate.
 constexpr double kMinRate = 0.001;
-// A time-out is as many refusals: it took a whole try of its caller, and some 200 fronts that come back after
-// it must leave a slowed server room to work off what it holds. The gap triples.
+// A time-out raises the gap as much as this many refusals, which triples it: it used up the whole time of its
+// caller, and some 200 instances that retry afterwards must leave a slowed server time to work off its queue.
 constexpr int kRisesPerTimeout = 6;
-// A gap lifted off nought starts from this where the sender has no wider spacing of its own (design page).
+// A gap that rises from zero starts from this if the instance has no wider spacing of its own
+// (docs/design.md).
 constexpr Duration kInitialGap = milliseconds(10);
-// Below this a gap holds nobody up, since events come in steps of some milliseconds anyway.
+// A gap below this delays nobody, since events come at intervals of some milliseconds anyway; it becomes
+// zero.
 constexpr Duration kMinGap = milliseconds(1);
-// A server counts as pressed for this long after its last sign of pressure ("the last few seconds").
+// A server counts as degraded for this long after its last sign of overload or failure; the base algorithm
+// says "the last few seconds".
 constexpr Duration kDegradedFor = seconds(2);
-// A set-up that finds a line of a crowded number undoes one rise of its gap: half of what is sent stands.
+// A set-up that finds a free line of a busy number undoes one rise of that number's gap, so that the gap
+// stays where half of the set-ups succeed.
 constexpr double kEaseOnFreeLine = 1 - 1 / kGapRiseFactor;
-// A call to a crowded number comes after its equals, since about half of them find a line.
+// A call to a busy number is sent after otherwise equal calls, since only about half of such calls find a
+// free line.
 constexpr double kBusyNumberWorth = 0.5;
-// Weight of the newest spacing in this sender's recent spacing.
+// Weight of the newest spacing in the moving average of an instance's spacing.
 constexpr double kSpacingWeight = 0.3;
-// A server out of reach is left alone for this long, doubled with each further failure up to the longest.
+// Back-off of an unreachable server, doubled with each further failure up to the maximum.
 constexpr Duration kMinBackoff = milliseconds(500), kMaxBackoff = seconds(8);
-// Share of a cold server's present capacity that the fronts use together, by the budget before it falls, from
-// the least (what warm servers bear is a guess) to the most (more would only wait in its line).
+// The share of a cold server's present capacity that all instances together use, as a share of the load at
+// which it fails (cold_overload_factor). At least kMinColdShare, because the load that warm servers handle is
+// only an estimate; at most kMaxColdShare, because more would only wait in the server's queue.
 constexpr double kColdShareOfBudget = 0.36, kMinColdShare = 0.9, kMaxColdShare = 1.25;
-// Where no waiting set-up is repeated a line works off by itself, which a gap of more usual spacings sees
-// late.
+// Largest gap, in usual spacings, where set-ups are not retransmitted. There a queue is worked off without
+// repeated work, and a wider gap would notice that too late.
 constexpr double kMaxGapInSpacings = 2;
-// Set-ups may be out at a server as its fair rate brings them in this share of the aim, or the resend time.
+// A server may have as many set-ups in flight as its fair rate brings in this share of the aim, or in the
+// resend time if that is longer.
 constexpr double kWindowShareOfAim = 1.0 / 3;
-// A set-up's delay tells of a processor for this long, and then neither that it is idle nor that it is full.
+// The delay of a server's last answer tells its load for this long. Afterwards the server counts as neither
+// idle nor full: its spare capacity is taken as kDefaultSpareShare.
 constexpr Duration kDelayValidFor = seconds(5);
 constexpr double kDefaultSpareShare = 0.5;
-// Tries that were not served are remembered up to so many: a flood of them must not take the memory.
+// Most unserved calls that are remembered, so that a flood of them cannot exhaust the memory.
 constexpr std::size_t kMaxUnserved = 20000;
-// A front's rates are those of about this time: where calls go shifts within some ten seconds.
+// Time constant of the decaying counts from which an instance derives its rates: traffic shifts between
+// servers within about ten seconds.
 constexpr Duration kRateTimeConstant = seconds(20);
-// A fading count below this is nothing.
+// A decaying count below this is treated as zero and dropped.
 constexpr double kNegligibleCount = 0.01;
-// A call that as many servers could make nothing of is at fault itself.
+// A call that this many servers rejected as faulty is faulty itself.
 constexpr unsigned kMaxFaults = 2;
-// A server of whose set-ups so large a share fails that others then take is pressed by its own fault.
+// A server that rejects more than this share of its set-ups, all accepted by another server afterwards, is
+// degraded by a fault of its own.
 constexpr double kFailingShare = 0.15;
-// Weight of a server's share of the lines against its share of the calls' first choices.
+// Weight of a server's share of the lines, against its share of the calls' first choices, in its fair rate.
 constexpr double kLinesWeight = 0.25;
-// Calls assumed before any was seen.
+// Number of calls assumed in the rates before any was seen.
 constexpr double kAssumedCalls = 2;
-// A tenant's calls come by chance: what its share brings in this time may come at once.
+// A tenant's calls arrive at random: as many as its quota allows in this time may arrive at once.
 constexpr Duration kTenantBurst = seconds(5);
-// Set-ups that may be out beyond this front's share: less would hold up calls that come by chance.
+// Set-ups that may be in flight beyond this instance's fair share: with fewer, calls that arrive at random
+// would be held without need.
 constexpr double kWindowAllowance = 1;
-// No processor's wait is longer and no pool has more lines than this; a larger figure is a fault.
+// Upper limits of plausible values: no processor's queue takes longer and no pool has more lines. A larger
+// value is a fault of the report and is cut to the limit.
 constexpr double kMaxWaitMs = 60e3, kMaxLines = 1e9;
-// A call is answered this many steps of the clock before its caller leaves.
+// A held call gets its final answer this many quanta before its caller abandons it.
 constexpr int kAnswerMarginQuanta = 2;
-// A set-up that takes longer than this share of the resend time is late: past it the server repeats work.
-// Without resends, than this share of the holding aim.
+// A set-up is late after this share of the resend time, because the server repeats work once the set-up is
+// retransmitted; without retransmission, after kLateShareOfAim of the shortest aim.
 constexpr double kLateShare = 0.5, kLateShareOfAim = 0.25;
-// A processor answers in turn: a set-up is overtaken once one that was sent later by more than this share of
-// the late time has its answer. Its own got lost on the way.
+// A processor answers in the order of arrival. A set-up is overtaken, its own answer lost on the network,
+// once a set-up that was sent later by more than this share of the late threshold has been answered.
 constexpr double kOvertakenShare = 0.25;
-// An overtaken set-up is given up after this many late times.
+// An overtaken set-up is cancelled as lost after this many late thresholds. kMaxDoublings limits the doubling
+// pause while a server's answers are overdue.
 constexpr int kLostAfterLateTimes = 2, kMaxDoublings = 10;
-// A pool without a free line is tried again after this, news or no news: lines fall free all the time.
+// A server without a free line is tried again after this, with or without a new report: lines become free all
+// the time.
 constexpr Duration kNoLinePause = milliseconds(300);
-// A refused caller is asked to stay away for at least this.
+// Shortest retry-after that a refused caller is given.
 constexpr Duration kMinRetryAfter = milliseconds(100);
-// An aim of nought would leave no scale to judge a set-up by.
+// Lower limit of an aim and of the late threshold: zero would leave no scale by which to judge a set-up.
 constexpr Duration kMinAim = milliseconds(1);
 
 Duration scaled(Duration time, double factor) {
@@ -99,37 +116,40 @@
   return static_cast<double>(part.count()) / static_cast<double>(std::max(whole, Duration{1}).count());
 }
 
-// What is left of a figure that may be absent, no number or out of range.
+// A share that may be missing, not a number or out of range, as a number from 0 to 1.
 double clamped_share(double value) { return std::isnan(value) ? 0.0 : std::clamp(value, 0.0, 1.0); }
 
 struct Call {
   CallArrived request;
   Time arrived{};
-  Time first_try{};                          // when its caller first asked, as far as is known here
-  Time abandoned_at{};                       // the caller abandons this try
-  Time not_before{};                         // the release guard
-  Time sent_at{};                            // the last attempt
-  bool over_share = false;                   // beyond its tenant's share when it came
+  Time first_try{};                          // when its caller first tried, as far as this instance knows
+  Time abandoned_at{};                       // when the caller abandons this try
+  Time not_before{};                         // end of the release guard
+  Time sent_at{};                            // time of the last attempt
+  bool over_share = false;                   // exceeded its tenant's quota when it arrived
   unsigned attempts = 0;                     // sent so far
-  unsigned faults = 0;                       // of these, ended as a fault
-  std::optional<ServerId> faulted_server{};  // where the last of them did
-  Time avoid_faulted_until{};                // and until when it waits for another to open
-  int in_flight_at_send = 1;                 // out at the server then, this one counted
-  std::optional<ServerId> in_flight_at{};    // where its attempt is out
-  bool answered = false;                     // the caller has its answer; an attempt may still be out
-  bool cancel_sent = false;                  // its attempt was, as lost
-  bool may_have_run = false;                 // an attempt ended without proof that it never ran
+  unsigned faults = 0;                       // attempts of these that a server rejected as faulty
+  std::optional<ServerId> faulted_server{};  // server of the last such attempt
+  Time avoid_faulted_until{};                // until then the call waits for another server
+  int in_flight_at_send = 1;  // set-ups in flight at the server after the last send, this one included
+  std::optional<ServerId> in_flight_at{};  // server at which its attempt is in flight
+  bool answered = false;      // the caller has its answer or has left; an attempt may still be in flight
+  bool cancel_sent = false;   // its attempt was cancelled because its answer got lost
+  bool may_have_run = false;  // an attempt ended without proof that it was not carried out
 };
 
-// The least time between new set-ups, as the source has it; nought lets everything pass.
+// The shortest interval between new set-ups to one server or one busy number, as in the base algorithm; with
+// a width of zero everything passes at once.
 struct Gap {
   Duration width{};
   std::optional<Time> last_sent{};
-  std::optional<Duration> spacing{};    // this sender's recent spacing of set-ups
-  std::optional<Time> previous_sent{};  // both as they were before the last send
+  std::optional<Duration> spacing{};    // moving average of the spacing of this instance's set-ups
+  std::optional<Time> previous_sent{};  // last_sent and spacing before the last send
   std::optional<Duration> previous_spacing{};
 
-  // A refusal that came after a wait tells how much work was in line: `waited` is this front's part of it.
+  // `waited` is this instance's part of the time that the refused or late set-up spent in the queue, which
+  // tells how much work was queued; `usual` is the usual spacing, where a gap that rises from zero has to
+  // start from it.
   void raise(Duration waited = Duration{0}, int rises = 1, Duration usual = Duration{0}) {
     const Duration base =
         width > Duration{0} ? width : std::max({spacing.value_or(kInitialGap), kInitialGap, usual});
@@ -149,7 +169,8 @@
     }
     last_sent = now;
   }
-  // The set-up of that time was no work: its place is free for the next, if none has taken it.
+  // Undoes the send at `sent` because the set-up cost the server no work: the next set-up may take its place,
+  // unless one has been sent since.
   void undo_send(Time sent) {
     if (last_sent != sent) return;
     last_sent = previous_sent;
@@ -160,7 +181,7 @@
   }
 };
 
-// A count that fades, so that it follows what changes.
+// A count that decays exponentially, so that it follows changes of the traffic.
 struct DecayingCount {
   double value = 0;
   Time at{};
@@ -169,7 +190,7 @@
     value = count(now) + 1;
     at = now;
   }
-  // What came at `then` is not counted any more.
+  // Removes from the count an event that was added at `then`.
   void remove(Time then, Time now) {
     value = std::max(count(now) - std::exp(-ratio(now - then, kRateTimeConstant)), 0.0);
     at = now;
@@ -181,25 +202,25 @@
   bool listed = true;
   Gap gap{};
   std::optional<Time> degraded_at{};
-  Duration delay{};                   // of the last set-up that stood
-  Time delay_known_at = Time::min();  // and when it stood
-  Duration queue_wait{};              // at its processor, as last reported
+  Duration delay{};                   // of the last set-up that established a call
+  Time delay_known_at = Time::min();  // time of that answer
+  Duration queue_wait{};              // at the server's processor, as last reported
   Time wait_reported_at{};
   std::optional<double> utilisation{};      // as last reported
-  std::map<CallId, Time> in_flight{};       // attempts out, by their send
-  std::optional<Time> raised_at{};          // the gap's last rise
-  Time paused_until{};                      // a full processor works off its wait
-  double lines = 0;                         // as told; 0: not told
-  std::optional<double> free_line_share{};  // of its lines, as told
-  std::optional<double> free_lines{};       // as last told, less what was sent there since
+  std::map<CallId, Time> in_flight{};       // send times of the attempts in flight
+  std::optional<Time> raised_at{};          // last rise of the gap
+  Time paused_until{};                      // while a full processor works off its queue
+  double lines = 0;                         // as reported; 0: not reported
+  std::optional<double> free_line_share{};  // share of its lines that are free, as reported
+  std::optional<double> free_lines{};       // as last reported, less the set-ups sent since
   Time lines_reported_at{};
   Time backoff_until{};
   Duration backoff{};
-  Time down_at = Time::min();               // last out of reach, or a set-up cut
-  Time latest_answered_send = Time::min();  // when the latest of the set-ups that were answered had been sent
-  bool overdue_logged = false;              // to the staff
-  DecayingCount established{},
-      failed{};  // set-ups that stood, and such as it made nothing of and another took
+  Time down_at = Time::min();               // last time it was unreachable or reset a set-up
+  Time latest_answered_send = Time::min();  // send time of the latest answered set-up
+  bool overdue_logged = false;              // its overdue answers were logged
+  // Set-ups that it accepted, and those that it rejected as faulty and another server accepted.
+  DecayingCount established{}, failed{};
 
   bool usable() const { return listed && entry.availability == Availability::ready; }
   bool degraded(Time now) const { return degraded_at && now - *degraded_at < kDegradedFor; }
@@ -227,7 +248,7 @@
   }
 
  private:
-  // What has been quiet for long is forgotten, so that numbers dialled once do not pile up.
+  // Drops records that have not been used for a while, so that numbers dialled only once do not accumulate.
   void prune() {
     pruned_at_ = now_;
     std::erase_if(busy_numbers_, [this](const auto& item) {
@@ -248,7 +269,7 @@
     }
   }
 
-  // ---- The list
+  // ---- The server list
 
   void on(const ServerList& list) {
     if (list.is_snapshot) {
@@ -257,7 +278,7 @@
     for (const ServerEntry& entry : list.entries) {
       Server& server = servers_[entry.id];
       const bool restarted = server.entry.started != entry.started;
-      if (restarted) server = Server{};  // another process: nothing known holds
+      if (restarted) server = Server{};  // another process: nothing known about the old one applies
       server.entry = entry;
       server.listed = entry.availability != Availability::gone;
       if (restarted) stagger_gap(server);
@@ -283,15 +304,15 @@
     call.abandoned_at = now_ + std::max(request.caller_timeout, Duration{0});
     call.over_share = over_share(request.tenant);
     calls_.insert_or_assign(request.call, call);
-    // A flood to one number says nothing of what the server it names was planned for.
+    // A flood of calls to one number does not tell what the server that they name was planned for.
     if (!number_limit(call)) {
       first_choices_[request.first_choice].add(now_);
       arrivals_.add(now_);
     }
   }
 
-  // A further try has a new id and mostly no mark: the number called tells when its caller first asked. Of a
-  // number that many call, no more calls are taken for further tries than were not served.
+  // A retry has a new id and in most cases no mark, so the dialled number tells when its caller first tried.
+  // Where many callers dial one number, no more of their calls count as retries than were left unserved.
   Time first_try_of(const Call& call) {
     const auto found = call.request.reconnect ? decltype(unserved_)::node_type{}
                                               : unserved_.extract(call.request.number_key);
@@ -303,7 +324,8 @@
       unserved_[call.request.number_key] = call.first_try;
   }
 
-  // A tenant may bring this front's part of its quota, and what falls due within kTenantBurst at once.
+  // Whether the call exceeds its tenant's quota. A token bucket: this instance's part of the quota per
+  // second, and a burst of what falls due within kTenantBurst.
   bool over_share(unsigned tenant) {
     if (tenant >= settings_.tenants.size() || !(settings_.tenants[tenant].quota > 0)) return false;
     const double rate = settings_.tenants[tenant].quota / settings_.instances;
@@ -325,7 +347,7 @@
     if (!found->second.in_flight_at) calls_.erase(found);
   }
 
-  // Nobody waits any more: an attempt still out is called off, so that the server need not work on it.
+  // The caller no longer waits: cancels an attempt in flight, so that the server need not work on it.
   void stop_call(Call& call) {
     if (!call.answered && call.in_flight_at && settings_.may_cancel) {
       emit(CancelAttempt{call.request.call, call.attempts - 1});
@@ -345,14 +367,13 @@
     note_established_after_fault(call->second);
     calls_.erase(call);
     const auto found = servers_.find(established.server);
-    if (found == servers_.end()) return;  // left the list meanwhile
+    if (found == servers_.end()) return;  // removed from the list meanwhile
     Server& server = found->second;
-    if (server.in_flight.erase(established.call) == 0)
-      return;  // it went to the process that ran there before
+    if (server.in_flight.erase(established.call) == 0) return;  // sent to the process that ran there before
     server.established.add(now_);
     const bool late_by_itself = overtaken(server, sent);
     server.latest_answered_send = std::max(server.latest_answered_send, sent);
-    if (late_by_itself) return;  // the way back took long, not the processor
+    if (late_by_itself) return;  // delayed on the network, not by the processor
     server.delay = established.delay;
     server.delay_known_at = now_;
     server.backoff = Duration{0};
@@ -365,7 +386,7 @@
     }
   }
 
-  // A cold server's gap outlasts its cold time and shrinks then.
+  // The gap of a cold server shrinks only after the server has become warm.
   void lower_gap(Server& server, double spare) {
     server.gap.lower(spare);
     server.gap.width = std::max(server.gap.width, cold_gap(server));
@@ -398,13 +419,14 @@
     if (!may_retry(call, ended)) refuse_or_fail(ended.call);
   }
 
-  // A server turned away what it could make nothing of. Such calls come in floods from broken callers: they
-  // must not use up the gaps of good ones, nor count as what the servers were planned for.
+  // A server rejected the call as faulty. Broken callers send floods of such calls: they must not use up the
+  // gaps of good calls, nor count towards the load that the servers were planned for.
   void note_fault(Call& call, const ServerId& at) {
-    // Whatever reaches a cold server brings it nearer to its fall.
+    // A cold server is excepted: every set-up that reaches it adds to its load and so to the risk that it
+    // fails.
     if (const auto server = servers_.find(at); server != servers_.end() && !cold(server->second))
       server->second.gap.undo_send(call.sent_at);
-    // Said again by the same server while others are there, it is no second opinion.
+    // A second rejection by the same server is no second opinion while other servers are available.
     const bool repeated = call.faulted_server == at && fleet_.usable > 1;
     call.faulted_server = at;
     call.avoid_faulted_until = now_ + late_threshold();
@@ -413,7 +435,7 @@
     first_choices_[call.request.first_choice].remove(call.arrived, now_);
   }
 
-  // The call stands: it was not its own fault that a server made nothing of it before.
+  // The call was established elsewhere, so the server that rejected it as faulty before was at fault.
   void note_established_after_fault(const Call& call) {
     const auto found = call.faulted_server ? servers_.find(*call.faulted_server) : servers_.end();
     if (found == servers_.end() || call.faulted_server == call.in_flight_at) return;
@@ -421,13 +443,13 @@
     server.failed.add(now_);
     const double failed = server.failed.count(now_);
     if (failed > 1 && failed > kFailingShare * (failed + server.established.count(now_)))
-      mark_degraded(server, "fails what another takes");
+      mark_degraded(server, "rejects calls that other servers accept");
   }
 
   bool may_retry(const Call& call, const AttemptEnded& ended) const {
     if (call.faults >= kMaxFaults) return false;
     if (ended.ending == Ending::completed || ended.ending == Ending::not_sent) return false;
-    if (ended.cause == Cause::number_busy) return false;  // another server has no more lines of that number
+    if (ended.cause == Cause::number_busy) return false;  // other servers reach the same busy lines
     if (call.attempts >= settings_.attempts_cap) return false;
     if (call.may_have_run && !class_of(call).repeatable) return false;
     return call.not_before < refuse_at(call);
@@ -438,10 +460,10 @@
       server.latest_answered_send = std::max(server.latest_answered_send, sent);
     if (ended.ending == Ending::full)
       raise_gap(server, ended.cause == Cause::no_circuit ? "no line free" : "processor full");
-    // What failed on the way tells nothing of the server's load or health.
+    // A failure on the network tells nothing of the server's load or health.
     if (ended.cause == Cause::connection_lost) return;
     if (ended.ending == Ending::not_connected) back_off(server, "out of reach");
-    if (ended.ending == Ending::reset) back_off(server, "set-up cut");
+    if (ended.ending == Ending::reset) back_off(server, "set-up reset");
     if (ended.ending == Ending::timed_out && !sent_before_rise(server, sent) && !overtaken(server, sent)) {
       raise_gap(server, "set-up timed out", wait_per_setup(ended.call, ended.delay),
                 rarely_used(server) ? kRisesPerTimeout : 1);
@@ -468,16 +490,16 @@
     }
   }
 
-  // A call that ends brings a report as one that stands does: where it tells of the processor, it cuts the
-  // gap too. What may be older than the last rise is left.
+  // A call that ends brings a load report as an established one does. If it reports the processor's load, it
+  // lowers the gap too; a report that may predate the last rise is ignored.
   void lower_gap_by_report(Server& server, const LoadReport& report) {
     const bool tells = report.wait_ms || report.queued || report.utilisation;
     if (tells && (!server.raised_at || now_ - *server.raised_at > shortest_aim()))
       lower_gap(server, spare_share(server));
   }
 
-  // The wait at its processor as the server tells it; of the set-ups waiting there each takes as long as all
-  // fronts let pass between two, by this front's rate.
+  // The wait at the server's processor as reported. If only the number of queued set-ups is reported, each is
+  // taken to need the interval at which all instances together send, estimated from this instance's rate.
   std::optional<Duration> wait_from_report(const Server& server, const LoadReport& report) const {
     if (!report.wait_ms && !report.queued) return std::nullopt;
     const double ms =
@@ -499,7 +521,7 @@
     settings_.attempts_cap = std::max(changed.attempts_cap, 1u);
   }
 
-  // ---- The gap
+  // ---- Gaps and overload
 
   void raise_gap(Server& server, const char* cause, Duration waited = Duration{0}, int rises = 1) {
     server.raised_at = now_;
@@ -510,25 +532,25 @@
     mark_degraded(server, cause);
   }
 
-  // The gap at which all fronts together would have sent what was in line: a wait, shared by this front's
-  // own.
+  // The gap at which all instances together would have sent what was queued: the wait divided by the number
+  // of this instance's own set-ups there.
   Duration wait_per_setup(CallId id, Duration waited) const {
     const auto call = calls_.find(id);
     return call == calls_.end() ? Duration{0} : waited / call->second.in_flight_at_send;
   }
 
-  // One rise for a set-up just late, one more for each doubling of its wait: a long line must be worked off
-  // within some aims, not kept.
+  // One rise for a set-up that is just late, and one more for each doubling of its wait: a long queue must be
+  // worked off within some aims, not kept up.
   int rises_for(Duration delay) const {
     return 1 + static_cast<int>(std::log2(std::max(ratio(delay, late_threshold()), 1.0)));
   }
 
-  // What was sent before the last rise tells of the time before it.
+  // A set-up sent before the last rise reflects the load before that rise.
   static bool sent_before_rise(const Server& server, Time sent) {
     return server.raised_at && sent < *server.raised_at;
   }
 
-  // A sign of pressure; the first of a spell is told to the staff.
+  // Records a sign of overload or failure. Only the first of a series is logged for the operators.
   void mark_degraded(Server& server, const char* cause) {
     if (!server.degraded(now_)) log(server, cause);
     server.degraded_at = now_;
@@ -547,7 +569,7 @@
     return std::min({by_wait, 1 - server.utilisation.value_or(0), server.free_line_share.value_or(1)});
   }
 
-  // Where servers tell nothing of their processors it goes by the aim, as in the source.
+  // Where servers do not report their load, the delay is judged by the aim, as in the base algorithm.
   double spare_by_delay(const Server& server) const {
     if (server.delay_known_at == Time::min() || now_ - server.delay_known_at > kDelayValidFor)
       return kDefaultSpareShare;
@@ -555,7 +577,7 @@
                          ratio(server.delay, settings_.load_reported ? late_threshold() : shortest_aim()));
   }
 
-  // A reported wait is worked off as time goes by; one that was not is told again.
+  // The queue shrinks as time goes by; if it does not, the server reports it again.
   Duration remaining_wait(const Server& server) const {
     return std::max(server.queue_wait - (now_ - server.wait_reported_at), Duration{0});
   }
@@ -566,13 +588,13 @@
     return std::max(late, kMinAim);
   }
 
-  // Its answer got lost: of what was sent a while later the server has answered something.
+  // Whether the set-up's answer got lost: a set-up that was sent some time later has been answered already.
   bool overtaken(const Server& server, Time sent) const {
     return sent + scaled(late_threshold(), kOvertakenShare) < server.latest_answered_send;
   }
 
-  // How many set-ups out are late: the server is slow or silent. One whose answer got lost tells nothing of
-  // it.
+  // Number of set-ups in flight that are late, which shows that the server is slow or silent. A set-up whose
+  // answer got lost shows neither and is not counted.
   int overdue_count(const Server& server) const {
     return static_cast<int>(
         std::count_if(server.in_flight.begin(), server.in_flight.end(), [&](const auto& sent) {
@@ -580,8 +602,8 @@
         }));
   }
 
-  // While the server owes answers nothing more goes there, but for one set-up now and then, after waits that
-  // double: only the answer to a later one can show that an answer got lost and not that the server is slow.
+  // While answers of the server are overdue, it gets nothing more except single set-ups after doubling
+  // pauses: only the answer to a later set-up can show that an answer got lost and the server is not slow.
   Time overdue_pause_until(const Server& server) const {
     const int late = overdue_count(server);
     if (late == 0) return Time::min();
@@ -598,7 +620,7 @@
     return std::max(aim, kMinAim);
   }
 
-  // When the next set-up may go to the server.
+  // The earliest time of the next set-up to the server.
   Time opens_at(const Server& server) const {
     const bool no_line = server.free_lines && *server.free_lines <= 0;
     return std::max({server.gap.opens_at(cold_gap(server)), server.backoff_until, server.paused_until,
@@ -609,7 +631,8 @@
     return now_ >= std::max(opens_at(server), overdue_pause_until(server)) && !window_full(server);
   }
 
-  // A number without a free line gets a gap of its own, so that its calls do not use up the processors.
+  // A dialled number without a free line gets a gap of its own, so that calls to it do not use up the
+  // processors.
   void limit_number(const Call& call) {
     if (call.request.number_key == 0) return;
     Gap& number = busy_numbers_[call.request.number_key];
@@ -622,7 +645,7 @@
     return found == busy_numbers_.end() ? nullptr : &found->second;
   }
 
-  // ---- Guards
+  // ---- Back-off and cold servers
 
   void back_off(Server& server, const char* cause) {
     server.backoff = std::clamp(server.backoff * 2, kMinBackoff, kMaxBackoff);
@@ -633,10 +656,9 @@
     stagger_gap(server);
   }
 
-  // This front's share of what a cold server can do now, as a gap: a warm server bears what this front sends
-  // it.
-  // A server that was out of reach or cut a set-up may have started anew before the list knows: what comes
-  // back counts as cold.
+  // This instance's share of a cold server's present capacity, as a gap; a warm server is taken to handle
+  // what this instance sends it. A server that was unreachable or reset a set-up may have restarted before
+  // the list shows it, so it counts as cold when it comes back.
   Duration cold_gap(const Server& server) const {
     if (!cold(server)) return Duration{0};
     const double warmth = std::clamp(ratio(now_ - cold_since(server), settings_.cold), 0.0, 1.0);
@@ -653,16 +675,17 @@
     return cold_since(server) != Time::min() && now_ - cold_since(server) < settings_.cold;
   }
 
-  // The fronts hear of a start within moments of one another. Each begins somewhere inside its gap, so that
-  // their first set-ups come spread over it and not all together.
+  // The instances learn of a start within moments of each other. Each starts at a random point inside its
+  // gap, so that their first set-ups are spread over the gap and do not arrive together.
   void stagger_gap(Server& server) {
     const double phase = static_cast<double>(random_() % 1024) / 1024;
     server.gap.width = std::max(server.gap.width, cold_gap(server));
     if (server.gap.width > Duration{0}) server.gap.last_sent = now_ - scaled(server.gap.width, phase);
   }
 
-  // A server was planned for the calls that name it, and has lines for them; what names it tells more of its
-  // processor. A machine that takes another's place has its number.
+  // Rate of set-ups, per second, that this instance may expect to send to the server. A server is planned for
+  // the calls that name it and has lines for them; the calls that name it tell more of its processor than the
+  // lines do. A machine that replaces another keeps its number.
   double fair_rate(const Server& server) const {
     const auto seen = first_choices_.find(server.entry.number);
     const double named = seen == first_choices_.end() ? 0.0 : seen->second.count(now_);
@@ -672,7 +695,8 @@
     return ((1 - kLinesWeight) * named + by_lines) / (memory + 1);
   }
 
-  // Where a front sends less often than once in an aim, the next answer comes too late to go by small steps.
+  // Whether the instance sends there less often than once in an aim: then the next answer comes too late to
+  // adjust the gap in small steps.
   bool rarely_used(const Server& server) const { return usual_spacing(server) > shortest_aim(); }
 
   Duration usual_spacing(const Server& server) const {
@@ -685,7 +709,8 @@
     return std::min(server.lines / fleet_.lines * fleet_.reporting * mean, 1.0);
   }
 
-  // As many set-ups may be out as a fair share brings within a part of the aim, and a few for chance.
+  // Limits the set-ups in flight to what the fair rate brings within a part of the aim, plus an allowance for
+  // random arrivals. Set-ups whose answers got lost do not count.
   bool window_full(const Server& server) const {
     const Duration span = std::max(settings_.resend, scaled(shortest_aim(), kWindowShareOfAim));
     const double window = kWindowAllowance + fair_rate(server) * ratio(span, seconds(1));
@@ -694,7 +719,7 @@
     return static_cast<double>(server.in_flight.size()) - static_cast<double>(lost) >= window;
   }
 
-  // ---- Route
+  // ---- Routing
 
   bool open_to(const Call& call, const Server& server) const {
     if (!server.usable() || now_ < server.backoff_until) return false;
@@ -705,9 +730,10 @@
            (pools.empty() || std::find(pools.begin(), pools.end(), server.entry.number) != pools.end());
   }
 
-  // Whether the server made nothing of this call while another may yet take it: whose fault it is only a
-  // second server can tell, and one that fails sound calls would fail it again. Behind the others' gaps it
-  // does not wait for long, for then most that were failed once would be failed by the wait.
+  // Whether the server rejected this call as faulty and another server may still accept it. Only a second
+  // server can tell whether the call or the server is at fault, and a server that rejects good calls would
+  // reject it again. The call waits only briefly for the other servers' gaps; a longer wait would itself fail
+  // most calls that were rejected once.
   bool avoids_after_fault(const Call& call, const ServerId& id) const {
     return call.faulted_server == id && std::any_of(servers_.begin(), servers_.end(), [&](const auto& other) {
              return other.first != id && open_to(call, other.second) &&
@@ -715,8 +741,8 @@
            });
   }
 
-  // Where the call may go now: its first choice unless that is pressed, else the less waiting of two others;
-  // where these are pressed too or not open, whichever is open, the first choice before the others.
+  // The server for the call: its first choice unless that is degraded, else the less loaded of two random
+  // healthy servers. If none of these is open, an open degraded one, the first choice before the others.
   Server* route(const Call& call) {
     Server* first = nullptr;
     std::vector<Server*> healthy, impaired;
@@ -738,7 +764,8 @@
     std::swap(others.front(), others[random_() % others.size()]);
     if (others.size() == 1) return others.front();
     Server* const second = others[1 + random_() % (others.size() - 1)];
-    // A slowed server has few out since little is sent there: where it tells nothing its delay goes first.
+    // A slowed server has few set-ups in flight because few are sent to it, so where servers do not report
+    // their load the delay is compared first.
     const auto waiting = [this](const Server& s) {
       return std::tuple(settings_.load_reported ? 0 : 1 - spare_by_delay(s), s.in_flight.size(),
                         std::max(s.delay, remaining_wait(s)));
@@ -756,8 +783,8 @@
     return call.abandoned_at - kAnswerMarginQuanta * settings_.quantum;
   }
 
-  // A set-up that is out for too long is pressure while it is: the server is slow, stands still or is gone.
-  // One whose answer got lost is called off, so that the call may be sent again.
+  // Checks the set-ups in flight. One that is overdue is a sign of overload: the server is slow, hangs or is
+  // gone. One whose answer got lost is cancelled, so that the call may be sent again.
   void check_in_flight() {
     for (auto& [id, server] : servers_) {
       const bool late = overdue_count(server) > 0;
@@ -780,7 +807,7 @@
     emit(CancelAttempt{id, call.attempts - 1});
   }
 
-  // What the call would earn if it were sent now.
+  // The value of the call if it were sent now.
   double worth(const Call& call) const {
     const CallClass& c = class_of(call);
     const bool late = now_ + late_threshold() > call.first_try + c.aim;
@@ -789,7 +816,7 @@
            (busy_numbers_.count(call.request.number_key) ? kBusyNumberWorth : 1.0);
   }
 
-  // A call that is held, as one look at all of them leaves it.
+  // A held call (no attempt in flight) as evaluated for one dispatch.
   struct HeldCall {
     double worth;
     Call* call;
@@ -800,8 +827,8 @@
     }
   };
 
-  // The next to be tried: what is worth most, of equals the latest. A full sort at every event would cost a
-  // front that holds some thousand calls more than its processor can do.
+  // The held call to try next: the one worth most, and among equals the latest. Sorting all held calls at
+  // every event would cost more than the processor can do in an instance that holds some thousand calls.
   static HeldCall* next_held(std::vector<HeldCall>& held) {
     HeldCall* best = nullptr;
     for (HeldCall& each : held) {
@@ -810,7 +837,7 @@
     return best;
   }
 
-  // The held calls, after those that have waited too long were refused.
+  // Refuses the calls that have waited too long and returns the other held calls.
   std::vector<HeldCall> collect_held() {
     std::vector<HeldCall> held;
     std::vector<CallId> late;
@@ -831,14 +858,15 @@
                        [this](const auto& item) { return item.second.usable() && open_now(item.second); });
   }
 
-  // When the call may be sent at all.
+  // The earliest time at which the call may be sent to any server.
   Time ready_at(const Call& call) {
     const Gap* const number = number_limit(call);
     return std::max(call.not_before, number ? number->opens_at() : call.not_before);
   }
 
-  // Sends what may go and refuses what has waited too long. Where no server is open none of the held calls is
-  // looked at further; where none is for one call, none is for its likes, until the next send.
+  // Sends the calls that may be sent and refuses those that have waited too long. If no server is open, no
+  // held call is examined further; if none is open for one call, calls with the same routing are skipped
+  // until the next send.
   void dispatch() {
     check_in_flight();
     std::vector<HeldCall> held = collect_held();
@@ -877,7 +905,7 @@
     if (next) schedule_wake(*next);
   }
 
-  // What route() looks at is the same for both, so that no server is open for either or one is for both.
+  // Whether route() sees the same inputs for both calls, so that a server is open for both or for neither.
   bool same_route(const Call& a, const Call& b) const {
     return a.request.call_class == b.request.call_class && a.request.first_choice == b.request.first_choice &&
            a.request.forwarded == b.request.forwarded && a.faulted_server == b.faulted_server &&
@@ -887,7 +915,7 @@
   void send(Call& call, Server& server) {
     server.gap.note_sent(now_);
     if (Gap* const number = number_limit(call)) number->note_sent(now_);
-    if (server.free_lines) *server.free_lines -= settings_.instances;  // the others are sending too
+    if (server.free_lines) *server.free_lines -= settings_.instances;  // the other instances send too
     server.in_flight[call.request.call] = now_;
     call.sent_at = now_;
     call.cancel_sent = false;
@@ -897,7 +925,8 @@
     emit(SendSetup{call.request.call, server.entry.id, {}});
   }
 
-  // When to come back: as soon as a server that the call may go to opens, by what is known now.
+  // Advice when to call again: as soon as a server open to the call admits the next set-up, as far as is
+  // known now.
   std::optional<Duration> retry_after(const Call& call) const {
     if (settings_.max_retry_after <= Duration{0}) return std::nullopt;
     Duration away = settings_.max_retry_after;
@@ -907,7 +936,7 @@
     return std::max(away, kMinRetryAfter);
   }
 
-  // The one final answer to a call that does not stand.
+  // Gives the single final answer to a call that was not established.
   void refuse_or_fail(CallId id) {
     const Call& call = calls_.at(id);
     remember_unserved(call);
@@ -933,20 +962,21 @@
   Time now_{};
   std::map<ServerId, Server> servers_;
   std::map<CallId, Call> calls_;
-  std::map<std::uint64_t, Gap> busy_numbers_;  // dialled numbers found without a free line
-  std::map<std::uint64_t, Time> unserved_;     // first tries of numbers whose last try was not served
+  std::map<std::uint64_t, Gap> busy_numbers_;  // gaps of dialled numbers that had no free line
+  std::map<std::uint64_t, Time> unserved_;     // first try of each number whose last try was not served
   struct Fleet {
     double usable = 0, reporting = 0, lines = 0;
   };
-  Fleet fleet_;  // the usable servers, those that told their lines, and these lines
+  Fleet
+      fleet_;  // number of usable servers, how many of them reported their lines, and the sum of these lines
   Time pruned_at_{};
   DecayingCount arrivals_;
-  std::map<int, DecayingCount> first_choices_;  // calls, by the number of their first choice
+  std::map<int, DecayingCount> first_choices_;  // counts of calls by the number of their first choice
   struct TokenBucket {
     double tokens = 0;
     std::optional<Time> at{};
   };
-  std::map<unsigned, TokenBucket> tenant_buckets_;  // what each tenant may still bring inside its share
+  std::map<unsigned, TokenBucket> tenant_buckets_;  // calls that each tenant may still make within its quota
   std::optional<Time> wake_at_;
   bool subscribed_ = false;
   std::vector<Action> actions_;
