--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -43,7 +43,7 @@
 constexpr Duration kDegradedFor = seconds(2);
 // A set-up that finds a free line of a busy number undoes one rise of that number's gap, so that the gap
 // stays where half of the set-ups succeed.
-constexpr double kEaseOnFreeLine = 1 - 1 / kGapRiseFactor;
+constexpr double kReductionOnFreeLine = 1 - 1 / kGapRiseFactor;
 // A call to a busy number is sent after otherwise equal calls, since only about half of such calls find a
 // free line.
 constexpr double kBusyNumberWorth = 0.5;
@@ -361,7 +361,7 @@
     const Time sent = call->second.sent_at;
     const Duration waited = wait_per_setup(established.call, established.delay);
     if (Gap* const number = number_limit(call->second)) {
-      number->lower(kEaseOnFreeLine);
+      number->lower(kReductionOnFreeLine);
       if (number->width == Duration{0}) busy_numbers_.erase(call->second.request.number_key);
     }
     note_established_after_fault(call->second);
