--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -117,9 +117,9 @@
     std::vector<ServerEntry> list;
     for (std::uint8_t s = 1; s <= case_.servers; ++s) list.push_back(entry(s));
     if (cold_since) list.back().started = cold_since;
-    auto front = std::make_unique<Front>(settings, list, random_(), now_);
-    if (fronts_.size() <= i) return fronts_.push_back(std::move(front));
-    fronts_[i] = std::move(front);
+    auto instance = std::make_unique<Instance>(settings, list, random_(), now_);
+    if (instances_.size() <= i) return instances_.push_back(std::move(instance));
+    instances_[i] = std::move(instance);
     taken_[i] = 0;
   }
 
@@ -132,20 +132,20 @@
   }
 
   void step(unsigned i) {
-    Front& front = *fronts_[i];
-    front.run_until(now_);
+    Instance& instance = *instances_[i];
+    instance.run_until(now_);
     if (!case_.restarted && i < told_.size() && told_[i] != Time{} && now_ >= told_[i]) {
       told_[i] = Time{};
       ServerList news{false, {entry(case_.servers, Availability::ready, started_)}};
       for (std::uint8_t s = 1; case_.all_cold && s < case_.servers; ++s)
         news.entries.push_back(entry(s, Availability::ready, started_));
-      front.tell(news);
+      instance.handle(news);
     }
     if (case_.others_gone > Duration{} && cold() && now_ - kTick < started_ + case_.others_gone &&
         now_ >= started_ + case_.others_gone) {
       ServerList gone;
       for (std::uint8_t s = 1; s < case_.servers; ++s) gone.entries.push_back(entry(s, Availability::gone));
-      front.tell(gone);
+      instance.handle(gone);
     }
     for (auto answer = answers_.begin(); answer != answers_.end();) {
       if (answer->instance != i || answer->due > now_) {
@@ -156,11 +156,11 @@
       answer = answers_.erase(answer);
       if (at.ending == Ending::completed) {
         if (cold()) stood_ += 1;
-        front.stands(at.call, at.server, milliseconds(30));
+        instance.establish(at.call, at.server, milliseconds(30));
       } else if (at.ending == Ending::full) {
-        front.full(at.call, at.server);
+        instance.processor_full(at.call, at.server);
       } else {
-        front.ends(at.call, at.server, at.ending);
+        instance.end_attempt(at.call, at.server, at.ending);
       }
     }
     std::poisson_distribution<int> arrivals(case_.calls * weights_[i] * 0.005 * (cold() ? case_.surge : 1));
@@ -175,14 +175,14 @@
   void call(unsigned i) {
     if (cold()) offered_ += 1;
     const auto even = static_cast<int>(random_() % case_.servers) + 1;
-    fronts_[i]->call(++id_, even_(random_) < case_.named ? case_.servers : even);
+    instances_[i]->call(++id_, even_(random_) < case_.named ? case_.servers : even);
     take(i);
   }
 
   // What the instance did since it was looked at last.
   void take(unsigned i) {
-    for (; taken_[i] < fronts_[i]->all.size(); ++taken_[i]) {
-      const Action& action = fronts_[i]->all[taken_[i]];
+    for (; taken_[i] < instances_[i]->all_actions.size(); ++taken_[i]) {
+      const Action& action = instances_[i]->all_actions[taken_[i]];
       if (const auto* refused = std::get_if<Refuse>(&action)) {
         if (even_(random_) < case_.redial)
           again_.emplace_back(now_ + refused->retry_after.value_or(seconds(1)), i);
@@ -209,7 +209,7 @@
   std::normal_distribution<double> normal_{};
   std::uniform_real_distribution<double> even_{0, 1};
   std::vector<double> weights_;
-  std::vector<std::unique_ptr<Front>> fronts_;
+  std::vector<std::unique_ptr<Instance>> instances_;
   std::vector<std::size_t> taken_;
   std::deque<Answer> answers_;
   std::deque<std::pair<Time, unsigned>> again_;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -14,37 +14,37 @@
 // ---- The ordinary path
 
 TEST(Gap, NoughtAtStartLetsCallsGoAtOnceToTheFirstChoice) {
-  Front front;
-  front.call(1);
-  front.call(2);
-  EXPECT_EQ(front.sent_to(1), 2u);
-  EXPECT_EQ(front.sent_to(2), 0u);
+  Instance instance;
+  instance.call(1);
+  instance.call(2);
+  EXPECT_EQ(instance.sent_to(1), 2u);
+  EXPECT_EQ(instance.sent_to(2), 0u);
 }
 
 TEST(Gap, RefusalSpacesTheNextSetups) {
-  Front front(plain_settings(), {entry(1)});
+  Instance instance(plain_settings(), {entry(1)});
   for (CallId id = 1; id <= 3; ++id) {
-    front.call(id);
-    front.run_until(front.now + milliseconds(100));
-    if (id > 1) front.stands(id, 1, milliseconds(50));
+    instance.call(id);
+    instance.run_until(instance.now + milliseconds(100));
+    if (id > 1) instance.establish(id, 1, milliseconds(50));
   }
-  front.no_line(1, 1);  // off nought: 1.2 times the spacing of 100 ms; call 1 is held again
-  EXPECT_EQ(front.done<SendSetup>().size(), 3u);
-  front.run_until(milliseconds(315));
-  EXPECT_EQ(front.done<SendSetup>().size(), 3u);
-  front.run_until(milliseconds(330));
-  EXPECT_EQ(front.done<SendSetup>().size(), 4u);
+  instance.no_circuit(1, 1);  // off nought: 1.2 times the spacing of 100 ms; call 1 is held again
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 3u);
+  instance.run_until(milliseconds(315));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 3u);
+  instance.run_until(milliseconds(330));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 4u);
 }
 
 TEST(Gap, FirstLiftWithoutSpacingIsTenMilliseconds) {
-  Front front(plain_settings(), {entry(1)});
-  front.call(1);
-  front.no_line(1, 1);
-  EXPECT_EQ(front.done<SendSetup>().size(), 1u);
-  front.run_until(milliseconds(11));
-  EXPECT_EQ(front.done<SendSetup>().size(), 1u);
-  front.run_until(milliseconds(12));
-  EXPECT_EQ(front.done<SendSetup>().size(), 2u);
+  Instance instance(plain_settings(), {entry(1)});
+  instance.call(1);
+  instance.no_circuit(1, 1);
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  instance.run_until(milliseconds(11));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  instance.run_until(milliseconds(12));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 2u);
 }
 
 // Guards against hasty retries into a full processor: its wait is near the aims already.
@@ -53,318 +53,318 @@
 TEST(Gap, AFaultySetupLeavesItsPlaceToTheNextAndIsTriedTwiceAtMost) {
   Settings settings = plain_settings();
   settings.classes[0].pools = {1};
-  Front front(settings, {entry(1)});
-  front.call(1);
-  front.stands(1, 1, milliseconds(900));  // late: the gap is a second wide by now
-  front.call(2);
-  front.run_until(seconds(2));
-  ASSERT_EQ(front.sent_to(1), 2u);
-  front.ends(2, 1, Ending::fault);
-  EXPECT_EQ(front.sent_to(1), 3u) << "its place was not given back";
-  front.call(3);
-  EXPECT_EQ(front.sent_to(1), 3u);
-  front.ends(2, 1, Ending::fault);
-  EXPECT_EQ(front.answers(2), 1u);
-  EXPECT_EQ(front.sent_to(1), 4u) << "the next call waits although nothing was done";
+  Instance instance(settings, {entry(1)});
+  instance.call(1);
+  instance.establish(1, 1, milliseconds(900));  // late: the gap is a second wide by now
+  instance.call(2);
+  instance.run_until(seconds(2));
+  ASSERT_EQ(instance.sent_to(1), 2u);
+  instance.end_attempt(2, 1, Ending::fault);
+  EXPECT_EQ(instance.sent_to(1), 3u) << "its place was not given back";
+  instance.call(3);
+  EXPECT_EQ(instance.sent_to(1), 3u);
+  instance.end_attempt(2, 1, Ending::fault);
+  EXPECT_EQ(instance.final_answers(2), 1u);
+  EXPECT_EQ(instance.sent_to(1), 4u) << "the next call waits although nothing was done";
 }
 
 // Guards against a server that fails sound calls at once: it looks idle, and a call that goes back to it has
 // failed although another would take it. Where no other is to be had, it is asked again.
 TEST(Route, ACallIsNotSentBackToTheServerThatMadeNothingOfIt) {
-  Front front(plain_settings(), {entry(1), entry(2), entry(3)});
+  Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   for (CallId id = 1; id <= 20; ++id) {
-    front.call(id);
-    const auto first = front.done<SendSetup>().back();
-    front.ends(id, first.server.address[3], Ending::fault);
-    const auto second = front.done<SendSetup>().back();
+    instance.call(id);
+    const auto first = instance.actions<SendSetup>().back();
+    instance.end_attempt(id, first.server.address[3], Ending::fault);
+    const auto second = instance.actions<SendSetup>().back();
     ASSERT_EQ(second.call, id);
     EXPECT_NE(second.server, first.server);
-    front.stands(id, second.server.address[3], milliseconds(20), 1);
-    EXPECT_EQ(front.answers(id), 0u);
-    front.now += seconds(1);
+    instance.establish(id, second.server.address[3], milliseconds(20), 1);
+    EXPECT_EQ(instance.final_answers(id), 0u);
+    instance.now += seconds(1);
   }
 }
 
 TEST(Route, ItsLikesGoOnToTheServerThatMadeNothingOfOneCall) {
-  Front front(plain_settings(), {entry(1), entry(2)});
-  front.call(1);
-  front.call(9, 2);
-  front.full(9, 2);  // the other is closed for a while
-  front.now += milliseconds(5);
-  const std::size_t before = front.sent_to(1);
-  front.ends(1, 1, Ending::fault);
-  EXPECT_EQ(front.sent_to(1), before) << "sent back while another server is there to ask";
-  front.call(2);
-  EXPECT_EQ(front.sent_to(1), before + 1) << "held up by a call of its kind that may not go there";
+  Instance instance(plain_settings(), {entry(1), entry(2)});
+  instance.call(1);
+  instance.call(9, 2);
+  instance.processor_full(9, 2);  // the other is closed for a while
+  instance.now += milliseconds(5);
+  const std::size_t before = instance.sent_to(1);
+  instance.end_attempt(1, 1, Ending::fault);
+  EXPECT_EQ(instance.sent_to(1), before) << "sent back while another server is there to ask";
+  instance.call(2);
+  EXPECT_EQ(instance.sent_to(1), before + 1) << "held up by a call of its kind that may not go there";
 }
 
 // A server that fails sound calls answers at once and looks idle: others are asked first until it does no
 // more.
 TEST(Route, AServerThatFailsWhatAnotherTakesGivesWayAndOneBadCallerDoesNotMakeItSo) {
-  Front front(plain_settings(), {entry(1), entry(2), entry(3)});
+  Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   const auto fails_at_first = [&](CallId id, bool taken_by_another) {
-    front.call(id);
-    const auto first = front.done<SendSetup>().back().server;
-    front.ends(id, first.address[3], Ending::fault);
-    const auto second = front.done<SendSetup>().back().server;
+    instance.call(id);
+    const auto first = instance.actions<SendSetup>().back().server;
+    instance.end_attempt(id, first.address[3], Ending::fault);
+    const auto second = instance.actions<SendSetup>().back().server;
     if (taken_by_another) {
-      front.stands(id, second.address[3], milliseconds(20), 1);
+      instance.establish(id, second.address[3], milliseconds(20), 1);
     } else {
-      front.ends(id, second.address[3], Ending::fault);
+      instance.end_attempt(id, second.address[3], Ending::fault);
     }
-    front.now += milliseconds(100);
+    instance.now += milliseconds(100);
   };
   for (CallId id = 1; id <= 10; ++id) fails_at_first(id, false);  // nobody takes them: not the server's fault
-  front.call(20);
-  EXPECT_EQ(front.done<SendSetup>().back().server, server(1));
-  front.stands(20, 1, milliseconds(20));
+  instance.call(20);
+  EXPECT_EQ(instance.actions<SendSetup>().back().server, server(1));
+  instance.establish(20, 1, milliseconds(20));
   for (CallId id = 21; id <= 23; ++id) fails_at_first(id, true);
   for (CallId id = 30; id < 34; ++id) {
-    front.call(id);
-    const auto at = front.done<SendSetup>().back().server;
+    instance.call(id);
+    const auto at = instance.actions<SendSetup>().back().server;
     EXPECT_NE(at, server(1));
-    front.stands(id, at.address[3], milliseconds(20));
-    front.now += milliseconds(100);
+    instance.establish(id, at.address[3], milliseconds(20));
+    instance.now += milliseconds(100);
   }
-  front.run_until(front.now + seconds(3));
-  front.call(40);
-  EXPECT_EQ(front.done<SendSetup>().back().server, server(1)) << "tried again after a while";
+  instance.run_until(instance.now + seconds(3));
+  instance.call(40);
+  EXPECT_EQ(instance.actions<SendSetup>().back().server, server(1)) << "tried again after a while";
 }
 
 // Guards against calls that were failed once and then wait behind the gap of a busy server until they are
 // over.
 TEST(Route, BehindTheOthersGapAFailedCallWaitsForAMomentOnly) {
-  Front front(plain_settings(), {entry(1), entry(2)});
-  front.call(9, 2);
-  front.stands(9, 2, milliseconds(1900));  // late: server 2 has a wide gap now
-  front.call(1);
-  front.ends(1, 1, Ending::fault);
-  const Time faulted = front.now;
-  EXPECT_EQ(front.sent_to(1), 1u);
-  front.run_until(faulted + milliseconds(190));
-  EXPECT_EQ(front.sent_to(1), 1u) << "not at once";
-  front.run_until(faulted + milliseconds(210));
-  EXPECT_EQ(front.sent_to(1), 2u);
-  front.ends(1, 1, Ending::fault);
-  EXPECT_EQ(front.answers(1), 0u) << "the same server again is no second opinion";
-  front.run_until(front.now + seconds(1));
-  EXPECT_EQ(front.done<SendSetup>().size(), 4u) << "tried once more";
+  Instance instance(plain_settings(), {entry(1), entry(2)});
+  instance.call(9, 2);
+  instance.establish(9, 2, milliseconds(1900));  // late: server 2 has a wide gap now
+  instance.call(1);
+  instance.end_attempt(1, 1, Ending::fault);
+  const Time faulted = instance.now;
+  EXPECT_EQ(instance.sent_to(1), 1u);
+  instance.run_until(faulted + milliseconds(190));
+  EXPECT_EQ(instance.sent_to(1), 1u) << "not at once";
+  instance.run_until(faulted + milliseconds(210));
+  EXPECT_EQ(instance.sent_to(1), 2u);
+  instance.end_attempt(1, 1, Ending::fault);
+  EXPECT_EQ(instance.final_answers(1), 0u) << "the same server again is no second opinion";
+  instance.run_until(instance.now + seconds(1));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 4u) << "tried once more";
 }
 
 TEST(Route, WithNoOtherServerToAskTheSameIsAskedAgain) {
-  Front front(plain_settings(), {entry(1), entry(2, Availability::draining)});
-  front.call(1);
-  front.ends(1, 1, Ending::fault);
-  EXPECT_EQ(front.sent_to(1), 2u);
+  Instance instance(plain_settings(), {entry(1), entry(2, Availability::draining)});
+  instance.call(1);
+  instance.end_attempt(1, 1, Ending::fault);
+  EXPECT_EQ(instance.sent_to(1), 2u);
 }
 
 // A connection that breaks says nothing of the processor behind it: no pause, no cold gap. The guard holds.
 TEST(Gap, ALostConnectionIsNoSignOfLoad) {
-  Front front;
-  front.call(1);
-  front.now = milliseconds(10);
-  front.ends(1, 1, Ending::reset, Cause::connection_lost);
+  Instance instance;
+  instance.call(1);
+  instance.now = milliseconds(10);
+  instance.end_attempt(1, 1, Ending::reset, Cause::connection_lost);
   for (CallId id = 2; id < 6; ++id) {
-    front.now += milliseconds(10);
-    front.call(id);
-    front.stands(id, 1, milliseconds(5));
+    instance.now += milliseconds(10);
+    instance.call(id);
+    instance.establish(id, 1, milliseconds(5));
   }
-  EXPECT_EQ(front.sent_to(1), 5u);
-  EXPECT_EQ(front.sent_to(2), 0u);
-  front.run_until(milliseconds(209));
-  EXPECT_EQ(front.done<SendSetup>().size(), 5u);
-  front.run_until(milliseconds(215));
-  EXPECT_EQ(front.done<SendSetup>().size(), 6u);
+  EXPECT_EQ(instance.sent_to(1), 5u);
+  EXPECT_EQ(instance.sent_to(2), 0u);
+  instance.run_until(milliseconds(209));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 5u);
+  instance.run_until(milliseconds(215));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 6u);
 }
 
 TEST(Gap, FullProcessorIsLeftAloneForOneAim) {
-  Front front(plain_settings(), {entry(1)});
-  front.call(1);
-  front.full(1, 1);
-  front.run_until(milliseconds(1999));
-  EXPECT_EQ(front.done<SendSetup>().size(), 1u);
-  front.run_until(milliseconds(2001));
-  EXPECT_EQ(front.done<SendSetup>().size(), 2u);
+  Instance instance(plain_settings(), {entry(1)});
+  instance.call(1);
+  instance.processor_full(1, 1);
+  instance.run_until(milliseconds(1999));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  instance.run_until(milliseconds(2001));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 2u);
 }
 
 // Guards against reading a fast answer as a sign of spare when hardly a line is free.
 TEST(Gap, SpareIsAtMostTheShareOfFreeLines) {
   for (const double free : {5.0, 95.0}) {
-    Front front(plain_settings(), {entry(1)});
+    Instance instance(plain_settings(), {entry(1)});
     for (CallId id = 1; id <= 3; ++id) {
-      front.call(id);
-      front.run_until(front.now + milliseconds(100));
-      if (id > 1) front.stands(id, 1, milliseconds(10));
+      instance.call(id);
+      instance.run_until(instance.now + milliseconds(100));
+      if (id > 1) instance.establish(id, 1, milliseconds(10));
     }
-    front.no_line(1, 1);  // a gap of 120 ms
+    instance.no_circuit(1, 1);  // a gap of 120 ms
     ServerProbed told{server(1), true, {}};
     told.report.free_circuits = free;
     told.report.circuits = 100;
-    front.tell(told);
-    front.run_until(milliseconds(600));  // call 1 went again
-    front.stands(1, 1, milliseconds(10), 1);
-    front.call(4);
-    const auto before = front.sent_to(1);
-    front.call(5);
-    front.run_until(front.now + milliseconds(60));
-    EXPECT_EQ(front.sent_to(1) - before, free > 50 ? 1u : 0u);
+    instance.handle(told);
+    instance.run_until(milliseconds(600));  // call 1 went again
+    instance.establish(1, 1, milliseconds(10), 1);
+    instance.call(4);
+    const auto before = instance.sent_to(1);
+    instance.call(5);
+    instance.run_until(instance.now + milliseconds(60));
+    EXPECT_EQ(instance.sent_to(1) - before, free > 50 ? 1u : 0u);
   }
 }
 
 // Guards against pushing on into a server that answers late: 'full' would come only after seconds.
 TEST(Gap, LateSetupRaisesTheGapAndOneSentBeforeTheRiseDoesNotUndoIt) {
-  Front front(plain_settings(), {entry(1)});
+  Instance instance(plain_settings(), {entry(1)});
   for (CallId id = 1; id <= 3; ++id) {
-    front.call(id);
-    front.run_until(front.now + milliseconds(60));
+    instance.call(id);
+    instance.run_until(instance.now + milliseconds(60));
   }
-  front.run_until(milliseconds(290));
-  front.stands(1, 1, milliseconds(290));
-  front.stands(2, 1, milliseconds(20));
-  front.stands(3, 1, milliseconds(20));
-  front.call(4);
-  const auto before = front.sent_to(1);
-  front.run_until(milliseconds(460));  // the last went 120 ms in; the gap is 1.2 x 290 ms
-  EXPECT_EQ(front.sent_to(1), before);
-  front.run_until(milliseconds(475));
-  EXPECT_EQ(front.sent_to(1), before + 1);
+  instance.run_until(milliseconds(290));
+  instance.establish(1, 1, milliseconds(290));
+  instance.establish(2, 1, milliseconds(20));
+  instance.establish(3, 1, milliseconds(20));
+  instance.call(4);
+  const auto before = instance.sent_to(1);
+  instance.run_until(milliseconds(460));  // the last went 120 ms in; the gap is 1.2 x 290 ms
+  EXPECT_EQ(instance.sent_to(1), before);
+  instance.run_until(milliseconds(475));
+  EXPECT_EQ(instance.sent_to(1), before + 1);
 }
 
 // Guards against a jam that many fronts keep up between them: one rise an answer takes each of them too long.
 TEST(Gap, LateSetupSpacesTheNextByNoLessThanItWaited) {
-  Front front(plain_settings(), {entry(1)});
-  front.call(1);
-  front.run_until(milliseconds(390));
-  front.stands(1, 1, milliseconds(390));
-  front.call(2);
-  front.run_until(milliseconds(460));
-  EXPECT_EQ(front.sent_to(1), 1u);
-  front.run_until(milliseconds(475));
-  EXPECT_EQ(front.sent_to(1), 2u);
+  Instance instance(plain_settings(), {entry(1)});
+  instance.call(1);
+  instance.run_until(milliseconds(390));
+  instance.establish(1, 1, milliseconds(390));
+  instance.call(2);
+  instance.run_until(milliseconds(460));
+  EXPECT_EQ(instance.sent_to(1), 1u);
+  instance.run_until(milliseconds(475));
+  EXPECT_EQ(instance.sent_to(1), 2u);
 }
 
 // Guards against spacing by the whole wait where few fronts have several set-ups in line.
 TEST(Gap, LateSetupAmongOthersSpacesByItsPartOfTheWait) {
-  Front front(plain_settings(), {entry(1)});
-  for (CallId id = 1; id <= 3; ++id) front.call(id);  // all out at once: the last is the third in line
-  front.run_until(milliseconds(900));
-  front.stands(3, 1, milliseconds(900));
-  front.stands(1, 1, milliseconds(900));
-  front.stands(2, 1, milliseconds(900));
-  front.call(4);
-  EXPECT_EQ(front.sent_to(1), 4u);  // 1.2 x 300 ms since the last went
+  Instance instance(plain_settings(), {entry(1)});
+  for (CallId id = 1; id <= 3; ++id) instance.call(id);  // all out at once: the last is the third in line
+  instance.run_until(milliseconds(900));
+  instance.establish(3, 1, milliseconds(900));
+  instance.establish(1, 1, milliseconds(900));
+  instance.establish(2, 1, milliseconds(900));
+  instance.call(4);
+  EXPECT_EQ(instance.sent_to(1), 4u);  // 1.2 x 300 ms since the last went
 }
 
 // Guards against a server kept jammed by the tries of many fronts, each of which takes its caller's whole
 // time.
 TEST(Gap, TimeOutTriplesTheGapAndThoseSentBeforeItDoNotAgain) {
-  Front front(plain_settings(), {entry(1)});
-  front.run_until(seconds(40));  // it sends there seldom: its usual spacing is some seconds
-  front.call(1);
-  front.call(2);
-  front.run_until(milliseconds(42980));
+  Instance instance(plain_settings(), {entry(1)});
+  instance.run_until(seconds(40));  // it sends there seldom: its usual spacing is some seconds
+  instance.call(1);
+  instance.call(2);
+  instance.run_until(milliseconds(42980));
   AttemptEnded timed_out;
   timed_out.server = server(1);
   timed_out.ending = Ending::timed_out;
   timed_out.delay = seconds(3);
-  for (timed_out.call = 1; timed_out.call <= 2; ++timed_out.call) front.tell(timed_out);
+  for (timed_out.call = 1; timed_out.call <= 2; ++timed_out.call) instance.handle(timed_out);
   // No less than 3 s x 1.2^6 = 9 s after the last send, and not 1.2^12 times as much, 27 s at least.
-  front.call(3, 1, 0, seconds(30));
-  front.run_until(milliseconds(48800));
-  EXPECT_EQ(front.sent_to(1), 2u);
-  front.run_until(seconds(60));
-  EXPECT_EQ(front.sent_to(1), 3u);
+  instance.call(3, 1, 0, seconds(30));
+  instance.run_until(milliseconds(48800));
+  EXPECT_EQ(instance.sent_to(1), 2u);
+  instance.run_until(seconds(60));
+  EXPECT_EQ(instance.sent_to(1), 3u);
 }
 
 // Guards against the small fleet's harm: a front that sends there often goes by single rises.
 TEST(Gap, TimeOutIsOneRiseWhereTheFrontSendsOften) {
-  Front front(plain_settings(), {entry(1)});
+  Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
-  while (front.now < seconds(20)) {
-    front.call(++id);
-    front.stands(id, 1, milliseconds(20));
-    front.run_until(front.now + milliseconds(100));
+  while (instance.now < seconds(20)) {
+    instance.call(++id);
+    instance.establish(id, 1, milliseconds(20));
+    instance.run_until(instance.now + milliseconds(100));
   }
-  front.call(++id);
-  front.run_until(front.now + seconds(3));
+  instance.call(++id);
+  instance.run_until(instance.now + seconds(3));
   AttemptEnded timed_out;
   timed_out.call = id;
   timed_out.server = server(1);
   timed_out.ending = Ending::timed_out;
   timed_out.delay = seconds(3);
-  front.tell(timed_out);
-  const auto before = front.sent_to(1);
-  front.call(++id);  // 3.6 s after the last send
-  front.run_until(front.now + milliseconds(650));
-  EXPECT_EQ(front.sent_to(1), before + 1);
+  instance.handle(timed_out);
+  const auto before = instance.sent_to(1);
+  instance.call(++id);  // 3.6 s after the last send
+  instance.run_until(instance.now + milliseconds(650));
+  EXPECT_EQ(instance.sent_to(1), before + 1);
 }
 
 // Guards against a line of seconds that a gap of little more than the wait would keep up.
 TEST(Gap, LateSetupCountsARiseMoreForEachDoublingOfItsWait) {
-  Front front(plain_settings(), {entry(1)});
-  front.call(1);
-  front.run_until(milliseconds(1700));
-  front.stands(1, 1, milliseconds(1700));  // over 8 late times: four rises, 3.5 s
-  front.call(2);
-  front.run_until(milliseconds(3400));
-  EXPECT_EQ(front.sent_to(1), 1u);
-  front.run_until(milliseconds(3600));
-  EXPECT_EQ(front.sent_to(1), 2u);
+  Instance instance(plain_settings(), {entry(1)});
+  instance.call(1);
+  instance.run_until(milliseconds(1700));
+  instance.establish(1, 1, milliseconds(1700));  // over 8 late times: four rises, 3.5 s
+  instance.call(2);
+  instance.run_until(milliseconds(3400));
+  EXPECT_EQ(instance.sent_to(1), 1u);
+  instance.run_until(milliseconds(3600));
+  EXPECT_EQ(instance.sent_to(1), 2u);
 }
 
 // Guards against many fronts each coming back an aim after 'processor full': turning them away is work too.
 TEST(Gap, FullProcessorIsLeftAloneForThreeUsualSpacings) {
-  Front front(plain_settings(), {entry(1)});
+  Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
-  while (front.now < seconds(60)) {  // a call in two seconds
-    front.call(++id);
-    front.stands(id, 1, milliseconds(20));
-    front.run_until(front.now + seconds(2));
+  while (instance.now < seconds(60)) {  // a call in two seconds
+    instance.call(++id);
+    instance.establish(id, 1, milliseconds(20));
+    instance.run_until(instance.now + seconds(2));
   }
-  front.call(++id);
-  front.full(id, 1);
-  const auto before = front.sent_to(1);
-  front.call(++id, 1, 0, seconds(9));
-  front.run_until(milliseconds(64500));
-  EXPECT_EQ(front.sent_to(1), before);
-  front.run_until(seconds(68));
-  EXPECT_GT(front.sent_to(1), before);
+  instance.call(++id);
+  instance.processor_full(id, 1);
+  const auto before = instance.sent_to(1);
+  instance.call(++id, 1, 0, seconds(9));
+  instance.run_until(milliseconds(64500));
+  EXPECT_EQ(instance.sent_to(1), before);
+  instance.run_until(seconds(68));
+  EXPECT_GT(instance.sent_to(1), before);
 }
 
 // Guards against a lift from the short spacing of a backlog where the front sees the server once in seconds.
 TEST(Gap, LiftStartsFromTheUsualSpacingWhereThatIsLong) {
-  Front front(plain_settings(), {entry(1)});
+  Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
-  while (front.now < seconds(60)) {  // five calls at once in twelve seconds
+  while (instance.now < seconds(60)) {  // five calls at once in twelve seconds
     for (int i = 0; i < 5; ++i) {
-      front.call(++id);
-      front.stands(id, 1, milliseconds(20));
-      front.run_until(front.now + milliseconds(10));
+      instance.call(++id);
+      instance.establish(id, 1, milliseconds(20));
+      instance.run_until(instance.now + milliseconds(10));
     }
-    front.run_until(front.now + seconds(12));
+    instance.run_until(instance.now + seconds(12));
   }
-  front.call(++id);
-  front.no_line(id, 1);
-  const auto before = front.sent_to(1);
-  front.run_until(front.now + seconds(1));
-  EXPECT_EQ(front.sent_to(1), before);
+  instance.call(++id);
+  instance.no_circuit(id, 1);
+  const auto before = instance.sent_to(1);
+  instance.run_until(instance.now + seconds(1));
+  EXPECT_EQ(instance.sent_to(1), before);
 }
 
 // Guards against a draw by chance where a front has nothing out anywhere.
 TEST(Route, OfTwoOthersTheOneWithTheShorterLastDelay) {
-  Front front(plain_settings(), {entry(1), entry(2), entry(3)});
-  front.call(1, 2);
-  front.stands(1, 2, milliseconds(150));
-  front.call(2, 3);
-  front.stands(2, 3, milliseconds(20));
-  front.call(3, 1);
-  front.full(3, 1);  // moves on
+  Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
+  instance.call(1, 2);
+  instance.establish(1, 2, milliseconds(150));
+  instance.call(2, 3);
+  instance.establish(2, 3, milliseconds(20));
+  instance.call(3, 1);
+  instance.processor_full(3, 1);  // moves on
   for (CallId id = 3; id < 8; ++id) {
-    front.stands(id, 3, milliseconds(20), id == 3 ? 1 : 0);
-    front.call(id + 1, 1);
+    instance.establish(id, 3, milliseconds(20), id == 3 ? 1 : 0);
+    instance.call(id + 1, 1);
   }
-  EXPECT_EQ(front.sent_to(2), 1u);
-  EXPECT_EQ(front.sent_to(3), 7u);
+  EXPECT_EQ(instance.sent_to(2), 1u);
+  EXPECT_EQ(instance.sent_to(3), 7u);
 }
 
 // Reports: a long wait or queue is pressure, whoever's call brings it; a queue counts by what all fronts
@@ -372,56 +372,56 @@
 class Reports : public ::testing::Test {
  protected:
   void report(CallId id, LoadReport told) {
-    front.call(id);
-    front.stands(id, 1, milliseconds(20));
-    front.ends(id, 1, Ending::completed, Cause::none, told);
+    instance.call(id);
+    instance.establish(id, 1, milliseconds(20));
+    instance.end_attempt(id, 1, Ending::completed, Cause::none, told);
   }
-  Front front{plain_settings(), {entry(1), entry(2)}};
+  Instance instance{plain_settings(), {entry(1), entry(2)}};
 };
 
 TEST_F(Reports, LongWaitTurnsCallsAway) {
   LoadReport told;
   told.wait_ms = 500;
   report(1, told);
-  front.call(2);
-  EXPECT_EQ(front.sent_to(2), 1u);
-  front.run_until(front.now + seconds(3));
-  front.call(3);
-  EXPECT_EQ(front.sent_to(1), 2u);
+  instance.call(2);
+  EXPECT_EQ(instance.sent_to(2), 1u);
+  instance.run_until(instance.now + seconds(3));
+  instance.call(3);
+  EXPECT_EQ(instance.sent_to(1), 2u);
 }
 
 TEST_F(Reports, QueueCountsByTheRateOfAllFronts) {
   for (CallId id = 1; id <= 100; ++id) {  // ten a second of each of four fronts
-    front.call(id);
-    front.stands(id, 1, milliseconds(20));
-    front.run_until(front.now + milliseconds(100));
+    instance.call(id);
+    instance.establish(id, 1, milliseconds(20));
+    instance.run_until(instance.now + milliseconds(100));
   }
   LoadReport told;
   told.queued = 2;
   report(101, told);
-  front.call(102);
-  EXPECT_EQ(front.sent_to(2), 0u);
+  instance.call(102);
+  EXPECT_EQ(instance.sent_to(2), 0u);
   told.queued = 20;
   report(103, told);
-  front.call(104);
-  EXPECT_EQ(front.sent_to(2), 1u);
+  instance.call(104);
+  EXPECT_EQ(instance.sent_to(2), 1u);
 }
 
 // Guards against a server that recovered and is tried once in half a minute by each of many fronts.
 TEST_F(Reports, SpareAtTheEndOfACallCutsTheGap) {
-  Front one(plain_settings(), {entry(1)});
+  Instance one(plain_settings(), {entry(1)});
   one.call(1);
-  one.stands(1, 1, milliseconds(20));
+  one.establish(1, 1, milliseconds(20));
   one.call(2);
   one.run_until(milliseconds(2500));
-  one.stands(2, 1, milliseconds(2500));  // about six seconds of gap
+  one.establish(2, 1, milliseconds(2500));  // about six seconds of gap
   LoadReport told;
   told.utilisation = 0.1;
-  one.ends(1, 1, Ending::completed, Cause::none, told);  // not later than the rise: does not count
+  one.end_attempt(1, 1, Ending::completed, Cause::none, told);  // not later than the rise: does not count
   one.call(3);
   one.run_until(milliseconds(4600));
   EXPECT_EQ(one.sent_to(1), 2u);
-  one.ends(2, 1, Ending::completed, Cause::none, told);
+  one.end_attempt(2, 1, Ending::completed, Cause::none, told);
   one.run_until(milliseconds(4700));
   EXPECT_EQ(one.sent_to(1), 3u);
 }
@@ -432,62 +432,62 @@
     LoadReport told;
     told.wait_ms = absurd;
     told.queued = absurd;
-    report(static_cast<CallId>(front.sent_to(1) + 1), told);
+    report(static_cast<CallId>(instance.sent_to(1) + 1), told);
   }
-  front.call(50);
-  EXPECT_EQ(front.sent_to(1), 4u);
+  instance.call(50);
+  EXPECT_EQ(instance.sent_to(1), 4u);
 }
 
 // Guards against silence: the list says ready, but the set-up that is out gets no answer. One more now and
 // then is to show whether the answer got lost or the server is slow.
 TEST(Gap, NothingMoreGoesToAServerThatOwesAnAnswerButOneNowAndThen) {
-  Front front(plain_settings(), {entry(1)});
-  front.call(1);
-  front.run_until(milliseconds(201));
-  for (CallId id = 2; id < 9; ++id) front.call(id);
-  front.run_until(milliseconds(399));
-  EXPECT_EQ(front.sent_to(1), 1u);
-  front.run_until(milliseconds(1199));
-  EXPECT_EQ(front.sent_to(1), 2u);
-  front.run_until(milliseconds(1500));
-  EXPECT_EQ(front.sent_to(1), 3u);
-  front.stands(1, 1, milliseconds(1500));  // in turn: it is slow
-  EXPECT_EQ(front.sent_to(1), 3u);
+  Instance instance(plain_settings(), {entry(1)});
+  instance.call(1);
+  instance.run_until(milliseconds(201));
+  for (CallId id = 2; id < 9; ++id) instance.call(id);
+  instance.run_until(milliseconds(399));
+  EXPECT_EQ(instance.sent_to(1), 1u);
+  instance.run_until(milliseconds(1199));
+  EXPECT_EQ(instance.sent_to(1), 2u);
+  instance.run_until(milliseconds(1500));
+  EXPECT_EQ(instance.sent_to(1), 3u);
+  instance.establish(1, 1, milliseconds(1500));  // in turn: it is slow
+  EXPECT_EQ(instance.sent_to(1), 3u);
 }
 
 // A processor answers in turn: where a later set-up has its answer, that of an earlier one got lost. It tells
 // nothing of load, blocks nothing, and the call goes again after the guard.
 TEST(Gap, ALostAnswerIsNoSignOfLoadAndItsCallGoesAgain) {
-  Front front(plain_settings(), {entry(1)});
-  front.call(1);
-  front.run_until(milliseconds(100));
-  front.call(2);
-  front.stands(2, 1, milliseconds(5));
-  front.run_until(milliseconds(390));
-  front.call(3);
-  EXPECT_EQ(front.sent_to(1), 3u) << "held behind a lost answer";
-  front.stands(3, 1, milliseconds(5));
-  EXPECT_TRUE(front.done<CancelAttempt>().empty());
-  front.run_until(milliseconds(410));
-  ASSERT_EQ(front.done<CancelAttempt>().size(), 1u);
-  EXPECT_EQ(front.done<CancelAttempt>()[0].call, 1u);
-  front.ends(1, 1, Ending::cancelled);
-  front.run_until(milliseconds(609));
-  EXPECT_EQ(front.sent_to(1), 3u) << "before the release guard was over";
-  front.run_until(milliseconds(620));
-  EXPECT_EQ(front.sent_to(1), 4u);
-  EXPECT_EQ(front.done<SendSetup>().back().call, 1u);
-  EXPECT_EQ(front.done<CancelAttempt>().size(), 1u);
+  Instance instance(plain_settings(), {entry(1)});
+  instance.call(1);
+  instance.run_until(milliseconds(100));
+  instance.call(2);
+  instance.establish(2, 1, milliseconds(5));
+  instance.run_until(milliseconds(390));
+  instance.call(3);
+  EXPECT_EQ(instance.sent_to(1), 3u) << "held behind a lost answer";
+  instance.establish(3, 1, milliseconds(5));
+  EXPECT_TRUE(instance.actions<CancelAttempt>().empty());
+  instance.run_until(milliseconds(410));
+  ASSERT_EQ(instance.actions<CancelAttempt>().size(), 1u);
+  EXPECT_EQ(instance.actions<CancelAttempt>()[0].call, 1u);
+  instance.end_attempt(1, 1, Ending::cancelled);
+  instance.run_until(milliseconds(609));
+  EXPECT_EQ(instance.sent_to(1), 3u) << "before the release guard was over";
+  instance.run_until(milliseconds(620));
+  EXPECT_EQ(instance.sent_to(1), 4u);
+  EXPECT_EQ(instance.actions<SendSetup>().back().call, 1u);
+  EXPECT_EQ(instance.actions<CancelAttempt>().size(), 1u);
 }
 
 TEST(Order, WorthFirstThenTheNewest) {
-  Front front(plain_settings(), {});
-  front.call(1);
-  front.now += milliseconds(10);
-  front.call(2);
-  front.call(3, 1, 1);  // the dear class
-  front.tell(ServerList{true, {entry(1)}});
-  const auto sends = front.done<SendSetup>();
+  Instance instance(plain_settings(), {});
+  instance.call(1);
+  instance.now += milliseconds(10);
+  instance.call(2);
+  instance.call(3, 1, 1);  // the dear class
+  instance.handle(ServerList{true, {entry(1)}});
+  const auto sends = instance.actions<SendSetup>();
   ASSERT_EQ(sends.size(), 3u);
   EXPECT_EQ(sends[0].call, 3u);
   EXPECT_EQ(sends[1].call, 2u);
@@ -499,22 +499,22 @@
   Settings settings = plain_settings();
   settings.tenants = {{4.0}, {400.0}};  // for this front of four: one a second and a hundred
   settings.over_share_worth = 0.2;
-  Front front(settings, {});
+  Instance instance(settings, {});
   const auto bring = [&](CallId id, unsigned tenant) {
     CallArrived event;
     event.call = id;
     event.tenant = tenant;
     event.first_choice = 1;
     event.caller_timeout = seconds(3);
-    front.tell(event);
+    instance.handle(event);
   };
   for (CallId id = 1; id <= 8; ++id) bring(id, 0);
-  front.now += milliseconds(10);
+  instance.now += milliseconds(10);
   bring(9, 1);
-  front.now += milliseconds(10);
+  instance.now += milliseconds(10);
   bring(10, 0);
-  front.tell(ServerList{true, {entry(1)}});
-  const auto sends = front.done<SendSetup>();
+  instance.handle(ServerList{true, {entry(1)}});
+  const auto sends = instance.actions<SendSetup>();
   ASSERT_GE(sends.size(), 2u);
   EXPECT_EQ(sends[0].call, 9u);  // newer than most of the flood's, older than its last
   EXPECT_LE(sends[1].call, 5u);  // then what the flooding tenant brought inside its share
@@ -522,56 +522,56 @@
 
 // Guards against asking a pool for lines it was told not to have.
 TEST(Route, PoolWithoutAFreeLineIsLeftAlone) {
-  Front front;
+  Instance instance;
   ServerProbed told{server(1), true, {}};
   told.report.free_circuits = 0;
   told.report.circuits = 100;
-  front.tell(told);
-  front.call(1);
-  EXPECT_EQ(front.sent_to(1), 0u);
-  EXPECT_EQ(front.sent_to(2), 1u);
+  instance.handle(told);
+  instance.call(1);
+  EXPECT_EQ(instance.sent_to(1), 0u);
+  EXPECT_EQ(instance.sent_to(2), 1u);
 }
 
 // Guards against a burst (redials after a cut, say) that lands before the first answer can raise a gap of
 // nought.
 TEST(Gap, BurstIsHeldToThisFrontsShareUntilAnswersCome) {
-  Front front(plain_settings(), {entry(1)});
-  front.run_until(seconds(10));
-  for (CallId id = 1; id <= 40; ++id) front.call(id);
-  const auto out = front.sent_to(1);
+  Instance instance(plain_settings(), {entry(1)});
+  instance.run_until(seconds(10));
+  for (CallId id = 1; id <= 40; ++id) instance.call(id);
+  const auto out = instance.sent_to(1);
   EXPECT_GE(out, 3u);
   EXPECT_LE(out, 6u);
-  front.stands(front.done<SendSetup>()[0].call, 1, milliseconds(30));
-  EXPECT_EQ(front.sent_to(1), out + 1);
+  instance.establish(instance.actions<SendSetup>()[0].call, 1, milliseconds(30));
+  EXPECT_EQ(instance.sent_to(1), out + 1);
 }
 
 // Guards against a jam of one number's calls: they find no line and use up the processors.
 TEST(Gap, CrowdedNumberIsSpacedAndOthersPass) {
-  Front front(plain_settings(), {entry(1)});
+  Instance instance(plain_settings(), {entry(1)});
   const auto dial = [&](CallId id, std::uint64_t key) {
     CallArrived event;
     event.call = id;
     event.number_key = key;
     event.first_choice = 1;
     event.caller_timeout = seconds(3);
-    front.tell(event);
+    instance.handle(event);
   };
   dial(1, 77);
-  front.ends(1, 1, Ending::fault, Cause::number_busy);
-  EXPECT_EQ(front.answers(1), 1u);
+  instance.end_attempt(1, 1, Ending::fault, Cause::number_busy);
+  EXPECT_EQ(instance.final_answers(1), 1u);
   dial(2, 77);
-  EXPECT_EQ(front.done<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
   dial(3, 78);
-  EXPECT_EQ(front.done<SendSetup>().size(), 2u);
-  front.run_until(milliseconds(15));
-  EXPECT_EQ(front.done<SendSetup>().size(), 3u);
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 2u);
+  instance.run_until(milliseconds(15));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 3u);
 }
 
 // While servers answer in time and have lines, the plain mechanism decides alone: each call goes at once to
 // its first choice.
 // Guards against numbers that were busy once and are remembered for good.
 TEST(Gap, QuietNumberIsForgotten) {
-  Front front(plain_settings(), {entry(1)});
+  Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
   const auto dial = [&] {
     CallArrived asked;
@@ -579,264 +579,264 @@
     asked.number_key = 77;
     asked.first_choice = 1;
     asked.caller_timeout = seconds(3);
-    front.tell(asked);
+    instance.handle(asked);
   };
   dial();
-  front.ends(id, 1, Ending::fault, Cause::number_busy);
-  front.run_until(seconds(40));
-  while (front.now < seconds(60)) {
-    front.call(++id);
-    front.stands(id, 1, milliseconds(20));
-    front.run_until(front.now + milliseconds(200));
+  instance.end_attempt(id, 1, Ending::fault, Cause::number_busy);
+  instance.run_until(seconds(40));
+  while (instance.now < seconds(60)) {
+    instance.call(++id);
+    instance.establish(id, 1, milliseconds(20));
+    instance.run_until(instance.now + milliseconds(200));
   }
-  front.call(++id);
+  instance.call(++id);
   const CallId first = id;
-  front.run_until(front.now + milliseconds(250));  // overdue: the next two are held
-  front.call(++id);
-  front.run_until(front.now + milliseconds(1));
+  instance.run_until(instance.now + milliseconds(250));  // overdue: the next two are held
+  instance.call(++id);
+  instance.run_until(instance.now + milliseconds(1));
   dial();
-  const auto before = front.done<SendSetup>().size();
-  front.stands(first, 1, milliseconds(250));
-  front.run_until(front.now + seconds(2));
-  const auto sends = front.done<SendSetup>();
+  const auto before = instance.actions<SendSetup>().size();
+  instance.establish(first, 1, milliseconds(250));
+  instance.run_until(instance.now + seconds(2));
+  const auto sends = instance.actions<SendSetup>();
   ASSERT_GT(sends.size(), before);
   EXPECT_EQ(sends[before].call, id);  // the newest: a crowded number's comes after its equals
 }
 
 TEST(Quiet, NoDepartureActs) {
-  Front front(plain_settings(), {entry(1), entry(2), entry(3)});
+  Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   for (const auto at : std::initializer_list<std::uint8_t>{1, 2, 3}) {
     ServerProbed told{server(at), true, {}};
     told.report.free_circuits = 60;
     told.report.circuits = 100;
-    front.tell(told);
+    instance.handle(told);
   }
   for (CallId id = 1; id <= 600; ++id) {
     const auto choice = static_cast<std::uint8_t>(1 + id % 3);
-    const auto actions = front.call(id, choice);
+    const auto actions = instance.call(id, choice);
     ASSERT_FALSE(actions.empty());
     const auto* sent = std::get_if<SendSetup>(&actions[0]);
     ASSERT_TRUE(sent);
     EXPECT_EQ(sent->server, server(choice));
-    front.run_until(front.now + milliseconds(60));
-    front.stands(id, choice, milliseconds(60));
-    front.run_until(front.now + milliseconds(40));
+    instance.run_until(instance.now + milliseconds(60));
+    instance.establish(id, choice, milliseconds(60));
+    instance.run_until(instance.now + milliseconds(40));
   }
-  EXPECT_TRUE(front.done<Log>().empty());
-  EXPECT_TRUE(front.done<Refuse>().empty());
+  EXPECT_TRUE(instance.actions<Log>().empty());
+  EXPECT_TRUE(instance.actions<Refuse>().empty());
 }
 
 TEST(Log, FirstSignOfASpellOnly) {
-  Front front;
-  front.call(1);
-  front.call(2);
-  front.full(1, 1);
-  front.full(2, 1);
-  ASSERT_EQ(front.done<Log>().size(), 1u);
-  EXPECT_EQ(front.done<Log>()[0].text, "server 10.0.0.1:5060: processor full, gap 12 ms");
+  Instance instance;
+  instance.call(1);
+  instance.call(2);
+  instance.processor_full(1, 1);
+  instance.processor_full(2, 1);
+  ASSERT_EQ(instance.actions<Log>().size(), 1u);
+  EXPECT_EQ(instance.actions<Log>()[0].text, "server 10.0.0.1:5060: processor full, gap 12 ms");
 }
 
 TEST(Route, PressedFirstChoiceGivesWayToAnother) {
-  Front front;
-  front.call(1);
-  front.full(1, 1);
-  EXPECT_EQ(front.sent_to(2), 1u);  // the call turned away goes to the other server
-  front.call(2);
-  EXPECT_EQ(front.sent_to(2), 2u);
-  front.run_until(seconds(8));
-  front.call(3);
-  EXPECT_EQ(front.sent_to(1), 2u);  // the pressure is long ago
+  Instance instance;
+  instance.call(1);
+  instance.processor_full(1, 1);
+  EXPECT_EQ(instance.sent_to(2), 1u);  // the call turned away goes to the other server
+  instance.call(2);
+  EXPECT_EQ(instance.sent_to(2), 2u);
+  instance.run_until(seconds(8));
+  instance.call(3);
+  EXPECT_EQ(instance.sent_to(1), 2u);  // the pressure is long ago
 }
 
 TEST(Route, OnlyPoolsOpenToTheClassAreUsed) {
   Settings settings = plain_settings();
   settings.classes[0].pools = {1, 3};
-  Front front(settings, {entry(1), entry(2), entry(3)});
-  front.call(1);
-  front.full(1, 1);
-  EXPECT_EQ(front.sent_to(2), 0u);
-  EXPECT_EQ(front.sent_to(3), 1u);
+  Instance instance(settings, {entry(1), entry(2), entry(3)});
+  instance.call(1);
+  instance.processor_full(1, 1);
+  EXPECT_EQ(instance.sent_to(2), 0u);
+  EXPECT_EQ(instance.sent_to(3), 1u);
 }
 
 TEST(Route, ACallInTransitGoesToItsDestinationOnly) {
-  Front front;
+  Instance instance;
   CallArrived event;
   event.call = 1;
   event.first_choice = 9;
   event.caller_timeout = seconds(3);
   event.forwarded = true;
-  front.tell(event);
-  front.run_until(seconds(4));
-  EXPECT_EQ(front.done<SendSetup>().size(), 0u);
-  EXPECT_EQ(front.answers(1), 1u);
+  instance.handle(event);
+  instance.run_until(seconds(4));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 0u);
+  EXPECT_EQ(instance.final_answers(1), 1u);
 }
 
 // ---- The five rules
 
 TEST(Rules, HeldCallGetsOneAnswerBeforeItsCallerLeaves) {
-  Front front(plain_settings(), {});
-  front.call(1, 1, 0, milliseconds(700));
-  front.run_until(milliseconds(700));
-  EXPECT_EQ(front.answers(1), 1u);
-  front.run_until(seconds(20));
-  EXPECT_EQ(front.answers(1), 1u);
+  Instance instance(plain_settings(), {});
+  instance.call(1, 1, 0, milliseconds(700));
+  instance.run_until(milliseconds(700));
+  EXPECT_EQ(instance.final_answers(1), 1u);
+  instance.run_until(seconds(20));
+  EXPECT_EQ(instance.final_answers(1), 1u);
 }
 
 TEST(Rules, TimeOutAtTheDeadlineIsAnswered) {
-  Front front;
-  front.call(1);
-  front.now = seconds(3);
-  front.ends(1, 1, Ending::timed_out);
-  EXPECT_EQ(front.answers(1), 1u);
-  EXPECT_EQ(front.done<SendSetup>().size(), 1u);
+  Instance instance;
+  instance.call(1);
+  instance.now = seconds(3);
+  instance.end_attempt(1, 1, Ending::timed_out);
+  EXPECT_EQ(instance.final_answers(1), 1u);
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
 }
 
 TEST(Rules, NothingIsSentOrAnsweredAfterWithdrawal) {
-  Front front(plain_settings(), {});
-  front.call(1);
-  front.tell(CallCancelled{1});
-  front.tell(ServerList{true, {entry(1)}});
-  front.run_until(seconds(10));
-  EXPECT_EQ(front.done<SendSetup>().size(), 0u);
-  EXPECT_EQ(front.answers(1), 0u);
+  Instance instance(plain_settings(), {});
+  instance.call(1);
+  instance.handle(CallCancelled{1});
+  instance.handle(ServerList{true, {entry(1)}});
+  instance.run_until(seconds(10));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 0u);
+  EXPECT_EQ(instance.final_answers(1), 0u);
 }
 
 TEST(Rules, WithdrawnCallInFlightIsCalledOffAndForgotten) {
-  Front front;
-  front.call(1);
-  front.tell(CallCancelled{1});
-  ASSERT_EQ(front.done<CancelAttempt>().size(), 1u);
-  front.now += milliseconds(30);
-  front.ends(1, 1, Ending::cancelled);
-  front.run_until(seconds(10));
-  EXPECT_EQ(front.done<SendSetup>().size(), 1u);
-  EXPECT_EQ(front.answers(1), 0u);
+  Instance instance;
+  instance.call(1);
+  instance.handle(CallCancelled{1});
+  ASSERT_EQ(instance.actions<CancelAttempt>().size(), 1u);
+  instance.now += milliseconds(30);
+  instance.end_attempt(1, 1, Ending::cancelled);
+  instance.run_until(seconds(10));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.final_answers(1), 0u);
 }
 
 TEST(Rules, OneAttemptAtATime) {
-  Front front;
-  front.call(1);
-  front.run_until(milliseconds(2900));
-  EXPECT_EQ(front.done<SendSetup>().size(), 1u);
+  Instance instance;
+  instance.call(1);
+  instance.run_until(milliseconds(2900));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
 }
 
 TEST(Rules, DrainingAndGoneServersGetNothingNew) {
   for (const auto state : {Availability::draining, Availability::gone}) {
-    Front front;
-    front.tell(ServerList{false, {entry(1, state)}});
-    front.call(1);
-    EXPECT_EQ(front.sent_to(1), 0u);
-    EXPECT_EQ(front.sent_to(2), 1u);
+    Instance instance;
+    instance.handle(ServerList{false, {entry(1, state)}});
+    instance.call(1);
+    EXPECT_EQ(instance.sent_to(1), 0u);
+    EXPECT_EQ(instance.sent_to(2), 1u);
   }
 }
 
 TEST(Rules, ServerMissingFromAWholeListGetsNothingNew) {
-  Front front;
-  front.tell(ServerList{true, {entry(2)}});
-  front.call(1);
-  EXPECT_EQ(front.sent_to(1), 0u);
-  EXPECT_EQ(front.sent_to(2), 1u);
+  Instance instance;
+  instance.handle(ServerList{true, {entry(2)}});
+  instance.call(1);
+  EXPECT_EQ(instance.sent_to(1), 0u);
+  EXPECT_EQ(instance.sent_to(2), 1u);
 }
 
 TEST(Rules, CallHeldForADrainingServerMovesOn) {
-  Front front;
-  front.call(1);
-  front.now += milliseconds(50);
-  front.ends(1, 1, Ending::timed_out);  // held for the release guard
-  front.tell(ServerList{false, {entry(1, Availability::draining)}});
-  front.run_until(seconds(1));
-  EXPECT_EQ(front.sent_to(2), 1u);
+  Instance instance;
+  instance.call(1);
+  instance.now += milliseconds(50);
+  instance.end_attempt(1, 1, Ending::timed_out);  // held for the release guard
+  instance.handle(ServerList{false, {entry(1, Availability::draining)}});
+  instance.run_until(seconds(1));
+  EXPECT_EQ(instance.sent_to(2), 1u);
 }
 
 TEST(Rules, ReleaseGuardIsKept) {
   for (const auto ending : {Ending::timed_out, Ending::reset, Ending::cancelled}) {
-    Front front;
-    front.call(1);
-    front.now = milliseconds(100);
-    front.ends(1, 1, ending);
-    front.run_until(milliseconds(299));
-    EXPECT_EQ(front.done<SendSetup>().size(), 1u);
-    front.run_until(milliseconds(1500));
-    EXPECT_EQ(front.done<SendSetup>().size(), 2u);
+    Instance instance;
+    instance.call(1);
+    instance.now = milliseconds(100);
+    instance.end_attempt(1, 1, ending);
+    instance.run_until(milliseconds(299));
+    EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+    instance.run_until(milliseconds(1500));
+    EXPECT_EQ(instance.actions<SendSetup>().size(), 2u);
   }
 }
 
 TEST(Rules, AttemptsCapIsKept) {
-  Front front;
-  front.call(1);
+  Instance instance;
+  instance.call(1);
   for (unsigned i = 0; i < 9; ++i) {
-    const auto sends = front.done<SendSetup>();
-    if (front.answers(1) == 0) front.no_line(1, sends.back().server.address[3]);
-    front.run_until(front.now + milliseconds(300));
+    const auto sends = instance.actions<SendSetup>();
+    if (instance.final_answers(1) == 0) instance.no_circuit(1, sends.back().server.address[3]);
+    instance.run_until(instance.now + milliseconds(300));
   }
-  EXPECT_LE(front.done<SendSetup>().size(), 5u);
-  EXPECT_EQ(front.answers(1), 1u);
+  EXPECT_LE(instance.actions<SendSetup>().size(), 5u);
+  EXPECT_EQ(instance.final_answers(1), 1u);
 }
 
 TEST(Rules, CallThatMayHaveRunIsNotRepeatedWhereRepeatsDoHarm) {
   Settings settings = plain_settings();
   settings.classes[0].repeatable = false;
-  Front front(settings);
-  front.call(1);
-  front.ends(1, 1, Ending::reset);
-  front.run_until(seconds(5));
-  EXPECT_EQ(front.done<SendSetup>().size(), 1u);
-  EXPECT_EQ(front.done<Fail>().size(), 1u);
-  EXPECT_EQ(front.done<Refuse>().size(), 0u);
+  Instance instance(settings);
+  instance.call(1);
+  instance.end_attempt(1, 1, Ending::reset);
+  instance.run_until(seconds(5));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.actions<Fail>().size(), 1u);
+  EXPECT_EQ(instance.actions<Refuse>().size(), 0u);
 }
 
 TEST(Rules, ColdServerGetsThisFrontsShareOfItsBudgetOnly) {
-  Front front(plain_settings(), {entry(1), entry(2)});
+  Instance instance(plain_settings(), {entry(1), entry(2)});
   // Ten seconds of ten calls a second: each of two warm servers bears five a second of this front's.
   CallId id = 0;
   const auto second_of_calls = [&](int choice) {
     for (int i = 0; i < 10; ++i) {
-      front.call(++id, choice ? choice : 1 + i % 2);
-      front.run_until(front.now + milliseconds(100));
-      for (const auto& sent : front.done<SendSetup>()) {
-        front.stands(sent.call, sent.server.address[3], milliseconds(30));
+      instance.call(++id, choice ? choice : 1 + i % 2);
+      instance.run_until(instance.now + milliseconds(100));
+      for (const auto& sent : instance.actions<SendSetup>()) {
+        instance.establish(sent.call, sent.server.address[3], milliseconds(30));
       }
     }
   };
   for (int s = 0; s < 10; ++s) second_of_calls(0);
-  front.tell(ServerList{false, {entry(2, Availability::ready, front.now)}});
-  const auto before = front.sent_to(2);
+  instance.handle(ServerList{false, {entry(2, Availability::ready, instance.now)}});
+  const auto before = instance.sent_to(2);
   for (int s = 0; s < 3; ++s) second_of_calls(2);
   // A third of the capacity at first: far less than the thirty calls that name it, but not none.
-  EXPECT_LE(front.sent_to(2) - before, 8u);
-  EXPECT_GE(front.sent_to(2) - before, 2u);
+  EXPECT_LE(instance.sent_to(2) - before, 8u);
+  EXPECT_GE(instance.sent_to(2) - before, 2u);
 }
 
 // Guards against a cold server pushed over by the first set-up of every front, all told of its start at once.
 TEST(Rules, FirstSetupsOfManyFrontsToAColdServerAreSpread) {
-  constexpr unsigned kFronts = 60;
+  constexpr unsigned kInstances = 60;
   Settings settings = plain_settings();
-  settings.instances = kFronts;
+  settings.instances = kInstances;
   std::size_t at_once = 0, within_window = 0;
-  for (unsigned seed = 1; seed <= kFronts; ++seed) {
-    Front front(settings, {entry(1), entry(2)}, seed);
+  for (unsigned seed = 1; seed <= kInstances; ++seed) {
+    Instance instance(settings, {entry(1), entry(2)}, seed);
     CallId id = 0;
     const auto calls = [&](Time until, int choice) {
-      while (front.now < until) {
+      while (instance.now < until) {
         ++id;
-        front.call(id, choice ? choice : 1 + static_cast<int>(id % 2));
-        front.run_until(front.now + milliseconds(500));
-        for (const auto& sent : front.done<SendSetup>()) {
-          front.stands(sent.call, sent.server.address[3], milliseconds(30));
+        instance.call(id, choice ? choice : 1 + static_cast<int>(id % 2));
+        instance.run_until(instance.now + milliseconds(500));
+        for (const auto& sent : instance.actions<SendSetup>()) {
+          instance.establish(sent.call, sent.server.address[3], milliseconds(30));
         }
       }
     };
     calls(seconds(10), 0);
-    front.tell(ServerList{false, {entry(2, Availability::ready, front.now)}});
-    const auto before = front.sent_to(2);
-    front.call(++id, 2);
-    at_once += front.sent_to(2) - before;
-    calls(front.now + settings.cold_overload_window, 2);
-    within_window += front.sent_to(2) - before;
+    instance.handle(ServerList{false, {entry(2, Availability::ready, instance.now)}});
+    const auto before = instance.sent_to(2);
+    instance.call(++id, 2);
+    at_once += instance.sent_to(2) - before;
+    calls(instance.now + settings.cold_overload_window, 2);
+    within_window += instance.sent_to(2) - before;
   }
   // One call a second from each front is what the server bears when warm; it starts with a third of that.
-  EXPECT_LE(at_once, kFronts / 10);
-  const double bears = settings.cold_from * kFronts * 1.5;
+  EXPECT_LE(at_once, kInstances / 10);
+  const double bears = settings.cold_from * kInstances * 1.5;
   EXPECT_GE(static_cast<double>(within_window), bears / 2);
   EXPECT_LE(static_cast<double>(within_window), bears * settings.cold_overload_factor);
 }
@@ -844,151 +844,151 @@
 // Guards against the end of the cold time: without a gap of its own every front would send at once.
 TEST(Rules, GapOfAColdServerOutlastsItsColdTime) {
   const Settings settings = plain_settings();
-  Front front(settings, {entry(1), entry(2)});
+  Instance instance(settings, {entry(1), entry(2)});
   CallId id = 0;
   const auto call_to = [&](int choice) {
-    front.call(++id, choice);
-    front.run_until(front.now + milliseconds(100));
-    for (const auto& sent : front.done<SendSetup>()) {
-      front.stands(sent.call, sent.server.address[3], milliseconds(20));
+    instance.call(++id, choice);
+    instance.run_until(instance.now + milliseconds(100));
+    for (const auto& sent : instance.actions<SendSetup>()) {
+      instance.establish(sent.call, sent.server.address[3], milliseconds(20));
     }
   };
   const auto calls = [&](Time until) {
-    while (front.now < until) call_to(static_cast<int>(1 + id % 10 / 9));  // a call a second for server 2
+    while (instance.now < until) call_to(static_cast<int>(1 + id % 10 / 9));  // a call a second for server 2
   };
   calls(seconds(20));
-  front.tell(ServerList{false, {entry(2, Availability::ready, front.now)}});
-  const Time warm = front.now + settings.cold;
+  instance.handle(ServerList{false, {entry(2, Availability::ready, instance.now)}});
+  const Time warm = instance.now + settings.cold;
   calls(warm - milliseconds(900));
-  const auto before = front.sent_to(2);
-  while (front.sent_to(2) == before) call_to(2);
-  front.run_until(std::max(front.now + milliseconds(300), warm + milliseconds(1)));
-  front.call(++id, 2);
-  EXPECT_EQ(front.sent_to(2), before + 1);
+  const auto before = instance.sent_to(2);
+  while (instance.sent_to(2) == before) call_to(2);
+  instance.run_until(std::max(instance.now + milliseconds(300), warm + milliseconds(1)));
+  instance.call(++id, 2);
+  EXPECT_EQ(instance.sent_to(2), before + 1);
 }
 
 // Guards against a flood to one number that widens the cold share of the server it names.
 TEST(Rules, CallsToACrowdedNumberDoNotWidenAColdShare) {
-  Front front(plain_settings(), {entry(1), entry(2)});
+  Instance instance(plain_settings(), {entry(1), entry(2)});
   CallId id = 0;
-  while (front.now < seconds(20)) {
+  while (instance.now < seconds(20)) {
     CallArrived flood;
     flood.call = ++id;
     flood.number_key = 77;
     flood.first_choice = 2;
     flood.caller_timeout = milliseconds(500);
-    front.tell(flood);
-    if (id == 1) front.ends(id, 2, Ending::fault, Cause::number_busy);
-    front.run_until(front.now + milliseconds(50));
-    for (const auto& sent : front.done<SendSetup>()) {
-      front.ends(sent.call, sent.server.address[3], Ending::fault, Cause::number_busy);
+    instance.handle(flood);
+    if (id == 1) instance.end_attempt(id, 2, Ending::fault, Cause::number_busy);
+    instance.run_until(instance.now + milliseconds(50));
+    for (const auto& sent : instance.actions<SendSetup>()) {
+      instance.end_attempt(sent.call, sent.server.address[3], Ending::fault, Cause::number_busy);
     }
   }
-  front.tell(ServerList{false, {entry(2, Availability::ready, front.now)}});
-  const auto before = front.sent_to(2);
-  const Time until = front.now + seconds(3);
-  while (front.now < until) {
-    front.call(++id, 2);
-    front.run_until(front.now + milliseconds(20));
-    for (const auto& sent : front.done<SendSetup>()) {
-      front.stands(sent.call, sent.server.address[3], milliseconds(20));
+  instance.handle(ServerList{false, {entry(2, Availability::ready, instance.now)}});
+  const auto before = instance.sent_to(2);
+  const Time until = instance.now + seconds(3);
+  while (instance.now < until) {
+    instance.call(++id, 2);
+    instance.run_until(instance.now + milliseconds(20));
+    for (const auto& sent : instance.actions<SendSetup>()) {
+      instance.establish(sent.call, sent.server.address[3], milliseconds(20));
     }
   }
-  EXPECT_LE(front.sent_to(2) - before, 20u);  // of 150 calls
+  EXPECT_LE(instance.sent_to(2) - before, 20u);  // of 150 calls
 }
 
 // Guards against a server that restarts before the list knows: all fronts would fall upon what comes back.
 TEST(Rules, ServerThatWasOutOfReachCountsAsColdWhereItIsSeldomSeen) {
   for (const Ending ending : {Ending::not_connected, Ending::reset}) {
-    Front front(plain_settings(), {entry(1), entry(2)});
+    Instance instance(plain_settings(), {entry(1), entry(2)});
     CallId id = 0;
     const auto calls = [&](Time until, Duration spacing) {
-      while (front.now < until) {
-        front.call(++id, 2);
-        for (const auto& sent : front.done<SendSetup>()) {
-          front.stands(sent.call, sent.server.address[3], milliseconds(20));
+      while (instance.now < until) {
+        instance.call(++id, 2);
+        for (const auto& sent : instance.actions<SendSetup>()) {
+          instance.establish(sent.call, sent.server.address[3], milliseconds(20));
         }
-        front.run_until(front.now + spacing);
+        instance.run_until(instance.now + spacing);
       }
     };
     calls(seconds(60), seconds(4));
-    front.call(++id, 2);
-    front.ends(id, 2, ending);
-    front.run_until(front.now + milliseconds(500));  // the pause is over
-    const auto before = front.sent_to(2);
-    calls(front.now + seconds(3), milliseconds(100));
-    EXPECT_LE(front.sent_to(2) - before, 10u);  // of thirty calls
+    instance.call(++id, 2);
+    instance.end_attempt(id, 2, ending);
+    instance.run_until(instance.now + milliseconds(500));  // the pause is over
+    const auto before = instance.sent_to(2);
+    calls(instance.now + seconds(3), milliseconds(100));
+    EXPECT_LE(instance.sent_to(2) - before, 10u);  // of thirty calls
   }
 }
 
 // Guards against a started server whose lines are not told yet: its share is the mean, neither all nor
 // nothing.
 TEST(Rules, ColdServerWithUntoldLinesGetsTheMeanShare) {
-  Front front(plain_settings(), {entry(1), entry(2)});
+  Instance instance(plain_settings(), {entry(1), entry(2)});
   for (const auto at : std::initializer_list<std::uint8_t>{1, 2}) {
     ServerProbed told{server(at), true, {}};
     told.report.free_circuits = 300;
     told.report.circuits = 300;
-    front.tell(told);
+    instance.handle(told);
   }
   CallId id = 0;
   const auto calls = [&](int count, int choice) {
     for (int i = 0; i < count; ++i) {
-      front.call(++id, choice);
-      front.run_until(front.now + milliseconds(100));
-      for (const auto& sent : front.done<SendSetup>()) {
-        front.stands(sent.call, sent.server.address[3], milliseconds(30));
+      instance.call(++id, choice);
+      instance.run_until(instance.now + milliseconds(100));
+      for (const auto& sent : instance.actions<SendSetup>()) {
+        instance.establish(sent.call, sent.server.address[3], milliseconds(30));
       }
     }
   };
   calls(100, 1);
-  front.tell(ServerList{false, {entry(3, Availability::ready, front.now)}});
+  instance.handle(ServerList{false, {entry(3, Availability::ready, instance.now)}});
   calls(40, 3);
-  EXPECT_GE(front.sent_to(3), 1u);
-  EXPECT_LE(front.sent_to(3), 12u);
+  EXPECT_GE(instance.sent_to(3), 1u);
+  EXPECT_LE(instance.sent_to(3), 12u);
 }
 
 // ---- Input that means nothing
 
 TEST(BadInput, UnknownCallsServersAndTimersAreIgnored) {
-  Front front;
-  front.stands(99, 1, milliseconds(10));
-  front.ends(99, 9, Ending::timed_out);
-  front.tell(CallCancelled{99});
-  front.tell(TimerFired{12345});
-  front.tell(ServerProbed{server(9), true, {}});
-  front.tell(PeerMessage{3, "\x01nonsense"});
-  EXPECT_TRUE(front.all.empty());
+  Instance instance;
+  instance.establish(99, 1, milliseconds(10));
+  instance.end_attempt(99, 9, Ending::timed_out);
+  instance.handle(CallCancelled{99});
+  instance.handle(TimerFired{12345});
+  instance.handle(ServerProbed{server(9), true, {}});
+  instance.handle(PeerMessage{3, "\x01nonsense"});
+  EXPECT_TRUE(instance.all_actions.empty());
 }
 
 TEST(BadInput, LateAndRepeatedEndingsAreIgnored) {
-  Front front;
-  front.call(1);
-  front.stands(1, 1, milliseconds(10));
-  front.full(1, 1);
-  front.stands(1, 1, milliseconds(10));
-  EXPECT_EQ(front.done<SendSetup>().size(), 1u);
-  EXPECT_EQ(front.answers(1), 0u);
+  Instance instance;
+  instance.call(1);
+  instance.establish(1, 1, milliseconds(10));
+  instance.processor_full(1, 1);
+  instance.establish(1, 1, milliseconds(10));
+  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.final_answers(1), 0u);
 }
 
 // Found as a crash of the front: a set-up stood whose server had restarted, or left the list, meanwhile.
 TEST(BadInput, AnswersFromAProcessThatWasReplacedAreIgnored) {
   for (const bool stood : {true, false}) {
     for (const bool gone : {true, false}) {
-      Front front(plain_settings(), {entry(1)});
-      front.call(1);
-      front.call(2);
-      front.tell(gone ? ServerList{true, {}}
-                      : ServerList{false, {entry(1, Availability::ready, milliseconds(1))}});
+      Instance instance(plain_settings(), {entry(1)});
+      instance.call(1);
+      instance.call(2);
+      instance.handle(gone ? ServerList{true, {}}
+                           : ServerList{false, {entry(1, Availability::ready, milliseconds(1))}});
       if (stood) {
-        front.stands(1, 1, milliseconds(900));
+        instance.establish(1, 1, milliseconds(900));
       } else {
-        front.ends(1, 1, Ending::reset);
+        instance.end_attempt(1, 1, Ending::reset);
       }
-      front.run_until(seconds(9));
+      instance.run_until(seconds(9));
       const bool sent_again = !stood && !gone;  // to the new process
-      EXPECT_EQ(front.done<SendSetup>().size(), sent_again ? 3u : 2u);
-      EXPECT_EQ(front.answers(1), stood || sent_again ? 0u : 1u);
+      EXPECT_EQ(instance.actions<SendSetup>().size(), sent_again ? 3u : 2u);
+      EXPECT_EQ(instance.final_answers(1), stood || sent_again ? 0u : 1u);
     }
   }
 }
@@ -999,49 +999,49 @@
   settings.attempts_cap = 0;
   settings.cold = Duration::max() / 4;
   settings.cold_from = 0;
-  Front front(settings, {entry(1, Availability::ready, Time{0})});
-  front.call(1, 1, 200, Duration{0});
-  front.call(2, 1, 200, seconds(5));
-  front.run_until(seconds(6));
-  EXPECT_EQ(front.answers(1), 1u);
+  Instance instance(settings, {entry(1, Availability::ready, Time{0})});
+  instance.call(1, 1, 200, Duration{0});
+  instance.call(2, 1, 200, seconds(5));
+  instance.run_until(seconds(6));
+  EXPECT_EQ(instance.final_answers(1), 1u);
 }
 
 TEST(BadInput, AbsurdReportsDoNoHarm) {
   for (const double value : {std::numeric_limits<double>::quiet_NaN(), -5.0, 1e30}) {
-    Front front(plain_settings(), {entry(1)});
+    Instance instance(plain_settings(), {entry(1)});
     LoadReport report;
     report.utilisation = report.wait_ms = report.queued = value;
-    front.call(1);
-    front.ends(1, 1, Ending::full, Cause::processor_full, report);
-    front.call(2);
-    front.stands(2, 1, milliseconds(10));
-    front.run_until(seconds(1));
-    EXPECT_GE(front.done<SendSetup>().size(), 1u);
+    instance.call(1);
+    instance.end_attempt(1, 1, Ending::full, Cause::processor_full, report);
+    instance.call(2);
+    instance.establish(2, 1, milliseconds(10));
+    instance.run_until(seconds(1));
+    EXPECT_GE(instance.actions<SendSetup>().size(), 1u);
   }
 }
 
 TEST(List, SubscribesWhereItMustAndAgainAfterAFailure) {
   Settings settings = plain_settings();
   settings.must_subscribe = true;
-  Front front(settings);
-  EXPECT_EQ(front.done<Subscribe>().size(), 1u);
-  front.call(1);
-  EXPECT_EQ(front.done<Subscribe>().size(), 1u);
-  front.tell(DiscoveryFailed{});
-  front.call(2);
-  EXPECT_EQ(front.done<Subscribe>().size(), 2u);
+  Instance instance(settings);
+  EXPECT_EQ(instance.actions<Subscribe>().size(), 1u);
+  instance.call(1);
+  EXPECT_EQ(instance.actions<Subscribe>().size(), 1u);
+  instance.handle(DiscoveryFailed{});
+  instance.call(2);
+  EXPECT_EQ(instance.actions<Subscribe>().size(), 2u);
 }
 
 TEST(Determinism, EqualEventsGiveEqualActions) {
   const auto play = [] {
-    Front front(plain_settings(), {entry(1), entry(2), entry(3), entry(4)});
+    Instance instance(plain_settings(), {entry(1), entry(2), entry(3), entry(4)});
     for (CallId id = 1; id <= 200; ++id) {
-      front.call(id, 1 + static_cast<int>(id % 4));
-      if (id % 3 == 0) front.full(id, front.done<SendSetup>().back().server.address[3]);
-      front.run_until(front.now + milliseconds(20));
+      instance.call(id, 1 + static_cast<int>(id % 4));
+      if (id % 3 == 0) instance.processor_full(id, instance.actions<SendSetup>().back().server.address[3]);
+      instance.run_until(instance.now + milliseconds(20));
     }
     std::vector<std::uint8_t> order;
-    for (const auto& sent : front.done<SendSetup>()) order.push_back(sent.server.address[3]);
+    for (const auto& sent : instance.actions<SendSetup>()) order.push_back(sent.server.address[3]);
     return order;
   };
   EXPECT_EQ(play(), play());
@@ -1050,27 +1050,27 @@
 // A refused caller that is told nothing comes back at once and is refused again.
 TEST(Answers, ARefusalTellsWhenToComeBack) {
   Settings settings = plain_settings();
-  Front none(settings, {});
+  Instance none(settings, {});
   none.call(1, 1, 0, milliseconds(100));
   none.run_until(milliseconds(200));
-  ASSERT_EQ(none.done<Refuse>().size(), 1u);
-  EXPECT_EQ(none.done<Refuse>()[0].retry_after, settings.max_retry_after)
+  ASSERT_EQ(none.actions<Refuse>().size(), 1u);
+  EXPECT_EQ(none.actions<Refuse>()[0].retry_after, settings.max_retry_after)
       << "no server, so as long as callers heed";
 
-  Front full(settings, {entry(1)});
+  Instance full(settings, {entry(1)});
   full.call(1, 1, 0, milliseconds(100));
-  full.full(1, 1);
+  full.processor_full(1, 1);
   full.run_until(milliseconds(200));
-  ASSERT_EQ(full.done<Refuse>().size(), 1u);
-  const auto away = full.done<Refuse>()[0].retry_after.value();
+  ASSERT_EQ(full.actions<Refuse>().size(), 1u);
+  const auto away = full.actions<Refuse>()[0].retry_after.value();
   EXPECT_GT(away, seconds(1)) << "the server is closed for an aim after 'processor full'";
   EXPECT_LE(away, settings.max_retry_after);
 
   settings.max_retry_after = Duration{0};
-  Front unheeded(settings, {});
+  Instance unheeded(settings, {});
   unheeded.call(1, 1, 0, milliseconds(100));
   unheeded.run_until(milliseconds(200));
-  EXPECT_EQ(unheeded.done<Refuse>().at(0).retry_after, std::nullopt);
+  EXPECT_EQ(unheeded.actions<Refuse>().at(0).retry_after, std::nullopt);
 }
 
 // Some thousand held calls were once sorted at every event. Looking only at what may go must not change what
@@ -1078,17 +1078,17 @@
 TEST(Holding, OfManyHeldCallsTheDearestAndLatestGoesFirst) {
   Settings settings = plain_settings();
   settings.classes[1].pools = {2};
-  Front front(settings, {entry(1)});
-  front.call(1);
-  front.full(1, 1);
+  Instance instance(settings, {entry(1)});
+  instance.call(1);
+  instance.processor_full(1, 1);
   for (CallId id = 2; id <= 2000; ++id) {
-    front.now += Duration{1};
-    front.call(id, 1, 0, seconds(9));
+    instance.now += Duration{1};
+    instance.call(id, 1, 0, seconds(9));
   }
-  front.call(5000, 2, 1, seconds(9));  // worth most, and its only server is not there
-  const auto before = front.done<SendSetup>().size();
-  front.run_until(seconds(4));
-  const auto sent = front.done<SendSetup>();
+  instance.call(5000, 2, 1, seconds(9));  // worth most, and its only server is not there
+  const auto before = instance.actions<SendSetup>().size();
+  instance.run_until(seconds(4));
+  const auto sent = instance.actions<SendSetup>();
   ASSERT_GT(sent.size(), before);
   EXPECT_EQ(sent[before].call, 2000u);
 }
--- a/tests/front.hpp
+++ b/tests/front.hpp
@@ -43,18 +43,18 @@
 }
 
 // A controller with its clock, the calls it sent and how it answered.
-class Front {
+class Instance {
  public:
-  explicit Front(Settings settings = plain_settings(),
-                 std::vector<ServerEntry> servers = {entry(1), entry(2)}, std::uint64_t seed = 7,
-                 Time start = Time{0})
+  explicit Instance(Settings settings = plain_settings(),
+                    std::vector<ServerEntry> servers = {entry(1), entry(2)}, std::uint64_t seed = 7,
+                    Time start = Time{0})
       : now(start), controller_(std::move(settings), seed, start) {
-    tell(ServerList{true, std::move(servers)});
+    handle(ServerList{true, std::move(servers)});
   }
 
-  std::vector<Action> tell(const Event& event) {
+  std::vector<Action> handle(const Event& event) {
     auto actions = controller_.handle(now, event);
-    all.insert(all.end(), actions.begin(), actions.end());
+    all_actions.insert(all_actions.end(), actions.begin(), actions.end());
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) timers_.push_back(now + timer->after);
     }
@@ -68,29 +68,29 @@
     event.call_class = call_class;
     event.first_choice = first_choice;
     event.caller_timeout = patience;
-    return tell(event);
+    return handle(event);
   }
 
-  std::vector<Action> stands(CallId id, std::uint8_t at, Duration delay, unsigned attempt = 0) {
-    return tell(CallEstablished{id, attempt, server(at), delay});
+  std::vector<Action> establish(CallId id, std::uint8_t at, Duration delay, unsigned attempt = 0) {
+    return handle(CallEstablished{id, attempt, server(at), delay});
   }
 
-  std::vector<Action> ends(CallId id, std::uint8_t at, Ending ending, Cause cause = Cause::none,
-                           LoadReport report = {}) {
+  std::vector<Action> end_attempt(CallId id, std::uint8_t at, Ending ending, Cause cause = Cause::none,
+                                  LoadReport report = {}) {
     AttemptEnded event;
     event.call = id;
     event.server = server(at);
     event.ending = ending;
     event.cause = cause;
     event.report = report;
-    return tell(event);
+    return handle(event);
   }
-  std::vector<Action> full(CallId id, std::uint8_t at) {
-    return ends(id, at, Ending::full, Cause::processor_full);
+  std::vector<Action> processor_full(CallId id, std::uint8_t at) {
+    return end_attempt(id, at, Ending::full, Cause::processor_full);
   }
 
-  std::vector<Action> no_line(CallId id, std::uint8_t at) {
-    return ends(id, at, Ending::full, Cause::no_circuit);
+  std::vector<Action> no_circuit(CallId id, std::uint8_t at) {
+    return end_attempt(id, at, Ending::full, Cause::no_circuit);
   }
 
   // Runs the clock on, firing the timers that were asked for.
@@ -100,33 +100,33 @@
       if (next == timers_.end() || *next > end) break;
       now = std::max(now, *next);
       timers_.erase(next);
-      tell(TimerFired{});
+      handle(TimerFired{});
     }
     now = end;
   }
 
   template <typename T>
-  std::vector<T> done() const {
+  std::vector<T> actions() const {
     std::vector<T> found;
-    for (const Action& action : all) {
+    for (const Action& action : all_actions) {
       if (const auto* match = std::get_if<T>(&action)) found.push_back(*match);
     }
     return found;
   }
   std::size_t sent_to(std::uint8_t at) const {
-    const auto sends = done<SendSetup>();
+    const auto sends = actions<SendSetup>();
     return static_cast<std::size_t>(
         std::count_if(sends.begin(), sends.end(), [&](const auto& s) { return s.server == server(at); }));
   }
-  std::size_t answers(CallId id) const {
+  std::size_t final_answers(CallId id) const {
     std::size_t count = 0;
-    for (const auto& refused : done<Refuse>()) count += refused.call == id;
-    for (const auto& failed : done<Fail>()) count += failed.call == id;
+    for (const auto& refused : actions<Refuse>()) count += refused.call == id;
+    for (const auto& failed : actions<Fail>()) count += failed.call == id;
     return count;
   }
 
   Time now;
-  std::vector<Action> all;
+  std::vector<Action> all_actions;
 
  private:
   Controller controller_;
