--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -29,22 +29,22 @@
     if (id > 1) instance.establish(id, 1, milliseconds(50));
   }
   instance.no_circuit(1, 1);  // off nought: 1.2 times the spacing of 100 ms; call 1 is held again
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 3u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 3u);
   instance.run_until(milliseconds(315));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 3u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 3u);
   instance.run_until(milliseconds(330));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 4u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 4u);
 }
 
 TEST(Gap, FirstLiftWithoutSpacingIsTenMilliseconds) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
   instance.no_circuit(1, 1);
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
   instance.run_until(milliseconds(11));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
   instance.run_until(milliseconds(12));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 2u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 2u);
 }
 
 // Guards against hasty retries into a full processor: its wait is near the aims already.
@@ -74,9 +74,9 @@
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   for (CallId id = 1; id <= 20; ++id) {
     instance.call(id);
-    const auto first = instance.actions<SendSetup>().back();
+    const auto first = instance.emitted<SendSetup>().back();
     instance.end_attempt(id, first.server.address[3], Ending::fault);
-    const auto second = instance.actions<SendSetup>().back();
+    const auto second = instance.emitted<SendSetup>().back();
     ASSERT_EQ(second.call, id);
     EXPECT_NE(second.server, first.server);
     instance.establish(id, second.server.address[3], milliseconds(20), 1);
@@ -104,9 +104,9 @@
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   const auto fails_at_first = [&](CallId id, bool taken_by_another) {
     instance.call(id);
-    const auto first = instance.actions<SendSetup>().back().server;
+    const auto first = instance.emitted<SendSetup>().back().server;
     instance.end_attempt(id, first.address[3], Ending::fault);
-    const auto second = instance.actions<SendSetup>().back().server;
+    const auto second = instance.emitted<SendSetup>().back().server;
     if (taken_by_another) {
       instance.establish(id, second.address[3], milliseconds(20), 1);
     } else {
@@ -116,19 +116,19 @@
   };
   for (CallId id = 1; id <= 10; ++id) fails_at_first(id, false);  // nobody takes them: not the server's fault
   instance.call(20);
-  EXPECT_EQ(instance.actions<SendSetup>().back().server, server(1));
+  EXPECT_EQ(instance.emitted<SendSetup>().back().server, server(1));
   instance.establish(20, 1, milliseconds(20));
   for (CallId id = 21; id <= 23; ++id) fails_at_first(id, true);
   for (CallId id = 30; id < 34; ++id) {
     instance.call(id);
-    const auto at = instance.actions<SendSetup>().back().server;
+    const auto at = instance.emitted<SendSetup>().back().server;
     EXPECT_NE(at, server(1));
     instance.establish(id, at.address[3], milliseconds(20));
     instance.now += milliseconds(100);
   }
   instance.run_until(instance.now + seconds(3));
   instance.call(40);
-  EXPECT_EQ(instance.actions<SendSetup>().back().server, server(1)) << "tried again after a while";
+  EXPECT_EQ(instance.emitted<SendSetup>().back().server, server(1)) << "tried again after a while";
 }
 
 // Guards against calls that were failed once and then wait behind the gap of a busy server until they are
@@ -148,7 +148,7 @@
   instance.end_attempt(1, 1, Ending::fault);
   EXPECT_EQ(instance.final_answers(1), 0u) << "the same server again is no second opinion";
   instance.run_until(instance.now + seconds(1));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 4u) << "tried once more";
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 4u) << "tried once more";
 }
 
 TEST(Route, WithNoOtherServerToAskTheSameIsAskedAgain) {
@@ -172,9 +172,9 @@
   EXPECT_EQ(instance.sent_to(1), 5u);
   EXPECT_EQ(instance.sent_to(2), 0u);
   instance.run_until(milliseconds(209));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 5u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 5u);
   instance.run_until(milliseconds(215));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 6u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 6u);
 }
 
 TEST(Gap, FullProcessorIsLeftAloneForOneAim) {
@@ -182,9 +182,9 @@
   instance.call(1);
   instance.processor_full(1, 1);
   instance.run_until(milliseconds(1999));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
   instance.run_until(milliseconds(2001));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 2u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 2u);
 }
 
 // Guards against reading a fast answer as a sign of spare when hardly a line is free.
@@ -467,17 +467,17 @@
   instance.call(3);
   EXPECT_EQ(instance.sent_to(1), 3u) << "held behind a lost answer";
   instance.establish(3, 1, milliseconds(5));
-  EXPECT_TRUE(instance.actions<CancelAttempt>().empty());
+  EXPECT_TRUE(instance.emitted<CancelAttempt>().empty());
   instance.run_until(milliseconds(410));
-  ASSERT_EQ(instance.actions<CancelAttempt>().size(), 1u);
-  EXPECT_EQ(instance.actions<CancelAttempt>()[0].call, 1u);
+  ASSERT_EQ(instance.emitted<CancelAttempt>().size(), 1u);
+  EXPECT_EQ(instance.emitted<CancelAttempt>()[0].call, 1u);
   instance.end_attempt(1, 1, Ending::cancelled);
   instance.run_until(milliseconds(609));
   EXPECT_EQ(instance.sent_to(1), 3u) << "before the release guard was over";
   instance.run_until(milliseconds(620));
   EXPECT_EQ(instance.sent_to(1), 4u);
-  EXPECT_EQ(instance.actions<SendSetup>().back().call, 1u);
-  EXPECT_EQ(instance.actions<CancelAttempt>().size(), 1u);
+  EXPECT_EQ(instance.emitted<SendSetup>().back().call, 1u);
+  EXPECT_EQ(instance.emitted<CancelAttempt>().size(), 1u);
 }
 
 TEST(Order, WorthFirstThenTheNewest) {
@@ -487,7 +487,7 @@
   instance.call(2);
   instance.call(3, 1, 1);  // the dear class
   instance.handle(ServerList{true, {entry(1)}});
-  const auto sends = instance.actions<SendSetup>();
+  const auto sends = instance.emitted<SendSetup>();
   ASSERT_EQ(sends.size(), 3u);
   EXPECT_EQ(sends[0].call, 3u);
   EXPECT_EQ(sends[1].call, 2u);
@@ -514,7 +514,7 @@
   instance.now += milliseconds(10);
   bring(10, 0);
   instance.handle(ServerList{true, {entry(1)}});
-  const auto sends = instance.actions<SendSetup>();
+  const auto sends = instance.emitted<SendSetup>();
   ASSERT_GE(sends.size(), 2u);
   EXPECT_EQ(sends[0].call, 9u);  // newer than most of the flood's, older than its last
   EXPECT_LE(sends[1].call, 5u);  // then what the flooding tenant brought inside its share
@@ -541,7 +541,7 @@
   const auto out = instance.sent_to(1);
   EXPECT_GE(out, 3u);
   EXPECT_LE(out, 6u);
-  instance.establish(instance.actions<SendSetup>()[0].call, 1, milliseconds(30));
+  instance.establish(instance.emitted<SendSetup>()[0].call, 1, milliseconds(30));
   EXPECT_EQ(instance.sent_to(1), out + 1);
 }
 
@@ -560,11 +560,11 @@
   instance.end_attempt(1, 1, Ending::fault, Cause::number_busy);
   EXPECT_EQ(instance.final_answers(1), 1u);
   dial(2, 77);
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
   dial(3, 78);
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 2u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 2u);
   instance.run_until(milliseconds(15));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 3u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 3u);
 }
 
 // While servers answer in time and have lines, the plain mechanism decides alone: each call goes at once to
@@ -595,10 +595,10 @@
   instance.call(++id);
   instance.run_until(instance.now + milliseconds(1));
   dial();
-  const auto before = instance.actions<SendSetup>().size();
+  const auto before = instance.emitted<SendSetup>().size();
   instance.establish(first, 1, milliseconds(250));
   instance.run_until(instance.now + seconds(2));
-  const auto sends = instance.actions<SendSetup>();
+  const auto sends = instance.emitted<SendSetup>();
   ASSERT_GT(sends.size(), before);
   EXPECT_EQ(sends[before].call, id);  // the newest: a crowded number's comes after its equals
 }
@@ -622,8 +622,8 @@
     instance.establish(id, choice, milliseconds(60));
     instance.run_until(instance.now + milliseconds(40));
   }
-  EXPECT_TRUE(instance.actions<Log>().empty());
-  EXPECT_TRUE(instance.actions<Refuse>().empty());
+  EXPECT_TRUE(instance.emitted<Log>().empty());
+  EXPECT_TRUE(instance.emitted<Refuse>().empty());
 }
 
 TEST(Log, FirstSignOfASpellOnly) {
@@ -632,8 +632,8 @@
   instance.call(2);
   instance.processor_full(1, 1);
   instance.processor_full(2, 1);
-  ASSERT_EQ(instance.actions<Log>().size(), 1u);
-  EXPECT_EQ(instance.actions<Log>()[0].text, "server 10.0.0.1:5060: processor full, gap 12 ms");
+  ASSERT_EQ(instance.emitted<Log>().size(), 1u);
+  EXPECT_EQ(instance.emitted<Log>()[0].text, "server 10.0.0.1:5060: processor full, gap 12 ms");
 }
 
 TEST(Route, PressedFirstChoiceGivesWayToAnother) {
@@ -667,7 +667,7 @@
   event.forwarded = true;
   instance.handle(event);
   instance.run_until(seconds(4));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 0u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 0u);
   EXPECT_EQ(instance.final_answers(1), 1u);
 }
 
@@ -688,7 +688,7 @@
   instance.now = seconds(3);
   instance.end_attempt(1, 1, Ending::timed_out);
   EXPECT_EQ(instance.final_answers(1), 1u);
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
 }
 
 TEST(Rules, NothingIsSentOrAnsweredAfterWithdrawal) {
@@ -697,7 +697,7 @@
   instance.handle(CallCancelled{1});
   instance.handle(ServerList{true, {entry(1)}});
   instance.run_until(seconds(10));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 0u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 0u);
   EXPECT_EQ(instance.final_answers(1), 0u);
 }
 
@@ -705,11 +705,11 @@
   Instance instance;
   instance.call(1);
   instance.handle(CallCancelled{1});
-  ASSERT_EQ(instance.actions<CancelAttempt>().size(), 1u);
+  ASSERT_EQ(instance.emitted<CancelAttempt>().size(), 1u);
   instance.now += milliseconds(30);
   instance.end_attempt(1, 1, Ending::cancelled);
   instance.run_until(seconds(10));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
   EXPECT_EQ(instance.final_answers(1), 0u);
 }
 
@@ -717,7 +717,7 @@
   Instance instance;
   instance.call(1);
   instance.run_until(milliseconds(2900));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
 }
 
 TEST(Rules, DrainingAndGoneServersGetNothingNew) {
@@ -755,9 +755,9 @@
     instance.now = milliseconds(100);
     instance.end_attempt(1, 1, ending);
     instance.run_until(milliseconds(299));
-    EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+    EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
     instance.run_until(milliseconds(1500));
-    EXPECT_EQ(instance.actions<SendSetup>().size(), 2u);
+    EXPECT_EQ(instance.emitted<SendSetup>().size(), 2u);
   }
 }
 
@@ -765,11 +765,11 @@
   Instance instance;
   instance.call(1);
   for (unsigned i = 0; i < 9; ++i) {
-    const auto sends = instance.actions<SendSetup>();
+    const auto sends = instance.emitted<SendSetup>();
     if (instance.final_answers(1) == 0) instance.no_circuit(1, sends.back().server.address[3]);
     instance.run_until(instance.now + milliseconds(300));
   }
-  EXPECT_LE(instance.actions<SendSetup>().size(), 5u);
+  EXPECT_LE(instance.emitted<SendSetup>().size(), 5u);
   EXPECT_EQ(instance.final_answers(1), 1u);
 }
 
@@ -780,9 +780,9 @@
   instance.call(1);
   instance.end_attempt(1, 1, Ending::reset);
   instance.run_until(seconds(5));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
-  EXPECT_EQ(instance.actions<Fail>().size(), 1u);
-  EXPECT_EQ(instance.actions<Refuse>().size(), 0u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.emitted<Fail>().size(), 1u);
+  EXPECT_EQ(instance.emitted<Refuse>().size(), 0u);
 }
 
 TEST(Rules, ColdServerGetsThisFrontsShareOfItsBudgetOnly) {
@@ -793,7 +793,7 @@
     for (int i = 0; i < 10; ++i) {
       instance.call(++id, choice ? choice : 1 + i % 2);
       instance.run_until(instance.now + milliseconds(100));
-      for (const auto& sent : instance.actions<SendSetup>()) {
+      for (const auto& sent : instance.emitted<SendSetup>()) {
         instance.establish(sent.call, sent.server.address[3], milliseconds(30));
       }
     }
@@ -821,7 +821,7 @@
         ++id;
         instance.call(id, choice ? choice : 1 + static_cast<int>(id % 2));
         instance.run_until(instance.now + milliseconds(500));
-        for (const auto& sent : instance.actions<SendSetup>()) {
+        for (const auto& sent : instance.emitted<SendSetup>()) {
           instance.establish(sent.call, sent.server.address[3], milliseconds(30));
         }
       }
@@ -849,7 +849,7 @@
   const auto call_to = [&](int choice) {
     instance.call(++id, choice);
     instance.run_until(instance.now + milliseconds(100));
-    for (const auto& sent : instance.actions<SendSetup>()) {
+    for (const auto& sent : instance.emitted<SendSetup>()) {
       instance.establish(sent.call, sent.server.address[3], milliseconds(20));
     }
   };
@@ -880,7 +880,7 @@
     instance.handle(flood);
     if (id == 1) instance.end_attempt(id, 2, Ending::fault, Cause::number_busy);
     instance.run_until(instance.now + milliseconds(50));
-    for (const auto& sent : instance.actions<SendSetup>()) {
+    for (const auto& sent : instance.emitted<SendSetup>()) {
       instance.end_attempt(sent.call, sent.server.address[3], Ending::fault, Cause::number_busy);
     }
   }
@@ -890,7 +890,7 @@
   while (instance.now < until) {
     instance.call(++id, 2);
     instance.run_until(instance.now + milliseconds(20));
-    for (const auto& sent : instance.actions<SendSetup>()) {
+    for (const auto& sent : instance.emitted<SendSetup>()) {
       instance.establish(sent.call, sent.server.address[3], milliseconds(20));
     }
   }
@@ -905,7 +905,7 @@
     const auto calls = [&](Time until, Duration spacing) {
       while (instance.now < until) {
         instance.call(++id, 2);
-        for (const auto& sent : instance.actions<SendSetup>()) {
+        for (const auto& sent : instance.emitted<SendSetup>()) {
           instance.establish(sent.call, sent.server.address[3], milliseconds(20));
         }
         instance.run_until(instance.now + spacing);
@@ -936,7 +936,7 @@
     for (int i = 0; i < count; ++i) {
       instance.call(++id, choice);
       instance.run_until(instance.now + milliseconds(100));
-      for (const auto& sent : instance.actions<SendSetup>()) {
+      for (const auto& sent : instance.emitted<SendSetup>()) {
         instance.establish(sent.call, sent.server.address[3], milliseconds(30));
       }
     }
@@ -967,7 +967,7 @@
   instance.establish(1, 1, milliseconds(10));
   instance.processor_full(1, 1);
   instance.establish(1, 1, milliseconds(10));
-  EXPECT_EQ(instance.actions<SendSetup>().size(), 1u);
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
   EXPECT_EQ(instance.final_answers(1), 0u);
 }
 
@@ -987,7 +987,7 @@
       }
       instance.run_until(seconds(9));
       const bool sent_again = !stood && !gone;  // to the new process
-      EXPECT_EQ(instance.actions<SendSetup>().size(), sent_again ? 3u : 2u);
+      EXPECT_EQ(instance.emitted<SendSetup>().size(), sent_again ? 3u : 2u);
       EXPECT_EQ(instance.final_answers(1), stood || sent_again ? 0u : 1u);
     }
   }
@@ -1016,7 +1016,7 @@
     instance.call(2);
     instance.establish(2, 1, milliseconds(10));
     instance.run_until(seconds(1));
-    EXPECT_GE(instance.actions<SendSetup>().size(), 1u);
+    EXPECT_GE(instance.emitted<SendSetup>().size(), 1u);
   }
 }
 
@@ -1024,12 +1024,12 @@
   Settings settings = plain_settings();
   settings.must_subscribe = true;
   Instance instance(settings);
-  EXPECT_EQ(instance.actions<Subscribe>().size(), 1u);
+  EXPECT_EQ(instance.emitted<Subscribe>().size(), 1u);
   instance.call(1);
-  EXPECT_EQ(instance.actions<Subscribe>().size(), 1u);
+  EXPECT_EQ(instance.emitted<Subscribe>().size(), 1u);
   instance.handle(DiscoveryFailed{});
   instance.call(2);
-  EXPECT_EQ(instance.actions<Subscribe>().size(), 2u);
+  EXPECT_EQ(instance.emitted<Subscribe>().size(), 2u);
 }
 
 TEST(Determinism, EqualEventsGiveEqualActions) {
@@ -1037,11 +1037,11 @@
     Instance instance(plain_settings(), {entry(1), entry(2), entry(3), entry(4)});
     for (CallId id = 1; id <= 200; ++id) {
       instance.call(id, 1 + static_cast<int>(id % 4));
-      if (id % 3 == 0) instance.processor_full(id, instance.actions<SendSetup>().back().server.address[3]);
+      if (id % 3 == 0) instance.processor_full(id, instance.emitted<SendSetup>().back().server.address[3]);
       instance.run_until(instance.now + milliseconds(20));
     }
     std::vector<std::uint8_t> order;
-    for (const auto& sent : instance.actions<SendSetup>()) order.push_back(sent.server.address[3]);
+    for (const auto& sent : instance.emitted<SendSetup>()) order.push_back(sent.server.address[3]);
     return order;
   };
   EXPECT_EQ(play(), play());
@@ -1053,16 +1053,16 @@
   Instance none(settings, {});
   none.call(1, 1, 0, milliseconds(100));
   none.run_until(milliseconds(200));
-  ASSERT_EQ(none.actions<Refuse>().size(), 1u);
-  EXPECT_EQ(none.actions<Refuse>()[0].retry_after, settings.max_retry_after)
+  ASSERT_EQ(none.emitted<Refuse>().size(), 1u);
+  EXPECT_EQ(none.emitted<Refuse>()[0].retry_after, settings.max_retry_after)
       << "no server, so as long as callers heed";
 
   Instance full(settings, {entry(1)});
   full.call(1, 1, 0, milliseconds(100));
   full.processor_full(1, 1);
   full.run_until(milliseconds(200));
-  ASSERT_EQ(full.actions<Refuse>().size(), 1u);
-  const auto away = full.actions<Refuse>()[0].retry_after.value();
+  ASSERT_EQ(full.emitted<Refuse>().size(), 1u);
+  const auto away = full.emitted<Refuse>()[0].retry_after.value();
   EXPECT_GT(away, seconds(1)) << "the server is closed for an aim after 'processor full'";
   EXPECT_LE(away, settings.max_retry_after);
 
@@ -1070,7 +1070,7 @@
   Instance unheeded(settings, {});
   unheeded.call(1, 1, 0, milliseconds(100));
   unheeded.run_until(milliseconds(200));
-  EXPECT_EQ(unheeded.actions<Refuse>().at(0).retry_after, std::nullopt);
+  EXPECT_EQ(unheeded.emitted<Refuse>().at(0).retry_after, std::nullopt);
 }
 
 // Some thousand held calls were once sorted at every event. Looking only at what may go must not change what
@@ -1086,9 +1086,9 @@
     instance.call(id, 1, 0, seconds(9));
   }
   instance.call(5000, 2, 1, seconds(9));  // worth most, and its only server is not there
-  const auto before = instance.actions<SendSetup>().size();
+  const auto before = instance.emitted<SendSetup>().size();
   instance.run_until(seconds(4));
-  const auto sent = instance.actions<SendSetup>();
+  const auto sent = instance.emitted<SendSetup>();
   ASSERT_GT(sent.size(), before);
   EXPECT_EQ(sent[before].call, 2000u);
 }
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -50,7 +50,7 @@
 
 std::vector<CallId> sent_in_order(const Instance& instance) {
   std::vector<CallId> calls;
-  for (const auto& sent : instance.actions<SendSetup>()) calls.push_back(sent.call);
+  for (const auto& sent : instance.emitted<SendSetup>()) calls.push_back(sent.call);
   return calls;
 }
 
@@ -80,7 +80,7 @@
     CallArrived again = asked(9, 0xa);
     again.reconnect = cut;
     instance.handle(again);
-    const auto from = instance.actions<SendSetup>().size();
+    const auto from = instance.emitted<SendSetup>().size();
     instance.handle(ServerList{true, {entry(1)}});
     std::vector<CallId> calls = sent_in_order(instance);
     calls.erase(calls.begin(), calls.begin() + static_cast<long>(from));
--- a/tests/front.hpp
+++ b/tests/front.hpp
@@ -106,7 +106,7 @@
   }
 
   template <typename T>
-  std::vector<T> actions() const {
+  std::vector<T> emitted() const {
     std::vector<T> found;
     for (const Action& action : all_actions) {
       if (const auto* match = std::get_if<T>(&action)) found.push_back(*match);
@@ -114,14 +114,14 @@
     return found;
   }
   std::size_t sent_to(std::uint8_t at) const {
-    const auto sends = actions<SendSetup>();
+    const auto sends = emitted<SendSetup>();
     return static_cast<std::size_t>(
         std::count_if(sends.begin(), sends.end(), [&](const auto& s) { return s.server == server(at); }));
   }
   std::size_t final_answers(CallId id) const {
     std::size_t count = 0;
-    for (const auto& refused : actions<Refuse>()) count += refused.call == id;
-    for (const auto& failed : actions<Fail>()) count += failed.call == id;
+    for (const auto& refused : emitted<Refuse>()) count += refused.call == id;
+    for (const auto& failed : emitted<Fail>()) count += failed.call == id;
     return count;
   }
 
