--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -13,7 +13,7 @@
 
 // ---- The ordinary path
 
-TEST(Gap, NoughtAtStartLetsCallsGoAtOnceToTheFirstChoice) {
+TEST(Gap, ZeroAtStartSendsCallsToTheFirstChoiceAtOnce) {
   Instance instance;
   instance.call(1);
   instance.call(2);
@@ -36,7 +36,7 @@
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 4u);
 }
 
-TEST(Gap, FirstLiftWithoutSpacingIsTenMilliseconds) {
+TEST(Gap, FirstRiseWithoutSpacingIsTenMilliseconds) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
   instance.no_circuit(1, 1);
@@ -50,7 +50,7 @@
 // Guards against hasty retries into a full processor: its wait is near the aims already.
 // Broken callers send floods of what no server can use: it must not take the places of good calls behind a
 // gap.
-TEST(Gap, AFaultySetupLeavesItsPlaceToTheNextAndIsTriedTwiceAtMost) {
+TEST(Gap, AFaultyCallGivesItsSlotToTheNextAndIsTriedAtMostTwice) {
   Settings settings = plain_settings();
   settings.classes[0].pools = {1};
   Instance instance(settings, {entry(1)});
@@ -70,7 +70,7 @@
 
 // Guards against a server that fails sound calls at once: it looks idle, and a call that goes back to it has
 // failed although another would take it. Where no other is to be had, it is asked again.
-TEST(Route, ACallIsNotSentBackToTheServerThatMadeNothingOfIt) {
+TEST(Route, ACallIsNotSentBackToTheServerThatRejectedItAsFaulty) {
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   for (CallId id = 1; id <= 20; ++id) {
     instance.call(id);
@@ -85,7 +85,7 @@
   }
 }
 
-TEST(Route, ItsLikesGoOnToTheServerThatMadeNothingOfOneCall) {
+TEST(Route, SimilarCallsStillGoToAServerThatRejectedOneCall) {
   Instance instance(plain_settings(), {entry(1), entry(2)});
   instance.call(1);
   instance.call(9, 2);
@@ -100,7 +100,7 @@
 
 // A server that fails sound calls answers at once and looks idle: others are asked first until it does no
 // more.
-TEST(Route, AServerThatFailsWhatAnotherTakesGivesWayAndOneBadCallerDoesNotMakeItSo) {
+TEST(Route, AServerThatRejectsCallsOthersAcceptIsAvoidedButNotForFaultyCalls) {
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   const auto fails_at_first = [&](CallId id, bool taken_by_another) {
     instance.call(id);
@@ -133,7 +133,7 @@
 
 // Guards against calls that were failed once and then wait behind the gap of a busy server until they are
 // over.
-TEST(Route, BehindTheOthersGapAFailedCallWaitsForAMomentOnly) {
+TEST(Route, ACallRejectedOnceWaitsOnlyBrieflyForAnotherServersGap) {
   Instance instance(plain_settings(), {entry(1), entry(2)});
   instance.call(9, 2);
   instance.establish(9, 2, milliseconds(1900));  // late: server 2 has a wide gap now
@@ -151,7 +151,7 @@
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 4u) << "tried once more";
 }
 
-TEST(Route, WithNoOtherServerToAskTheSameIsAskedAgain) {
+TEST(Route, ACallRejectedOnceIsSentBackIfNoOtherServerIsAvailable) {
   Instance instance(plain_settings(), {entry(1), entry(2, Availability::draining)});
   instance.call(1);
   instance.end_attempt(1, 1, Ending::fault);
@@ -177,7 +177,7 @@
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 6u);
 }
 
-TEST(Gap, FullProcessorIsLeftAloneForOneAim) {
+TEST(Gap, FullProcessorGetsNothingForOneAim) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
   instance.processor_full(1, 1);
@@ -188,7 +188,7 @@
 }
 
 // Guards against reading a fast answer as a sign of spare when hardly a line is free.
-TEST(Gap, SpareIsAtMostTheShareOfFreeLines) {
+TEST(Gap, SpareCapacityIsAtMostTheShareOfFreeLines) {
   for (const double free : {5.0, 95.0}) {
     Instance instance(plain_settings(), {entry(1)});
     for (CallId id = 1; id <= 3; ++id) {
@@ -231,7 +231,7 @@
 }
 
 // Guards against a jam that many fronts keep up between them: one rise an answer takes each of them too long.
-TEST(Gap, LateSetupSpacesTheNextByNoLessThanItWaited) {
+TEST(Gap, LateSetupRaisesTheGapToAtLeastItsWait) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
   instance.run_until(milliseconds(390));
@@ -244,7 +244,7 @@
 }
 
 // Guards against spacing by the whole wait where few fronts have several set-ups in line.
-TEST(Gap, LateSetupAmongOthersSpacesByItsPartOfTheWait) {
+TEST(Gap, LateSetupAmongOthersRaisesTheGapByItsPartOfTheWait) {
   Instance instance(plain_settings(), {entry(1)});
   for (CallId id = 1; id <= 3; ++id) instance.call(id);  // all out at once: the last is the third in line
   instance.run_until(milliseconds(900));
@@ -257,7 +257,7 @@
 
 // Guards against a server kept jammed by the tries of many fronts, each of which takes its caller's whole
 // time.
-TEST(Gap, TimeOutTriplesTheGapAndThoseSentBeforeItDoNotAgain) {
+TEST(Gap, TimeOutTriplesTheGapOnceForSetupsSentBeforeTheRise) {
   Instance instance(plain_settings(), {entry(1)});
   instance.run_until(seconds(40));  // it sends there seldom: its usual spacing is some seconds
   instance.call(1);
@@ -277,7 +277,7 @@
 }
 
 // Guards against the small fleet's harm: a front that sends there often goes by single rises.
-TEST(Gap, TimeOutIsOneRiseWhereTheFrontSendsOften) {
+TEST(Gap, TimeOutIsOneRiseWhereTheInstanceSendsOften) {
   Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
   while (instance.now < seconds(20)) {
@@ -300,7 +300,7 @@
 }
 
 // Guards against a line of seconds that a gap of little more than the wait would keep up.
-TEST(Gap, LateSetupCountsARiseMoreForEachDoublingOfItsWait) {
+TEST(Gap, EachDoublingOfALateSetupsWaitAddsARise) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
   instance.run_until(milliseconds(1700));
@@ -313,7 +313,7 @@
 }
 
 // Guards against many fronts each coming back an aim after 'processor full': turning them away is work too.
-TEST(Gap, FullProcessorIsLeftAloneForThreeUsualSpacings) {
+TEST(Gap, FullProcessorGetsNothingForThreeUsualSpacings) {
   Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
   while (instance.now < seconds(60)) {  // a call in two seconds
@@ -332,7 +332,7 @@
 }
 
 // Guards against a lift from the short spacing of a backlog where the front sees the server once in seconds.
-TEST(Gap, LiftStartsFromTheUsualSpacingWhereThatIsLong) {
+TEST(Gap, FirstRiseStartsFromTheUsualSpacingWhereThatIsLong) {
   Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
   while (instance.now < seconds(60)) {  // five calls at once in twelve seconds
@@ -351,7 +351,7 @@
 }
 
 // Guards against a draw by chance where a front has nothing out anywhere.
-TEST(Route, OfTwoOthersTheOneWithTheShorterLastDelay) {
+TEST(Route, OfTwoOthersTheOneWithTheShorterLastDelayIsUsed) {
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   instance.call(1, 2);
   instance.establish(1, 2, milliseconds(150));
@@ -379,7 +379,7 @@
   Instance instance{plain_settings(), {entry(1), entry(2)}};
 };
 
-TEST_F(Reports, LongWaitTurnsCallsAway) {
+TEST_F(Reports, LongReportedWaitDivertsCalls) {
   LoadReport told;
   told.wait_ms = 500;
   report(1, told);
@@ -390,7 +390,7 @@
   EXPECT_EQ(instance.sent_to(1), 2u);
 }
 
-TEST_F(Reports, QueueCountsByTheRateOfAllFronts) {
+TEST_F(Reports, QueueLengthIsJudgedByTheRateOfAllInstances) {
   for (CallId id = 1; id <= 100; ++id) {  // ten a second of each of four fronts
     instance.call(id);
     instance.establish(id, 1, milliseconds(20));
@@ -408,7 +408,7 @@
 }
 
 // Guards against a server that recovered and is tried once in half a minute by each of many fronts.
-TEST_F(Reports, SpareAtTheEndOfACallCutsTheGap) {
+TEST_F(Reports, SpareCapacityReportedAtTheEndOfACallLowersTheGap) {
   Instance one(plain_settings(), {entry(1)});
   one.call(1);
   one.establish(1, 1, milliseconds(20));
@@ -426,7 +426,7 @@
   EXPECT_EQ(one.sent_to(1), 3u);
 }
 
-TEST_F(Reports, AbsurdOrAbsentFiguresAreWorthNoReport) {
+TEST_F(Reports, OutOfRangeValuesAreIgnored) {
   for (const double absurd :
        {std::numeric_limits<double>::quiet_NaN(), -5.0, -std::numeric_limits<double>::infinity()}) {
     LoadReport told;
@@ -440,7 +440,7 @@
 
 // Guards against silence: the list says ready, but the set-up that is out gets no answer. One more now and
 // then is to show whether the answer got lost or the server is slow.
-TEST(Gap, NothingMoreGoesToAServerThatOwesAnAnswerButOneNowAndThen) {
+TEST(Gap, AServerWithOverdueAnswersGetsOnlySingleSetupsAfterPauses) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
   instance.run_until(milliseconds(201));
@@ -457,7 +457,7 @@
 
 // A processor answers in turn: where a later set-up has its answer, that of an earlier one got lost. It tells
 // nothing of load, blocks nothing, and the call goes again after the guard.
-TEST(Gap, ALostAnswerIsNoSignOfLoadAndItsCallGoesAgain) {
+TEST(Gap, ALostAnswerIsNoSignOfLoadAndItsCallIsSentAgain) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
   instance.run_until(milliseconds(100));
@@ -480,7 +480,7 @@
   EXPECT_EQ(instance.emitted<CancelAttempt>().size(), 1u);
 }
 
-TEST(Order, WorthFirstThenTheNewest) {
+TEST(Order, HighestWorthFirstThenTheNewest) {
   Instance instance(plain_settings(), {});
   instance.call(1);
   instance.now += milliseconds(10);
@@ -495,7 +495,7 @@
 }
 
 // Guards against a tenant that floods the fronts: what it brings beyond its share of the quota goes last.
-TEST(Order, CallsBeyondATenantsShareGoLast) {
+TEST(Order, CallsBeyondATenantsQuotaGoLast) {
   Settings settings = plain_settings();
   settings.tenants = {{4.0}, {400.0}};  // for this front of four: one a second and a hundred
   settings.over_share_worth = 0.2;
@@ -521,7 +521,7 @@
 }
 
 // Guards against asking a pool for lines it was told not to have.
-TEST(Route, PoolWithoutAFreeLineIsLeftAlone) {
+TEST(Route, ServerWithoutAFreeLineGetsNothing) {
   Instance instance;
   ServerProbed told{server(1), true, {}};
   told.report.free_circuits = 0;
@@ -534,7 +534,7 @@
 
 // Guards against a burst (redials after a cut, say) that lands before the first answer can raise a gap of
 // nought.
-TEST(Gap, BurstIsHeldToThisFrontsShareUntilAnswersCome) {
+TEST(Gap, BurstIsLimitedToThisInstancesShareUntilAnswersCome) {
   Instance instance(plain_settings(), {entry(1)});
   instance.run_until(seconds(10));
   for (CallId id = 1; id <= 40; ++id) instance.call(id);
@@ -546,7 +546,7 @@
 }
 
 // Guards against a jam of one number's calls: they find no line and use up the processors.
-TEST(Gap, CrowdedNumberIsSpacedAndOthersPass) {
+TEST(Gap, CallsToABusyNumberAreSpacedAndOthersPass) {
   Instance instance(plain_settings(), {entry(1)});
   const auto dial = [&](CallId id, std::uint64_t key) {
     CallArrived event;
@@ -570,7 +570,7 @@
 // While servers answer in time and have lines, the plain mechanism decides alone: each call goes at once to
 // its first choice.
 // Guards against numbers that were busy once and are remembered for good.
-TEST(Gap, QuietNumberIsForgotten) {
+TEST(Gap, BusyNumberIsForgottenWhenNoLongerCalled) {
   Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
   const auto dial = [&] {
@@ -603,7 +603,7 @@
   EXPECT_EQ(sends[before].call, id);  // the newest: a crowded number's comes after its equals
 }
 
-TEST(Quiet, NoDepartureActs) {
+TEST(NormalOperation, EveryCallGoesToItsFirstChoiceAtOnce) {
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   for (const auto at : std::initializer_list<std::uint8_t>{1, 2, 3}) {
     ServerProbed told{server(at), true, {}};
@@ -626,7 +626,7 @@
   EXPECT_TRUE(instance.emitted<Refuse>().empty());
 }
 
-TEST(Log, FirstSignOfASpellOnly) {
+TEST(Log, OnlyTheFirstSignOfASeriesIsLogged) {
   Instance instance;
   instance.call(1);
   instance.call(2);
@@ -636,7 +636,7 @@
   EXPECT_EQ(instance.emitted<Log>()[0].text, "server 10.0.0.1:5060: processor full, gap 12 ms");
 }
 
-TEST(Route, PressedFirstChoiceGivesWayToAnother) {
+TEST(Route, DegradedFirstChoiceIsReplacedByAnotherServer) {
   Instance instance;
   instance.call(1);
   instance.processor_full(1, 1);
@@ -658,7 +658,7 @@
   EXPECT_EQ(instance.sent_to(3), 1u);
 }
 
-TEST(Route, ACallInTransitGoesToItsDestinationOnly) {
+TEST(Route, AForwardedCallGoesToItsFirstChoiceOnly) {
   Instance instance;
   CallArrived event;
   event.call = 1;
@@ -673,7 +673,7 @@
 
 // ---- The five rules
 
-TEST(Rules, HeldCallGetsOneAnswerBeforeItsCallerLeaves) {
+TEST(Rules, HeldCallGetsOneAnswerBeforeItsCallerGivesUp) {
   Instance instance(plain_settings(), {});
   instance.call(1, 1, 0, milliseconds(700));
   instance.run_until(milliseconds(700));
@@ -691,7 +691,7 @@
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
 }
 
-TEST(Rules, NothingIsSentOrAnsweredAfterWithdrawal) {
+TEST(Rules, NothingIsSentOrAnsweredAfterCancellation) {
   Instance instance(plain_settings(), {});
   instance.call(1);
   instance.handle(CallCancelled{1});
@@ -701,7 +701,7 @@
   EXPECT_EQ(instance.final_answers(1), 0u);
 }
 
-TEST(Rules, WithdrawnCallInFlightIsCalledOffAndForgotten) {
+TEST(Rules, CancelledCallInFlightHasItsAttemptCancelledAndIsForgotten) {
   Instance instance;
   instance.call(1);
   instance.handle(CallCancelled{1});
@@ -720,7 +720,7 @@
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
 }
 
-TEST(Rules, DrainingAndGoneServersGetNothingNew) {
+TEST(Rules, DrainingAndGoneServersGetNoNewSetups) {
   for (const auto state : {Availability::draining, Availability::gone}) {
     Instance instance;
     instance.handle(ServerList{false, {entry(1, state)}});
@@ -730,7 +730,7 @@
   }
 }
 
-TEST(Rules, ServerMissingFromAWholeListGetsNothingNew) {
+TEST(Rules, ServerMissingFromASnapshotGetsNoNewSetups) {
   Instance instance;
   instance.handle(ServerList{true, {entry(2)}});
   instance.call(1);
@@ -738,7 +738,7 @@
   EXPECT_EQ(instance.sent_to(2), 1u);
 }
 
-TEST(Rules, CallHeldForADrainingServerMovesOn) {
+TEST(Rules, CallHeldForADrainingServerGoesToAnother) {
   Instance instance;
   instance.call(1);
   instance.now += milliseconds(50);
@@ -773,7 +773,7 @@
   EXPECT_EQ(instance.final_answers(1), 1u);
 }
 
-TEST(Rules, CallThatMayHaveRunIsNotRepeatedWhereRepeatsDoHarm) {
+TEST(Rules, NonRepeatableCallThatMayHaveRunIsNotRepeated) {
   Settings settings = plain_settings();
   settings.classes[0].repeatable = false;
   Instance instance(settings);
@@ -785,7 +785,7 @@
   EXPECT_EQ(instance.emitted<Refuse>().size(), 0u);
 }
 
-TEST(Rules, ColdServerGetsThisFrontsShareOfItsBudgetOnly) {
+TEST(Rules, ColdServerGetsOnlyThisInstancesShareOfItsBudget) {
   Instance instance(plain_settings(), {entry(1), entry(2)});
   // Ten seconds of ten calls a second: each of two warm servers bears five a second of this front's.
   CallId id = 0;
@@ -808,7 +808,7 @@
 }
 
 // Guards against a cold server pushed over by the first set-up of every front, all told of its start at once.
-TEST(Rules, FirstSetupsOfManyFrontsToAColdServerAreSpread) {
+TEST(Rules, FirstSetupsOfManyInstancesToAColdServerAreSpread) {
   constexpr unsigned kInstances = 60;
   Settings settings = plain_settings();
   settings.instances = kInstances;
@@ -868,7 +868,7 @@
 }
 
 // Guards against a flood to one number that widens the cold share of the server it names.
-TEST(Rules, CallsToACrowdedNumberDoNotWidenAColdShare) {
+TEST(Rules, CallsToABusyNumberDoNotRaiseAColdServersShare) {
   Instance instance(plain_settings(), {entry(1), entry(2)});
   CallId id = 0;
   while (instance.now < seconds(20)) {
@@ -898,7 +898,7 @@
 }
 
 // Guards against a server that restarts before the list knows: all fronts would fall upon what comes back.
-TEST(Rules, ServerThatWasOutOfReachCountsAsColdWhereItIsSeldomSeen) {
+TEST(Rules, ServerThatWasUnreachableCountsAsColdWhereItIsRarelyUsed) {
   for (const Ending ending : {Ending::not_connected, Ending::reset}) {
     Instance instance(plain_settings(), {entry(1), entry(2)});
     CallId id = 0;
@@ -923,7 +923,7 @@
 
 // Guards against a started server whose lines are not told yet: its share is the mean, neither all nor
 // nothing.
-TEST(Rules, ColdServerWithUntoldLinesGetsTheMeanShare) {
+TEST(Rules, ColdServerWithUnreportedLinesGetsTheMeanShare) {
   Instance instance(plain_settings(), {entry(1), entry(2)});
   for (const auto at : std::initializer_list<std::uint8_t>{1, 2}) {
     ServerProbed told{server(at), true, {}};
@@ -993,7 +993,7 @@
   }
 }
 
-TEST(BadInput, AbsurdSettingsAreClamped) {
+TEST(BadInput, OutOfRangeSettingsAreClamped) {
   Settings settings;
   settings.instances = 0;
   settings.attempts_cap = 0;
@@ -1006,7 +1006,7 @@
   EXPECT_EQ(instance.final_answers(1), 1u);
 }
 
-TEST(BadInput, AbsurdReportsDoNoHarm) {
+TEST(BadInput, OutOfRangeReportsAreTolerated) {
   for (const double value : {std::numeric_limits<double>::quiet_NaN(), -5.0, 1e30}) {
     Instance instance(plain_settings(), {entry(1)});
     LoadReport report;
@@ -1020,7 +1020,7 @@
   }
 }
 
-TEST(List, SubscribesWhereItMustAndAgainAfterAFailure) {
+TEST(List, SubscribesWhenRequiredAndAgainAfterAFailure) {
   Settings settings = plain_settings();
   settings.must_subscribe = true;
   Instance instance(settings);
@@ -1048,7 +1048,7 @@
 }
 
 // A refused caller that is told nothing comes back at once and is refused again.
-TEST(Answers, ARefusalTellsWhenToComeBack) {
+TEST(Answers, ARefusalAdvisesWhenToRetry) {
   Settings settings = plain_settings();
   Instance none(settings, {});
   none.call(1, 1, 0, milliseconds(100));
@@ -1075,7 +1075,7 @@
 
 // Some thousand held calls were once sorted at every event. Looking only at what may go must not change what
 // goes: the dearest, of equals the latest, and none is kept back by one whose class has no open server.
-TEST(Holding, OfManyHeldCallsTheDearestAndLatestGoesFirst) {
+TEST(Holding, OfManyHeldCallsTheMostValuableAndLatestGoesFirst) {
   Settings settings = plain_settings();
   settings.classes[1].pools = {2};
   Instance instance(settings, {entry(1)});
