--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -102,23 +102,24 @@
 // more.
 TEST(Route, AServerThatRejectsCallsOthersAcceptIsAvoidedButNotForFaultyCalls) {
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
-  const auto fails_at_first = [&](CallId id, bool taken_by_another) {
+  const auto reject_then_retry = [&](CallId id, bool accepted_by_another) {
     instance.call(id);
     const auto first = instance.emitted<SendSetup>().back().server;
     instance.end_attempt(id, first.address[3], Ending::fault);
     const auto second = instance.emitted<SendSetup>().back().server;
-    if (taken_by_another) {
+    if (accepted_by_another) {
       instance.establish(id, second.address[3], milliseconds(20), 1);
     } else {
       instance.end_attempt(id, second.address[3], Ending::fault);
     }
     instance.now += milliseconds(100);
   };
-  for (CallId id = 1; id <= 10; ++id) fails_at_first(id, false);  // nobody takes them: not the server's fault
+  for (CallId id = 1; id <= 10; ++id)
+    reject_then_retry(id, false);  // nobody takes them: not the server's fault
   instance.call(20);
   EXPECT_EQ(instance.emitted<SendSetup>().back().server, server(1));
   instance.establish(20, 1, milliseconds(20));
-  for (CallId id = 21; id <= 23; ++id) fails_at_first(id, true);
+  for (CallId id = 21; id <= 23; ++id) reject_then_retry(id, true);
   for (CallId id = 30; id < 34; ++id) {
     instance.call(id);
     const auto at = instance.emitted<SendSetup>().back().server;
@@ -197,10 +198,10 @@
       if (id > 1) instance.establish(id, 1, milliseconds(10));
     }
     instance.no_circuit(1, 1);  // a gap of 120 ms
-    ServerProbed told{server(1), true, {}};
-    told.report.free_circuits = free;
-    told.report.circuits = 100;
-    instance.handle(told);
+    ServerProbed probe{server(1), true, {}};
+    probe.report.free_circuits = free;
+    probe.report.circuits = 100;
+    instance.handle(probe);
     instance.run_until(milliseconds(600));  // call 1 went again
     instance.establish(1, 1, milliseconds(10), 1);
     instance.call(4);
@@ -371,18 +372,18 @@
 // send.
 class Reports : public ::testing::Test {
  protected:
-  void report(CallId id, LoadReport told) {
+  void complete_with_report(CallId id, LoadReport report) {
     instance.call(id);
     instance.establish(id, 1, milliseconds(20));
-    instance.end_attempt(id, 1, Ending::completed, Cause::none, told);
+    instance.end_attempt(id, 1, Ending::completed, Cause::none, report);
   }
   Instance instance{plain_settings(), {entry(1), entry(2)}};
 };
 
 TEST_F(Reports, LongReportedWaitDivertsCalls) {
-  LoadReport told;
-  told.wait_ms = 500;
-  report(1, told);
+  LoadReport report;
+  report.wait_ms = 500;
+  complete_with_report(1, report);
   instance.call(2);
   EXPECT_EQ(instance.sent_to(2), 1u);
   instance.run_until(instance.now + seconds(3));
@@ -396,13 +397,13 @@
     instance.establish(id, 1, milliseconds(20));
     instance.run_until(instance.now + milliseconds(100));
   }
-  LoadReport told;
-  told.queued = 2;
-  report(101, told);
+  LoadReport report;
+  report.queued = 2;
+  complete_with_report(101, report);
   instance.call(102);
   EXPECT_EQ(instance.sent_to(2), 0u);
-  told.queued = 20;
-  report(103, told);
+  report.queued = 20;
+  complete_with_report(103, report);
   instance.call(104);
   EXPECT_EQ(instance.sent_to(2), 1u);
 }
@@ -415,24 +416,24 @@
   one.call(2);
   one.run_until(milliseconds(2500));
   one.establish(2, 1, milliseconds(2500));  // about six seconds of gap
-  LoadReport told;
-  told.utilisation = 0.1;
-  one.end_attempt(1, 1, Ending::completed, Cause::none, told);  // not later than the rise: does not count
+  LoadReport report;
+  report.utilisation = 0.1;
+  one.end_attempt(1, 1, Ending::completed, Cause::none, report);  // not later than the rise: does not count
   one.call(3);
   one.run_until(milliseconds(4600));
   EXPECT_EQ(one.sent_to(1), 2u);
-  one.end_attempt(2, 1, Ending::completed, Cause::none, told);
+  one.end_attempt(2, 1, Ending::completed, Cause::none, report);
   one.run_until(milliseconds(4700));
   EXPECT_EQ(one.sent_to(1), 3u);
 }
 
 TEST_F(Reports, OutOfRangeValuesAreIgnored) {
-  for (const double absurd :
+  for (const double value :
        {std::numeric_limits<double>::quiet_NaN(), -5.0, -std::numeric_limits<double>::infinity()}) {
-    LoadReport told;
-    told.wait_ms = absurd;
-    told.queued = absurd;
-    report(static_cast<CallId>(instance.sent_to(1) + 1), told);
+    LoadReport report;
+    report.wait_ms = value;
+    report.queued = value;
+    complete_with_report(static_cast<CallId>(instance.sent_to(1) + 1), report);
   }
   instance.call(50);
   EXPECT_EQ(instance.sent_to(1), 4u);
@@ -500,7 +501,7 @@
   settings.tenants = {{4.0}, {400.0}};  // for this front of four: one a second and a hundred
   settings.over_share_worth = 0.2;
   Instance instance(settings, {});
-  const auto bring = [&](CallId id, unsigned tenant) {
+  const auto arrive = [&](CallId id, unsigned tenant) {
     CallArrived event;
     event.call = id;
     event.tenant = tenant;
@@ -508,11 +509,11 @@
     event.caller_timeout = seconds(3);
     instance.handle(event);
   };
-  for (CallId id = 1; id <= 8; ++id) bring(id, 0);
+  for (CallId id = 1; id <= 8; ++id) arrive(id, 0);
   instance.now += milliseconds(10);
-  bring(9, 1);
+  arrive(9, 1);
   instance.now += milliseconds(10);
-  bring(10, 0);
+  arrive(10, 0);
   instance.handle(ServerList{true, {entry(1)}});
   const auto sends = instance.emitted<SendSetup>();
   ASSERT_GE(sends.size(), 2u);
@@ -523,10 +524,10 @@
 // Guards against asking a pool for lines it was told not to have.
 TEST(Route, ServerWithoutAFreeLineGetsNothing) {
   Instance instance;
-  ServerProbed told{server(1), true, {}};
-  told.report.free_circuits = 0;
-  told.report.circuits = 100;
-  instance.handle(told);
+  ServerProbed probe{server(1), true, {}};
+  probe.report.free_circuits = 0;
+  probe.report.circuits = 100;
+  instance.handle(probe);
   instance.call(1);
   EXPECT_EQ(instance.sent_to(1), 0u);
   EXPECT_EQ(instance.sent_to(2), 1u);
@@ -548,7 +549,7 @@
 // Guards against a jam of one number's calls: they find no line and use up the processors.
 TEST(Gap, CallsToABusyNumberAreSpacedAndOthersPass) {
   Instance instance(plain_settings(), {entry(1)});
-  const auto dial = [&](CallId id, std::uint64_t key) {
+  const auto call_number = [&](CallId id, std::uint64_t key) {
     CallArrived event;
     event.call = id;
     event.number_key = key;
@@ -556,12 +557,12 @@
     event.caller_timeout = seconds(3);
     instance.handle(event);
   };
-  dial(1, 77);
+  call_number(1, 77);
   instance.end_attempt(1, 1, Ending::fault, Cause::number_busy);
   EXPECT_EQ(instance.final_answers(1), 1u);
-  dial(2, 77);
+  call_number(2, 77);
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 1u);
-  dial(3, 78);
+  call_number(3, 78);
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 2u);
   instance.run_until(milliseconds(15));
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 3u);
@@ -573,7 +574,7 @@
 TEST(Gap, BusyNumberIsForgottenWhenNoLongerCalled) {
   Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
-  const auto dial = [&] {
+  const auto call_number = [&] {
     CallArrived asked;
     asked.call = ++id;
     asked.number_key = 77;
@@ -581,7 +582,7 @@
     asked.caller_timeout = seconds(3);
     instance.handle(asked);
   };
-  dial();
+  call_number();
   instance.end_attempt(id, 1, Ending::fault, Cause::number_busy);
   instance.run_until(seconds(40));
   while (instance.now < seconds(60)) {
@@ -594,7 +595,7 @@
   instance.run_until(instance.now + milliseconds(250));  // overdue: the next two are held
   instance.call(++id);
   instance.run_until(instance.now + milliseconds(1));
-  dial();
+  call_number();
   const auto before = instance.emitted<SendSetup>().size();
   instance.establish(first, 1, milliseconds(250));
   instance.run_until(instance.now + seconds(2));
@@ -606,10 +607,10 @@
 TEST(NormalOperation, EveryCallGoesToItsFirstChoiceAtOnce) {
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   for (const auto at : std::initializer_list<std::uint8_t>{1, 2, 3}) {
-    ServerProbed told{server(at), true, {}};
-    told.report.free_circuits = 60;
-    told.report.circuits = 100;
-    instance.handle(told);
+    ServerProbed probe{server(at), true, {}};
+    probe.report.free_circuits = 60;
+    probe.report.circuits = 100;
+    instance.handle(probe);
   }
   for (CallId id = 1; id <= 600; ++id) {
     const auto choice = static_cast<std::uint8_t>(1 + id % 3);
@@ -836,9 +837,9 @@
   }
   // One call a second from each front is what the server bears when warm; it starts with a third of that.
   EXPECT_LE(at_once, kInstances / 10);
-  const double bears = settings.cold_from * kInstances * 1.5;
-  EXPECT_GE(static_cast<double>(within_window), bears / 2);
-  EXPECT_LE(static_cast<double>(within_window), bears * settings.cold_overload_factor);
+  const double capacity = settings.cold_from * kInstances * 1.5;
+  EXPECT_GE(static_cast<double>(within_window), capacity / 2);
+  EXPECT_LE(static_cast<double>(within_window), capacity * settings.cold_overload_factor);
 }
 
 // Guards against the end of the cold time: without a gap of its own every front would send at once.
@@ -872,12 +873,12 @@
   Instance instance(plain_settings(), {entry(1), entry(2)});
   CallId id = 0;
   while (instance.now < seconds(20)) {
-    CallArrived flood;
-    flood.call = ++id;
-    flood.number_key = 77;
-    flood.first_choice = 2;
-    flood.caller_timeout = milliseconds(500);
-    instance.handle(flood);
+    CallArrived call;
+    call.call = ++id;
+    call.number_key = 77;
+    call.first_choice = 2;
+    call.caller_timeout = milliseconds(500);
+    instance.handle(call);
     if (id == 1) instance.end_attempt(id, 2, Ending::fault, Cause::number_busy);
     instance.run_until(instance.now + milliseconds(50));
     for (const auto& sent : instance.emitted<SendSetup>()) {
@@ -926,10 +927,10 @@
 TEST(Rules, ColdServerWithUnreportedLinesGetsTheMeanShare) {
   Instance instance(plain_settings(), {entry(1), entry(2)});
   for (const auto at : std::initializer_list<std::uint8_t>{1, 2}) {
-    ServerProbed told{server(at), true, {}};
-    told.report.free_circuits = 300;
-    told.report.circuits = 300;
-    instance.handle(told);
+    ServerProbed probe{server(at), true, {}};
+    probe.report.free_circuits = 300;
+    probe.report.circuits = 300;
+    instance.handle(probe);
   }
   CallId id = 0;
   const auto calls = [&](int count, int choice) {
@@ -973,22 +974,22 @@
 
 // Found as a crash of the front: a set-up stood whose server had restarted, or left the list, meanwhile.
 TEST(BadInput, AnswersFromAProcessThatWasReplacedAreIgnored) {
-  for (const bool stood : {true, false}) {
+  for (const bool established : {true, false}) {
     for (const bool gone : {true, false}) {
       Instance instance(plain_settings(), {entry(1)});
       instance.call(1);
       instance.call(2);
       instance.handle(gone ? ServerList{true, {}}
                            : ServerList{false, {entry(1, Availability::ready, milliseconds(1))}});
-      if (stood) {
+      if (established) {
         instance.establish(1, 1, milliseconds(900));
       } else {
         instance.end_attempt(1, 1, Ending::reset);
       }
       instance.run_until(seconds(9));
-      const bool sent_again = !stood && !gone;  // to the new process
+      const bool sent_again = !established && !gone;  // to the new process
       EXPECT_EQ(instance.emitted<SendSetup>().size(), sent_again ? 3u : 2u);
-      EXPECT_EQ(instance.final_answers(1), stood || sent_again ? 0u : 1u);
+      EXPECT_EQ(instance.final_answers(1), established || sent_again ? 0u : 1u);
     }
   }
 }
