--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -12,7 +12,7 @@
 #include <random>
 #include <string>
 
-#include "front.hpp"
+#include "instance.hpp"
 
 namespace quartzarch::test {
 namespace {
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "front.hpp"
+#include "instance.hpp"
 
 namespace quartzarch::test {
 namespace {
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -4,7 +4,7 @@
 
 #include <functional>
 
-#include "front.hpp"
+#include "instance.hpp"
 #include "settings.hpp"
 
 namespace quartzarch::test {
