--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -23,7 +23,7 @@
 
 Cause cause_of(std::string_view note) {
   if (note == "blocked") return Cause::no_circuit;
-  if (note == "bounced" || note == "far_swamped") return Cause::turned_back;
+  if (note == "bounced" || note == "far_swamped") return Cause::rejected;
   if (note == "swamped") return Cause::processor_full;
   if (note == "occupied") return Cause::number_busy;
   return Cause::none;
@@ -72,7 +72,7 @@
                                                              : "gone");
   }
   deliver(change.list);
-  if (change.list.whole) listed_servers_.clear();
+  if (change.list.is_snapshot) listed_servers_.clear();
   for (const ServerEntry& entry : change.list.entries) {
     if (entry.availability == Availability::gone) {
       listed_servers_.erase(entry.id);
@@ -160,15 +160,15 @@
   CallArrived event;
   event.call = call;
   event.call_class = static_cast<unsigned>(name - names.begin());
-  event.key = key_of(request.number);
+  event.number_key = key_of(request.number);
   // No caller waits longer than its class lets it, whatever it says.
   const Duration longest = start_.settings.classes[event.call_class].deadline;
   if (!request.patience || (longest > Duration{0} && *request.patience > longest)) request.patience = longest;
-  event.patience = *request.patience - std::max(loop_.now() - request.came, Duration{0});
+  event.caller_timeout = *request.patience - std::max(loop_.now() - request.came, Duration{0});
   event.first_choice = request.first_choice;
   event.advised = request.advised;
   event.retry = request.retry;
-  event.cut = request.cut;
+  event.reconnect = request.cut;
   ++owed_;
   waiting_bytes_ += request.description.size();
   calls_.emplace(call, Exchange(std::move(request), front));
@@ -368,7 +368,7 @@
   if (gate_) gate_->answered(exchange.request(), loop_.now());
   tally_.served(exchange.request().call_class);
   exchange.answer(std::move(line.description));
-  deliver(SetupStood{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent});
+  deliver(CallEstablished{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent});
   if (!line.load.empty()) told(attempt.server, parse_load(line.load));
   if (!attempt.ended_early) return SetUpOutcome::established;
   const Ending over = *attempt.ended_early == cause::kNormal ? Ending::completed : Ending::reset;
