--- a/src/core/calls.hpp
+++ b/src/core/calls.hpp
@@ -21,11 +21,11 @@
 }  // namespace cause
 
 // By which front a call came.
-enum class Way : std::uint8_t { binary, sip };
+enum class FrontProtocol : std::uint8_t { binary, sip };
 
 struct Request {
   CallId call = 0;
-  Way way = Way::binary;
+  FrontProtocol protocol = FrontProtocol::binary;
   std::uint32_t caller = 0;   // IPv4 address of the connection's other end, in host order; 0: unknown
   std::string call_class{};   // its name in the settings
   std::string number{};       // the number called, as the caller wrote it
--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -124,7 +124,7 @@
   do {
     request.call = random_();
   } while (dialogs_.count(request.call) > 0);
-  request.way = Way::sip;
+  request.protocol = FrontProtocol::sip;
   request.caller = ntohl(received.source.sin_addr.s_addr);
   request.came = loop_.now();
   request.number = uri->user;
--- a/src/link/message.cpp
+++ b/src/link/message.cpp
@@ -51,7 +51,7 @@
   return encode(Type::request, call,
                 {request.call_class, request.number, text(patience), text(now.count()),
                  text(request.first_choice), text(request.advised), text(request.retry), text(request.cut),
-                 text(static_cast<int>(request.way)), text(request.caller)},
+                 text(static_cast<int>(request.protocol)), text(request.caller)},
                 std::move(request.description));
 }
 
@@ -67,7 +67,7 @@
   request.advised = static_cast<int>(message.number(5));
   request.retry = message.number(6) != 0;
   request.cut = message.number(7) != 0;
-  request.way = message.number(8) != 0 ? Way::sip : Way::binary;
+  request.protocol = message.number(8) != 0 ? FrontProtocol::sip : FrontProtocol::binary;
   request.caller = static_cast<std::uint32_t>(message.number(9));
   request.description = message.text(10);
   return request;
