--- a/src/core/calls.hpp
+++ b/src/core/calls.hpp
@@ -30,8 +30,8 @@
   std::string call_class{};   // its name in the settings
   std::string number{};       // the number called, as the caller wrote it
   std::string description{};  // passed on unchanged
-  std::optional<Duration> patience{};  // from when the caller sent it; absent: the class's deadline
-  Time came{};
+  std::optional<Duration> caller_timeout{};  // from when the caller sent it; absent: the class's deadline
+  Time received_at{};
   int first_choice = -1;
   int advised = -1;
   bool retry = false;
--- a/src/core/exchange.hpp
+++ b/src/core/exchange.hpp
@@ -27,7 +27,7 @@
   const Request& request() const { return request_; }
   bool owed() const { return state_ == State::open; }
   bool stands() const { return state_ == State::standing; }
-  Time deadline() const { return request_.came + request_.patience.value_or(Duration{0}); }
+  Time deadline() const { return request_.received_at + request_.caller_timeout.value_or(Duration{0}); }
 
   bool answer(std::string description) {
     if (!leave_open(State::standing)) return false;
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -163,8 +163,9 @@
   event.key = key_of(request.number);
   // No caller waits longer than its class lets it, whatever it says.
   const Duration longest = start_.settings.classes[event.call_class].deadline;
-  if (!request.patience || (longest > Duration{0} && *request.patience > longest)) request.patience = longest;
-  event.patience = *request.patience - std::max(loop_.now() - request.came, Duration{0});
+  if (!request.caller_timeout || (longest > Duration{0} && *request.caller_timeout > longest))
+    request.caller_timeout = longest;
+  event.patience = *request.caller_timeout - std::max(loop_.now() - request.received_at, Duration{0});
   event.first_choice = request.first_choice;
   event.advised = request.advised;
   event.retry = request.retry;
@@ -182,7 +183,7 @@
   }
   // In the order in which they came, whatever the table's.
   std::sort(held.begin(), held.end(), [this](CallId a, CallId b) {
-    const Time first = find(a)->request().came, second = find(b)->request().came;
+    const Time first = find(a)->request().received_at, second = find(b)->request().received_at;
     return first != second ? first < second : a < b;
   });
   for (const CallId call : held) {
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -421,7 +421,7 @@
   Request request;
   request.call = call;
   request.caller = from.peer;
-  request.came = loop_.now();
+  request.received_at = loop_.now();
   bool sound = true;
   std::string_view value;
   for (Code code{}; !parameters.empty() && next_parameter(parameters, code, value);) {
@@ -433,7 +433,7 @@
     if (code == Code::patience) {
       const auto ms = number(value);
       sound &= ms && *ms >= 0;
-      if (sound) request.patience = from_ms(*ms);
+      if (sound) request.caller_timeout = from_ms(*ms);
     }
   }
   if (const auto known = calls_.find(call); known != calls_.end()) {
--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -126,7 +126,7 @@
   } while (dialogs_.count(request.call) > 0);
   request.protocol = FrontProtocol::sip;
   request.caller = ntohl(received.source.sin_addr.s_addr);
-  request.came = loop_.now();
+  request.received_at = loop_.now();
   request.number = uri->user;
   request.description = message.body();
   request.call_class = message.header("X-Call-Class");
@@ -134,7 +134,7 @@
   request.first_choice = number_in<int>(message.header("X-First-Choice")).value_or(-1);
   request.retry = message.header("X-Repeat") == "1";
   if (const auto seconds = number_in<unsigned>(message.header("Expires"))) {
-    request.patience = std::chrono::seconds(std::min(*seconds, 86400u));
+    request.caller_timeout = std::chrono::seconds(std::min(*seconds, 86400u));
   }
   transaction.subject = request.call;
   open_dialog(message, transaction, request.call);
--- a/src/link/message.cpp
+++ b/src/link/message.cpp
@@ -46,7 +46,8 @@
 
 Segment encode(Request request, Time now) {
   // The link takes no time worth counting, but a stopped planner does: the patience is what is left by now.
-  const long long patience = request.patience ? (*request.patience - (now - request.came)).count() : -1;
+  const long long patience =
+      request.caller_timeout ? (*request.caller_timeout - (now - request.received_at)).count() : -1;
   const CallId call = request.call;
   return encode(Type::request, call,
                 {request.call_class, request.number, text(patience), text(now.count()),
@@ -61,8 +62,9 @@
   request.call = message.call;
   request.call_class = message.text(0);
   request.number = message.text(1);
-  if (const long long patience = message.number(2); patience >= 0) request.patience = Duration{patience};
-  request.came = std::min(Time{message.number(3)}, now);
+  if (const long long patience = message.number(2); patience >= 0)
+    request.caller_timeout = Duration{patience};
+  request.received_at = std::min(Time{message.number(3)}, now);
   request.first_choice = static_cast<int>(message.number(4));
   request.advised = static_cast<int>(message.number(5));
   request.retry = message.number(6) != 0;
