--- a/src/core/calls.hpp
+++ b/src/core/calls.hpp
@@ -48,7 +48,7 @@
   virtual void answer(CallId call, std::string description) = 0;
   virtual void refuse(CallId call, std::optional<Duration> retry_after) = 0;
   virtual void fail(CallId call, Failure why) = 0;
-  virtual void over(CallId call, int cause) = 0;
+  virtual void call_ended(CallId call, int cause) = 0;
 };
 
 // What stands before the decisions and may turn a call away: gaps that were announced, for one.
--- a/src/core/exchange.hpp
+++ b/src/core/exchange.hpp
@@ -41,7 +41,7 @@
     if (leave_open(State::closed)) front_->fail(request_.call, why);
   }
   void over(int cause) {
-    if (std::exchange(state_, State::closed) == State::standing) front_->over(request_.call, cause);
+    if (std::exchange(state_, State::closed) == State::standing) front_->call_ended(request_.call, cause);
   }
   // The caller has left or ended the call: it hears nothing more.
   void close() {
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -290,7 +290,7 @@
   // It may have stood before this process started: its caller must still hear that it is over.
   const bool over = line.why == cause::kNormal || line.why == cause::kTemporary;
   remember(line.call);
-  if (!is_past && over && strays_) strays_->over(line.call, line.why);
+  if (!is_past && over && strays_) strays_->call_ended(line.call, line.why);
 }
 
 // Of an earlier attempt there, which is over: a call that stands by it has nobody to use it.
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -359,7 +359,7 @@
       core_.release(call, cause::kTemporary);
     } else if (segment.tag == tag(Kind::over)) {
       const auto cause = static_cast<std::uint8_t>(segment.head.back());
-      over(call, cause);
+      call_ended(call, cause);
     }
   }
 }
@@ -536,7 +536,7 @@
 }
 
 // On the call's own connection, on that of the best known caller, or on the next that shows itself to be one.
-void BinaryFront::over(CallId call, int cause) {
+void BinaryFront::call_ended(CallId call, int cause) {
   Connection* to = owner_of(call);
   calls_.erase(call);
   if (!to) to = best_known();
--- a/src/front/binary.hpp
+++ b/src/front/binary.hpp
@@ -37,7 +37,7 @@
   void answer(CallId call, std::string description) override;
   void refuse(CallId call, std::optional<Duration> retry_after) override;
   void fail(CallId call, Failure why) override;
-  void over(CallId call, int cause) override;
+  void call_ended(CallId call, int cause) override;
 
  private:
   // What its caller has shown itself to be; releases without a home go to the best there is.
--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -299,7 +299,7 @@
 
 void SipFront::fail(CallId call, Failure why) { fail_invite(call, why == Failure::timed_out ? 504 : 500); }
 
-void SipFront::over(CallId call, int cause) {
+void SipFront::call_ended(CallId call, int cause) {
   Dialog* const dialog = find(call);
   if (!dialog) return;
   dialog->over = cause;
--- a/src/front/sip/front.hpp
+++ b/src/front/sip/front.hpp
@@ -34,7 +34,7 @@
   void answer(CallId call, std::string description) override;
   void refuse(CallId call, std::optional<Duration> retry_after) override;
   void fail(CallId call, Failure why) override;
-  void over(CallId call, int cause) override;
+  void call_ended(CallId call, int cause) override;
 
  private:
   // A call from its INVITE on; a dialog once it was answered.
--- a/src/link/planners.cpp
+++ b/src/link/planners.cpp
@@ -182,7 +182,7 @@
     Front* const front = known ? found->second.front : strays_;
     if (known && found->second.open) return false;
     if (known) calls_.erase(found);
-    if (front) front->over(message.call, static_cast<int>(message.number(0)));
+    if (front) front->call_ended(message.call, static_cast<int>(message.number(0)));
     return true;
   }
   if (message.type != Type::answer && message.type != Type::refuse && message.type != Type::fail)
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -137,7 +137,7 @@
 }
 
 // To the forwarder of the call; if that is gone to all, since any may have the caller.
-void Port::over(CallId call, int cause) {
+void Port::call_ended(CallId call, int cause) {
   Segment segment = encode(Type::over, call, {std::to_string(cause)});
   if (owner_of(call)) return settle(call, std::move(segment), false);
   calls_.erase(call);
--- a/src/link/port.hpp
+++ b/src/link/port.hpp
@@ -29,7 +29,7 @@
   void answer(CallId call, std::string description) override;
   void refuse(CallId call, std::optional<Duration> retry_after) override;
   void fail(CallId call, Failure why) override;
-  void over(CallId call, int cause) override;
+  void call_ended(CallId call, int cause) override;
 
  private:
   struct Forwarder {
