--- a/src/core/calls.hpp
+++ b/src/core/calls.hpp
@@ -52,11 +52,11 @@
 };
 
 // What stands before the decisions and may turn a call away: gaps that were announced, for one.
-class Gate {
+class AdmissionFilter {
  public:
-  virtual ~Gate() = default;
+  virtual ~AdmissionFilter() = default;
   // Nothing: it may go on. Else for how long the caller is to stay away.
-  virtual std::optional<Duration> turns_away(const Request& request, Time now) = 0;
+  virtual std::optional<Duration> rejected_for(const Request& request, Time now) = 0;
   // What became of one that went on.
   virtual void answered(const Request& request, Time now) = 0;
   virtual void refused(const Request& request, Time now) = 0;
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -154,8 +154,8 @@
     return fail_now();
   }
   if (const auto away = drain_ ? drain_->refuses(loop_.now()) : std::nullopt) return refuse_now(*away);
-  if (gate_) {
-    if (const auto away = gate_->turns_away(request, loop_.now())) return refuse_now(*away);
+  if (admission_filter_) {
+    if (const auto away = admission_filter_->rejected_for(request, loop_.now())) return refuse_now(*away);
   }
   CallArrived event;
   event.call = call;
@@ -366,7 +366,7 @@
     return SetUpOutcome::settled;
   }
   settle(exchange);
-  if (gate_) gate_->answered(exchange.request(), loop_.now());
+  if (admission_filter_) admission_filter_->answered(exchange.request(), loop_.now());
   tally_.served(exchange.request().call_class);
   exchange.answer(std::move(line.description));
   deliver(SetupStood{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent});
@@ -585,7 +585,7 @@
   Exchange* const exchange = find(action.call);
   if (!exchange || !exchange->owed()) return;
   settle(*exchange);
-  if (gate_) gate_->refused(exchange->request(), loop_.now());
+  if (admission_filter_) admission_filter_->refused(exchange->request(), loop_.now());
   tally_.refused(exchange->request().call_class);
   if (exchange->attempts > 0) {
     log_.call_line("call %s: refused after %u attempts", call_text(action.call).c_str(), exchange->attempts);
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -37,7 +37,7 @@
 
   void news(const FleetNews& news);
   // Asked for every call before anything is decided about it; it must outlive this, or null.
-  void guard(Gate* gate) { gate_ = gate; }
+  void set_admission_filter(AdmissionFilter* filter) { admission_filter_ = filter; }
   // While it drains, what it refuses is refused at once; it must outlive this, or null.
   void drain_by(const Drain* drain) { drain_ = drain; }
   // Asks for every call that is held, no attempt of it out, and refuses what is turned away now.
@@ -139,7 +139,7 @@
   std::unordered_set<CallId> past_;               // calls that are over, so that nothing is told twice
   std::deque<CallId> past_order_;
   Front* strays_ = nullptr;
-  Gate* gate_ = nullptr;
+  AdmissionFilter* admission_filter_ = nullptr;
   const Drain* drain_ = nullptr;
   Tally tally_;
   std::map<ServerId, Availability> listed_servers_;
--- a/src/gap/gate.cpp
+++ b/src/gap/gate.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-std::optional<Duration> GapGate::turns_away(const Request& request, Time now) {
+std::optional<Duration> GapGate::rejected_for(const Request& request, Time now) {
   hitters_.offered(now, request.number);
   const Verdict verdict = table_.offer(now, call_of(request));
   if (verdict.pass) return std::nullopt;
--- a/src/gap/gate.hpp
+++ b/src/gap/gate.hpp
@@ -8,7 +8,7 @@
 
 namespace quartzarch::gap {
 
-class GapGate : public Gate {
+class GapGate : public AdmissionFilter {
  public:
   struct Sketch {
     std::size_t counters = 200;
@@ -18,7 +18,7 @@
   GapGate(const Table::Bounds& bounds, const Sketch& sketch, std::uint64_t seed)
       : table_(bounds, seed), hitters_(sketch.counters, sketch.panes, sketch.pane) {}
 
-  std::optional<Duration> turns_away(const Request& request, Time now) override;
+  std::optional<Duration> rejected_for(const Request& request, Time now) override;
   // By one rule alone, for a call that is held.
   std::optional<Duration> turned_away_by(const std::string& id, const Request& request, Time now);
   void answered(const Request& request, Time now) override { hitters_.answered(now, request.number); }
--- a/src/operation.cpp
+++ b/src/operation.cpp
@@ -95,7 +95,7 @@
       sharing_(std::move(sharing)) {
   auto known = restore();
   if (sharing_) share(std::move(known));
-  planner_.guard(&gate_);
+  planner_.set_admission_filter(&gate_);
   control_.on("gap.add", [this](Element request) { return add(request); });
   control_.on("gap.lift", [this](Element request) { return lift(request); });
   control_.on("gap.list", [this](Element request) { return list(request); });
@@ -108,7 +108,7 @@
 
 Operation::~Operation() {
   loop_.cancel(sweep_timer_);
-  planner_.guard(nullptr);
+  planner_.set_admission_filter(nullptr);
 }
 
 void Operation::sweep() {
