--- a/src/core/calls.hpp
+++ b/src/core/calls.hpp
@@ -63,9 +63,9 @@
 };
 
 // What fronts ask for.
-class Core {
+class CallService {
  public:
-  virtual ~Core() = default;
+  virtual ~CallService() = default;
   // The front must outlive the call.
   virtual void request(Request request, Front& front) = 0;
   // The caller has stopped waiting; nothing is owed any more.
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -20,7 +20,7 @@
 
 namespace quartzarch {
 
-class Planner : public Core, private Servers::Owner {
+class Planner : public CallService, private Servers::Owner {
  public:
   // What the memory is meant for: more calls at once, or more bytes of set-ups that wait, are turned away
   // unseen.
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -151,7 +151,7 @@
 
 }  // namespace
 
-BinaryFront::BinaryFront(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen,
+BinaryFront::BinaryFront(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen,
                          std::size_t most_connections, std::size_t longest_output)
     : loop_(loop),
       log_(log),
--- a/src/front/binary.hpp
+++ b/src/front/binary.hpp
@@ -17,8 +17,8 @@
 class BinaryFront : public Front, private Watched, private Stream::Owner, private Loop::Spares {
  public:
   // Callers may hold `most_connections`; throws std::system_error if the address cannot be listened on.
-  BinaryFront(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen, std::size_t most_connections,
-              std::size_t longest_output);
+  BinaryFront(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen,
+              std::size_t most_connections, std::size_t longest_output);
   ~BinaryFront() override;
 
   sockaddr_in address() const { return bound_address(acceptor_.fd()); }
@@ -80,7 +80,7 @@
 
   Loop& loop_;
   Logger& log_;
-  Core& core_;
+  CallService& core_;
   Acceptor acceptor_;
   std::size_t most_connections_, longest_output_;
   Loop::TimerId sweep_timer_ = 0;
--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-SipFront::SipFront(Loop& loop, Logger& log, Core& core, FrontConfig config, std::uint64_t seed)
+SipFront::SipFront(Loop& loop, Logger& log, CallService& core, FrontConfig config, std::uint64_t seed)
     : loop_(loop),
       log_(log),
       core_(core),
--- a/src/front/sip/front.hpp
+++ b/src/front/sip/front.hpp
@@ -21,7 +21,7 @@
 class SipFront : public Front, private Transactions::User {
  public:
   // Throws std::runtime_error if an address cannot be listened on or the certificate is bad.
-  SipFront(Loop& loop, Logger& log, Core& core, FrontConfig config, std::uint64_t seed);
+  SipFront(Loop& loop, Logger& log, CallService& core, FrontConfig config, std::uint64_t seed);
   ~SipFront() override;
 
   sockaddr_in address(TransportKind kind) const { return transport_.local(kind); }
@@ -80,7 +80,7 @@
 
   Loop& loop_;
   Logger& log_;
-  Core& core_;
+  CallService& core_;
   FrontConfig config_;
   std::mt19937_64 random_;
   Transactions transactions_;
--- a/src/link/planners.hpp
+++ b/src/link/planners.hpp
@@ -13,7 +13,7 @@
 
 namespace quartzarch::link {
 
-class Planners : public Core, private Stream::Owner {
+class Planners : public CallService, private Stream::Owner {
  public:
   Planners(Loop& loop, Logger& log, const std::vector<sockaddr_in>& addresses);
   ~Planners() override;
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-Port::Port(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen)
+Port::Port(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen)
     : loop_(loop), log_(log), core_(core), acceptor_(loop, listen_on(listen)), told_ready_(core.ready()) {
   loop_.watch(*this, Rank::callers);
 }
--- a/src/link/port.hpp
+++ b/src/link/port.hpp
@@ -16,7 +16,7 @@
 class Port : public Front, private Watched, private Stream::Owner {
  public:
   // Throws std::system_error if the address cannot be listened on.
-  Port(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen);
+  Port(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen);
   ~Port() override;
 
   sockaddr_in address() const { return bound_address(acceptor_.fd()); }
@@ -51,7 +51,7 @@
 
   Loop& loop_;
   Logger& log_;
-  Core& core_;
+  CallService& core_;
   Acceptor acceptor_;
   std::map<const Stream*, Forwarder> forwarders_;
   std::unordered_map<CallId, const Stream*> calls_;
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -178,7 +178,7 @@
 // The fronts of a process: on a planner of its own or on several by the link.
 class Fronts {
  public:
-  Fronts(Loop& loop, Logger& log, Core& core, const Config& config,
+  Fronts(Loop& loop, Logger& log, CallService& core, const Config& config,
          const std::optional<sip::FrontConfig>& sip)
       : loop_(loop),
         binary_(loop, log, core, config.listen, config.limits.callers(), config.limits.output_bytes()) {
