--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -44,21 +44,21 @@
 
 }  // namespace
 
-Planner::Planner(Loop& loop, Logger& log, StartUp start, std::uint64_t seed, Bounds bounds)
+Planner::Planner(Loop& loop, Logger& log, StartUp start, std::uint64_t seed, Capacity capacity)
     : loop_(loop),
       log_(log),
       start_(std::move(start)),
       controller_(start_.settings, seed, loop.now()),
       servers_(loop, log, *this, start_.connect_timeout),
-      bounds_(bounds) {
+      capacity_(capacity) {
   for (const std::string& name : start_.class_names) tally_.know(name);
   loop_.at_each_end([this] { return send_due(); });
 }
 
 // ---- The list
 
-void Planner::news(const FleetNews& news) {
-  listed_ = true;
+void Planner::update_servers(const FleetNews& news) {
+  server_list_known_ = true;
   const Fleet::Change change = fleet_.apply(news);
   // What ran at an address that has another process now, or none, is cut.
   for (const ServerId& server : change.replaced) {
@@ -84,7 +84,7 @@
   }
 }
 
-void Planner::resettle(const StartUp& fresh) {
+void Planner::reload_settings(const StartUp& fresh) {
   std::vector<CallClass>& table = start_.settings.classes;
   std::vector<std::string>& names = start_.class_names;
   std::vector<bool> kept(names.size(), false);
@@ -146,7 +146,8 @@
     log_.line("call %s: unknown class \"%s\"", call_text(call).c_str(), request.call_class.c_str());
     return fail_now();
   }
-  if (calls_.size() >= bounds_.calls || waiting_bytes_ + request.description.size() > bounds_.waiting_bytes) {
+  if (calls_.size() >= capacity_.calls ||
+      waiting_bytes_ + request.description.size() > capacity_.waiting_bytes) {
     return refuse_now(kRetryAfterWhenFull);
   }
   if (!Servers::can_carry({call, request.call_class, request.number, request.description, {}})) {
@@ -170,13 +171,13 @@
   event.advised = request.advised;
   event.retry = request.retry;
   event.cut = request.cut;
-  ++owed_;
+  ++pending_answers_;
   waiting_bytes_ += request.description.size();
   calls_.emplace(call, Exchange(std::move(request), front));
   deliver(event);
 }
 
-void Planner::reconsider(const std::function<std::optional<Duration>(const Request&)>& turns_away) {
+void Planner::recheck_held_calls(const std::function<std::optional<Duration>(const Request&)>& turns_away) {
   std::vector<CallId> held;
   for (const auto& [call, exchange] : calls_) {
     if (exchange.owed() && !exchange.attempt) held.push_back(call);
@@ -202,7 +203,7 @@
 
 // The controller hears nothing of it: what it still decides about these calls finds none, and each event
 // would have it look at all calls that it holds.
-void Planner::answer_owed() {
+void Planner::answer_pending_calls() {
   std::vector<CallId> owed;
   for (const auto& [call, exchange] : calls_) {
     if (exchange.owed()) owed.push_back(call);
@@ -290,7 +291,7 @@
   // It may have stood before this process started: its caller must still hear that it is over.
   const bool over = line.why == cause::kNormal || line.why == cause::kTemporary;
   remember(line.call);
-  if (!is_past && over && strays_) strays_->call_ended(line.call, line.why);
+  if (!is_past && over && unknown_call_front_) unknown_call_front_->call_ended(line.call, line.why);
 }
 
 // Of an earlier attempt there, which is over: a call that stands by it has nobody to use it.
@@ -457,7 +458,7 @@
 }
 
 void Planner::settle(const Exchange& exchange) {
-  --owed_;
+  --pending_answers_;
   waiting_bytes_ -= exchange.request().description.size();
 }
 
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -24,34 +24,34 @@
  public:
   // What the memory is meant for: more calls at once, or more bytes of set-ups that wait, are turned away
   // unseen.
-  struct Bounds {
+  struct Capacity {
     std::size_t calls = 30000;
     std::size_t waiting_bytes = 32 * 1024 * 1024;
   };
 
-  Planner(Loop& loop, Logger& log, StartUp start, std::uint64_t seed, Bounds bounds);
-  void limit(Bounds bounds) { bounds_ = bounds; }
+  Planner(Loop& loop, Logger& log, StartUp start, std::uint64_t seed, Capacity capacity);
+  void set_capacity(Capacity capacity) { capacity_ = capacity; }
   // New settings at SIGHUP: classes that appear, change or vanish, and the attempts a call may have. A
   // request under way keeps the class it came with.
-  void resettle(const StartUp& fresh);
+  void reload_settings(const StartUp& fresh);
 
-  void news(const FleetNews& news);
+  void update_servers(const FleetNews& news);
   // Asked for every call before anything is decided about it; it must outlive this, or null.
   void set_admission_filter(AdmissionFilter* filter) { admission_filter_ = filter; }
   // While it drains, what it refuses is refused at once; it must outlive this, or null.
-  void drain_by(const Drain* drain) { drain_ = drain; }
+  void set_drain(const Drain* drain) { drain_ = drain; }
   // Asks for every call that is held, no attempt of it out, and refuses what is turned away now.
-  void reconsider(const std::function<std::optional<Duration>(const Request&)>& turns_away);
+  void recheck_held_calls(const std::function<std::optional<Duration>(const Request&)>& turns_away);
   // Gives every call that is still owed its final answer: refused if no attempt was made, else failed. For a
   // stop.
-  void answer_owed();
+  void answer_pending_calls();
   // Hears of calls that were answered before this process started and are over now.
-  void strays_to(Front& front) { strays_ = &front; }
+  void set_unknown_call_front(Front& front) { unknown_call_front_ = &front; }
 
   void request(Request request, Front& front) override;
   void cancel(CallId call) override;
   void release(CallId call, int cause) override;
-  bool ready() const override { return listed_; }
+  bool ready() const override { return server_list_known_; }
   // Of all classes, those taken at SIGHUP included.
   Duration longest_deadline() const { return start_.longest_deadline; }
   Duration longest_aim() const;
@@ -59,7 +59,7 @@
   // What setup servers are to hear has been written.
   bool idle() const { return servers_.idle(); }
   // Requests that still have their answer to come.
-  std::size_t owed() const { return owed_; }
+  std::size_t pending_answers() const { return pending_answers_; }
   // Requests taken and not ended: owed their answer, or calls that stand.
   std::size_t concurrent() const;
   // What was answered how, and what went to servers; a reload is counted by whoever reads the file.
@@ -128,17 +128,17 @@
   Controller controller_;
   Servers servers_;
   Fleet fleet_;
-  bool listed_ = false;
+  bool server_list_known_ = false;
   Calls calls_;
-  std::size_t owed_ = 0;
+  std::size_t pending_answers_ = 0;
   std::size_t waiting_bytes_ = 0;  // of the descriptions of those
-  Bounds bounds_;
+  Capacity capacity_;
   std::deque<Event> events_;
   bool pumping_ = false;
   std::vector<std::pair<CallId, unsigned>> due_;  // attempts to be sent at the end of the pass
   std::unordered_set<CallId> past_;               // calls that are over, so that nothing is told twice
   std::deque<CallId> past_order_;
-  Front* strays_ = nullptr;
+  Front* unknown_call_front_ = nullptr;
   AdmissionFilter* admission_filter_ = nullptr;
   const Drain* drain_ = nullptr;
   Tally tally_;
--- a/src/operation.cpp
+++ b/src/operation.cpp
@@ -209,7 +209,7 @@
 void Operation::reconsider(const std::vector<std::string>& fresh) {
   if (fresh.empty()) return;
   const Time now = loop_.now();
-  planner_.reconsider([&](const Request& held) {
+  planner_.recheck_held_calls([&](const Request& held) {
     std::optional<Duration> away;
     for (const std::string& id : fresh) {
       if (!away) away = gate_.turned_away_by(id, held, now);
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -173,7 +173,7 @@
   return parsed;
 }
 
-Planner::Bounds bounds_of(const Limits& limits) { return {limits.calls(), limits.waiting_bytes()}; }
+Planner::Capacity bounds_of(const Limits& limits) { return {limits.calls(), limits.waiting_bytes()}; }
 
 // The fronts of a process: on a planner of its own or on several by the link.
 class Fronts {
@@ -230,12 +230,12 @@
                  const ServeOptions& options, const std::optional<sip::FrontConfig>& sip) {
   Planner planner(loop, log, config.start, config.seed, bounds_of(config.limits));
   const auto operation = attach(loop, log, planner, files, config, options);
-  for (const FleetNews& news : config.known) planner.news(news);
+  for (const FleetNews& news : config.known) planner.update_servers(news);
   Fronts fronts(loop, log, planner, config, sip);
-  planner.strays_to(fronts.strays());
+  planner.set_unknown_call_front(fronts.strays());
   Drain drain;
   fronts.drain_by(drain);
-  planner.drain_by(&drain);
+  planner.set_drain(&drain);
   service.count_in(planner.tally());
   Managed operations(loop, planner, drain);
   std::optional<ManagementFront> management;
@@ -244,24 +244,24 @@
     log.line("%s: management at %s", config.name.c_str(), address_text(management->address()).c_str());
   }
   Coordinator coordinator(loop, log, config.coordinator, config.known_index,
-                          [&planner](const FleetNews& news) { planner.news(news); });
+                          [&planner](const FleetNews& news) { planner.update_servers(news); });
   log.line("%s: serving at %s", config.name.c_str(), address_text(config.listen).c_str());
-  service.run({.owed = [&] { return planner.owed(); },
+  service.run({.owed = [&] { return planner.pending_answers(); },
                .idle = [&] { return fronts.idle(); },
                .told = [&] { return planner.idle(); },
                .each_pass =
                    [&](bool stopping) {
                      if (stopping) stop_step(loop, service, drain, fronts);
                    },
-               .answer_owed = [&] { planner.answer_owed(); },
+               .answer_owed = [&] { planner.answer_pending_calls(); },
                .schedule = [&] { return StopSchedule(planner.longest_deadline(), planner.longest_aim()); },
                .end_connections = [&] { fronts.end_connections(); },
                .no_connections = [&] { return fronts.no_connections(); },
                .reload =
                    [&](const Config& fresh) {
                      coordinator.move(fresh.coordinator);
-                     planner.limit(bounds_of(fresh.limits));
-                     planner.resettle(fresh.start);
+                     planner.set_capacity(bounds_of(fresh.limits));
+                     planner.reload_settings(fresh.start);
                      fronts.limit(fresh.limits);
                    }});
   fronts.hang_up();
@@ -276,16 +276,16 @@
   settings.instances *= static_cast<unsigned>(planners.size());
   Planner planner(loop, log, config.start, config.seed + index, bounds_of(config.limits));
   const auto operation = attach(loop, log, planner, files, config, options);
-  for (const FleetNews& news : config.known) planner.news(news);
+  for (const FleetNews& news : config.known) planner.update_servers(news);
   link::Port port(loop, log, planner, planners[index]);
-  planner.strays_to(port);
+  planner.set_unknown_call_front(port);
   Coordinator coordinator(loop, log, config.coordinator, config.known_index,
-                          [&planner](const FleetNews& news) { planner.news(news); });
+                          [&planner](const FleetNews& news) { planner.update_servers(news); });
   log.line("%s: planner %zu of %zu at %s", config.name.c_str(), index, planners.size(),
            address_text(planners[index]).c_str());
   Drain drain;
-  planner.drain_by(&drain);
-  service.run({.owed = [&] { return planner.owed(); },
+  planner.set_drain(&drain);
+  service.run({.owed = [&] { return planner.pending_answers(); },
                .idle = [&] { return port.idle(); },
                .told = [&] { return planner.idle(); },
                .each_pass =
@@ -294,14 +294,14 @@
                      if (stopping) port.stop();
                      port.tell_state();
                    },
-               .answer_owed = [&] { planner.answer_owed(); },
+               .answer_owed = [&] { planner.answer_pending_calls(); },
                .schedule = [&] { return StopSchedule(planner.longest_deadline(), planner.longest_aim()); },
                .end_connections = [] {},
                .no_connections = [] { return true; },
                .reload =
                    [&](const Config& fresh) {
                      coordinator.move(fresh.coordinator);
-                     planner.limit(bounds_of(fresh.limits));
+                     planner.set_capacity(bounds_of(fresh.limits));
                    }});
 }
 
--- a/standin/node/node.cpp
+++ b/standin/node/node.cpp
@@ -53,16 +53,16 @@
 
 void Node::run(const std::stop_token& stop, const Options& options, Logger& log) {
   Loop loop;
-  Planner planner(loop, log, start_up(options), 1, Planner::Bounds{});
+  Planner planner(loop, log, start_up(options), 1, Planner::Capacity{});
   std::vector<Host> hosts;
   for (std::size_t i = 0; i < options.servers.size(); ++i)
     hosts.push_back(host(options.servers[i], static_cast<int>(i)));
-  planner.news({1, true, hosts});
+  planner.update_servers({1, true, hosts});
   sip::FrontConfig config;
   config.listening = options.listening;
   config.default_class = options.class_names.front();
   sip::SipFront front(loop, log, planner, config, 7);
-  planner.strays_to(front);
+  planner.set_unknown_call_front(front);
   if (options.listening.udp) udp_ = ntohs(front.address(sip::TransportKind::udp).sin_port);
   if (options.listening.tcp) tcp_ = ntohs(front.address(sip::TransportKind::tcp).sin_port);
   if (options.listening.tls) tls_ = ntohs(front.address(sip::TransportKind::tls).sin_port);
--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -34,7 +34,7 @@
   RetriedCall() : Program([](StartUp& start) { start.settings.release_guard = milliseconds(300); }) {}
 
   void lose_the_first_attempt(Loss how) {
-    planner->news({1, true, {host(listener, 0), host(second, 1)}});
+    planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
     until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
     until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
     settle(3);
@@ -141,7 +141,7 @@
 // not sent again.
 TEST_F(RetriedCall, ACallThatIsOverBeforeItsAnswerIsToldWithinASecond) {
   const HeldClock held;
-  planner->news({1, true, {host(listener, 0), host(second, 1)}});
+  planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   settle(3);
@@ -167,7 +167,7 @@
 // elsewhere.
 TEST_F(RetriedCall, ALateResetOfASlowServerIsNotSentAgain) {
   const HeldClock held;
-  planner->news({1, true, {host(listener, 0), host(second, 1)}});
+  planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   settle(3);
@@ -187,7 +187,7 @@
 
 // The attempt ends otherwise while the answer is waited for: still told, and still not sent again.
 TEST_F(RetriedCall, ACallThatIsOverBeforeItsAnswerIsNotSentAgainWhenItsConnectionBreaks) {
-  planner->news({1, true, {host(listener, 0), host(second, 1)}});
+  planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   settle(3);
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -59,7 +59,7 @@
   Peer gateway = caller_before_the_connection();
   gateway.close();
   settle();
-  EXPECT_EQ(planner->owed(), 0u);
+  EXPECT_EQ(planner->pending_answers(), 0u);
   EXPECT_EQ(listener.accept().heard(), "");
 }
 
@@ -69,7 +69,7 @@
   Peer early = caller(), late = caller();
   early.say(setup(0xbb, "d"));
   settle(3);
-  ASSERT_EQ(planner->owed(), 1u);
+  ASSERT_EQ(planner->pending_answers(), 1u);
   early.close();
   settle(3);
   open_server();
@@ -78,7 +78,7 @@
   EXPECT_EQ(count(server.heard(), "offer"), 1u);
   server.reset();
   settle(3);  // the guard holds: the clock stands still
-  ASSERT_EQ(planner->owed(), 1u);
+  ASSERT_EQ(planner->pending_answers(), 1u);
   late.close();
   settle(3);
   moved_on += std::chrono::seconds(1);
@@ -462,7 +462,7 @@
   stand(gateway);
   gateway.say(setup(0xbb, "d"));
   hears(server, "00000000000000bb");
-  planner->news({9, true, {host(second, 1)}});
+  planner->update_servers({9, true, {host(second, 1)}});
   Peer other;
   until([&] { return static_cast<bool>(other = second.accept()); }, "a connection to the other");
   hears(other, "00000000000000bb");
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -466,7 +466,7 @@
   Peer gateway = caller();
   gateway.say(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
-  planner->news({2, true, {host(listener, 0, Availability::draining)}});
+  planner->update_servers({2, true, {host(listener, 0, Availability::draining)}});
   gateway.say(setup(0xbb, "d"));
   settle();
   EXPECT_EQ(gateway.heard(), "") << "it is not held: this test shows nothing";
@@ -476,7 +476,7 @@
   EXPECT_EQ(count(gateway.heard(), std::string(7, '\0') + '\xaa'), 0u);
   server.say(line("accept", "00000000000000aa", "\"desc\":\"s\""));
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
-  EXPECT_EQ(planner->owed(), 0u);
+  EXPECT_EQ(planner->pending_answers(), 0u);
 }
 
 TEST_F(GapCore, HostileControlInputIsAnsweredOrClosedAndCallsGoOn) {
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -12,7 +12,7 @@
   Levels() {
     front.reset();
     port = std::make_unique<link::Port>(loop, log, *planner, any_port());
-    planner->strays_to(*port);
+    planner->set_unknown_call_front(*port);
     open_server();
     planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
     front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
@@ -66,7 +66,7 @@
   front.reset();
   planners.reset();
   hears(server, "{\"op\":\"end\",\"call\":\"00000000000000bb\"");
-  EXPECT_EQ(planner->owed(), 0u);
+  EXPECT_EQ(planner->pending_answers(), 0u);
   planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
   front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
   planners->strays_to(*front);
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -171,9 +171,9 @@
     start.settings.quantum = milliseconds(5);
     start.settings.max_retry_after = milliseconds(2000);
     change(start);
-    planner = std::make_unique<Planner>(loop, log, start, 1, Planner::Bounds{});
+    planner = std::make_unique<Planner>(loop, log, start, 1, Planner::Capacity{});
     front = std::make_unique<BinaryFront>(loop, log, *planner, any_port(), 64, 1 << 20);
-    planner->strays_to(*front);
+    planner->set_unknown_call_front(*front);
   }
   // Passes of the loop until it holds; what never comes fails here.
   void until(const std::function<bool()>& holds, const char* what = "what was waited for") {
@@ -199,7 +199,7 @@
   }
   // The one server is listed and has its connection.
   void open_server() {
-    planner->news({1, true, {host(listener, 0)}});
+    planner->update_servers({1, true, {host(listener, 0)}});
     until([this] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
     settle(3);
   }
@@ -209,8 +209,8 @@
   Peer caller_before_the_connection(const std::string& ms = "5000") {
     Peer gateway = caller();
     gateway.say(setup(0xaa, "d", ms));
-    until([this] { return planner->owed() == 1; }, "the set-up, held");
-    loop.at_end([this] { planner->news({1, true, {host(listener, 0)}}); });
+    until([this] { return planner->pending_answers() == 1; }, "the set-up, held");
+    loop.at_end([this] { planner->update_servers({1, true, {host(listener, 0)}}); });
     loop.pass(Duration{0});
     return gateway;
   }
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -138,13 +138,13 @@
   open_server();
   Peer gateway = caller();
   stand(gateway);
-  planner->news({2, false, {host(listener, 0, Availability::draining)}});
+  planner->update_servers({2, false, {host(listener, 0, Availability::draining)}});
   gateway.take();
   gateway.say(setup(0xbb, "d", "60"));
   // No server is left, so its caller is told to stay away for as long as callers heed.
   hears(gateway, binary(12, 0xbb, {{208, std::string(1, 42)}, {192, "2000"}}));
   EXPECT_EQ(count(server.heard(), "offer"), 0u);
-  planner->news({3, false, {host(listener, 0, Availability::gone)}});
+  planner->update_servers({3, false, {host(listener, 0, Availability::gone)}});
   hears(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
 }
 
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -85,7 +85,7 @@
 // Set-ups that wait hold what their callers sent: more than the memory is meant for is refused unseen, until
 // some have their answer.
 TEST_F(Program, SetupsThatWaitAreBoundedByTheMemory) {
-  planner->limit({10, 100});
+  planner->set_capacity({10, 100});
   open_server();
   Peer gateway = caller();
   gateway.say(setup(0xaa, std::string(60, 'd')));
