--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -62,7 +62,7 @@
   const Fleet::Change change = fleet_.apply(news);
   // What ran at an address that has another process now, or none, is cut.
   for (const ServerId& server : change.replaced) {
-    died(server);
+    on_process_gone(server);
     servers_.drop(server);
   }
   for (const ServerEntry& entry : change.list.entries) {
@@ -266,20 +266,20 @@
 
 // ---- The server side
 
-SetUpOutcome Planner::told_of_call(const ServerId& server, ServerLine line, MessageOrigin origin) {
+SetUpOutcome Planner::on_call_message(const ServerId& server, ServerLine line, MessageOrigin origin) {
   Exchange* const exchange = find(line.call);
   if (!exchange) {
-    told_of_unknown_call(server, line);
+    handle_unknown_call_message(server, line);
     return SetUpOutcome::open;
   }
   if (exchange->attempt && exchange->attempt->server != server) {
-    told_by_another_server(*exchange, server, line);
+    handle_other_server_message(*exchange, server, line);
     return SetUpOutcome::open;
   }
-  return told_of_attempt(*exchange, server, std::move(line), origin);
+  return handle_attempt_message(*exchange, server, std::move(line), origin);
 }
 
-void Planner::told_of_unknown_call(const ServerId& server, const ServerLine& line) {
+void Planner::handle_unknown_call_message(const ServerId& server, const ServerLine& line) {
   const bool is_past = past_.count(line.call) > 0;
   if (line.op == ServerOp::accept) {
     if (!is_past) return ignore(server, line, "unknown call");
@@ -295,8 +295,8 @@
 }
 
 // Of an earlier attempt there, which is over: a call that stands by it has nobody to use it.
-void Planner::told_by_another_server(const Exchange& exchange, const ServerId& server,
-                                     const ServerLine& line) {
+void Planner::handle_other_server_message(const Exchange& exchange, const ServerId& server,
+                                          const ServerLine& line) {
   if (line.op != ServerOp::accept) return ignore(server, line, "the attempt is at another server");
   log_.call_line("call %s: late answer of %s, released there", call_text(exchange.request().call).c_str(),
                  server_text(server).c_str());
@@ -319,8 +319,8 @@
 
 }  // namespace
 
-SetUpOutcome Planner::told_of_attempt(Exchange& exchange, const ServerId& server, ServerLine line,
-                                      MessageOrigin origin) {
+SetUpOutcome Planner::handle_attempt_message(Exchange& exchange, const ServerId& server, ServerLine line,
+                                             MessageOrigin origin) {
   const CallId call = line.call;
   const Duration out_for = exchange.attempt ? loop_.now() - exchange.attempt->sent : Duration{0};
   const MessageRule rule = *find_rule(state_of(exchange, origin.set_up_is_out), message_of(line),
@@ -371,7 +371,7 @@
   tally_.served(exchange.request().call_class);
   exchange.answer(std::move(line.description));
   deliver(SetupStood{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent});
-  if (!line.load.empty()) told(attempt.server, parse_load(line.load));
+  if (!line.load.empty()) on_load_report(attempt.server, parse_load(line.load));
   if (!attempt.ended_early) return SetUpOutcome::established;
   const Ending over = *attempt.ended_early == cause::kNormal ? Ending::completed : Ending::reset;
   end_standing(line.call, over, *attempt.ended_early, {});
@@ -397,16 +397,16 @@
   attempt_ended(exchange, Ending::reset, Cause::connection_lost);
 }
 
-void Planner::broke(const ServerId& server, CallId call, unsigned attempt, Break how) {
+void Planner::on_set_up_lost(const ServerId& server, CallId call, unsigned attempt, SetUpLoss how) {
   Exchange* const exchange = find(call);
   if (!exchange || !exchange->attempt || exchange->stands()) return;
   if (exchange->attempt->server != server || exchange->attempt->number != attempt) return;
   // A connection that broke says nothing of the process behind it; one that cannot be made does.
-  attempt_ended(*exchange, how == Break::sent ? Ending::reset : Ending::not_connected,
-                how == Break::unreachable ? Cause::none : Cause::connection_lost);
+  attempt_ended(*exchange, how == SetUpLoss::sent ? Ending::reset : Ending::not_connected,
+                how == SetUpLoss::unreachable ? Cause::none : Cause::connection_lost);
 }
 
-void Planner::told(const ServerId& server, const LoadReport& report) {
+void Planner::on_load_report(const ServerId& server, const LoadReport& report) {
   deliver(ServerProbed{server, true, report});
 }
 
@@ -419,7 +419,7 @@
   return found;
 }
 
-void Planner::died(const ServerId& server) {
+void Planner::on_process_gone(const ServerId& server) {
   const std::vector<CallId> cut = standing_at(server);
   if (cut.empty()) return;
   log_.line("server %s: its process is gone, %zu calls cut", server_text(server).c_str(), cut.size());
@@ -427,7 +427,7 @@
 }
 
 // Some may stand there still: they are released, should it be there again.
-void Planner::cut_off(const ServerId& server, const std::vector<CallId>& calls) {
+void Planner::on_calls_unreachable(const ServerId& server, const std::vector<CallId>& calls) {
   log_.line("server %s: silent, %zu calls cut", server_text(server).c_str(), calls.size());
   for (const CallId call : calls) {
     servers_.end(server, call, cause::kTemporary);
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -72,19 +72,19 @@
  private:
   using Calls = std::unordered_map<CallId, Exchange>;
 
-  SetUpOutcome told_of_call(const ServerId& server, ServerLine line, MessageOrigin origin) override;
-  void broke(const ServerId& server, CallId call, unsigned attempt, Break how) override;
-  void told(const ServerId& server, const LoadReport& report) override;
-  void died(const ServerId& server) override;
-  void cut_off(const ServerId& server, const std::vector<CallId>& calls) override;
+  SetUpOutcome on_call_message(const ServerId& server, ServerLine line, MessageOrigin origin) override;
+  void on_set_up_lost(const ServerId& server, CallId call, unsigned attempt, SetUpLoss how) override;
+  void on_load_report(const ServerId& server, const LoadReport& report) override;
+  void on_process_gone(const ServerId& server) override;
+  void on_calls_unreachable(const ServerId& server, const std::vector<CallId>& calls) override;
   std::vector<CallId> standing_at(const ServerId& server) const;
 
-  // The steps of told_of_call: for a call that is not known here, one whose attempt is at another server, and
-  // one whose attempt is at this server.
-  void told_of_unknown_call(const ServerId& server, const ServerLine& line);
-  void told_by_another_server(const Exchange& exchange, const ServerId& server, const ServerLine& line);
-  SetUpOutcome told_of_attempt(Exchange& exchange, const ServerId& server, ServerLine line,
-                               MessageOrigin origin);
+  // The steps of on_call_message: for a call that is not known here, one whose attempt is at another server,
+  // and one whose attempt is at this server.
+  void handle_unknown_call_message(const ServerId& server, const ServerLine& line);
+  void handle_other_server_message(const Exchange& exchange, const ServerId& server, const ServerLine& line);
+  SetUpOutcome handle_attempt_message(Exchange& exchange, const ServerId& server, ServerLine line,
+                                      MessageOrigin origin);
   SetUpOutcome answered(Exchange& exchange, ServerLine line);
   void give_up(Exchange& exchange);
   void await_answer_of_ended_call(Exchange& exchange, int cause);
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -151,10 +151,12 @@
   if (gone.refresh) loop_.cancel(*gone.refresh);
   for (Lane& lane : gone.lanes) close_lane(gone, lane);
   for (Lane& lane : gone.lanes) {
-    for (const auto& [call, set_up] : lane.out) owner_.broke(server, call, set_up.attempt, Break::sent);
+    for (const auto& [call, set_up] : lane.out)
+      owner_.on_set_up_lost(server, call, set_up.attempt, SetUpLoss::sent);
   }
   for (const Waiting& what : gone.waiting) {
-    if (what.is_offer) owner_.broke(server, what.offer.call, what.offer.attempt, Break::unreachable);
+    if (what.is_offer)
+      owner_.on_set_up_lost(server, what.offer.call, what.offer.attempt, SetUpLoss::unreachable);
   }
 }
 
@@ -210,7 +212,7 @@
     return write(to, *lane, what);
   }
   if (to.waiting.size() >= kMostWaiting)
-    return owner_.broke(server, what.offer.call, what.offer.attempt, Break::unreachable);
+    return owner_.on_set_up_lost(server, what.offer.call, what.offer.attempt, SetUpLoss::unreachable);
   to.waiting.push_back(std::move(what));
   connect(to);
 }
@@ -317,13 +319,13 @@
 
 void Servers::handle(const Place& at, ServerLine line) {
   const ServerId server = at.link->server;
-  if (line.op == ServerOp::group) return owner_.told(server, parse_load(line.load));
+  if (line.op == ServerOp::group) return owner_.on_load_report(server, parse_load(line.load));
   if (line.op != ServerOp::accept && line.op != ServerOp::end) return;
   const CallId call = line.call;
   MessageOrigin origin;
   for (const Lane& lane : at.link->lanes) origin.set_up_is_out |= lane.out.count(call) > 0;
   if (at.lane->out.count(call) > 0) origin.connection = Connection::own;
-  const SetUpOutcome outcome = owner_.told_of_call(server, std::move(line), origin);
+  const SetUpOutcome outcome = owner_.on_call_message(server, std::move(line), origin);
   if (outcome == SetUpOutcome::open) return;
   settle(server, call);
   if (outcome == SetUpOutcome::established) at.lane->standing.insert(call);
@@ -397,7 +399,8 @@
       }
     }
     for (const auto& [call, set_up] : out) {
-      owner_.broke(server, call, set_up.attempt, unsent.count(call) > 0 ? Break::unsent : Break::sent);
+      owner_.on_set_up_lost(server, call, set_up.attempt,
+                            unsent.count(call) > 0 ? SetUpLoss::unsent : SetUpLoss::sent);
     }
     return;
   }
@@ -413,10 +416,10 @@
   log_.line("server %s: connection %s", server_text(server).c_str(),
             how == Lost::refused ? "refused" : "not up in time");
   const auto waiting = std::exchange(at.link->waiting, {});
-  if (died) owner_.died(server);
+  if (died) owner_.on_process_gone(server);
   for (const Waiting& what : waiting) {
     if (what.is_offer) {
-      owner_.broke(server, what.offer.call, what.offer.attempt, Break::unreachable);
+      owner_.on_set_up_lost(server, what.offer.call, what.offer.attempt, SetUpLoss::unreachable);
     } else if (const auto still = links_.find(server); still != links_.end() && !died) {
       still->second.waiting.push_back(what);
     }
@@ -490,7 +493,7 @@
   if (loop_.now() - link.tested < kTestAgain) return;
   if (link.doubted) {
     const std::vector<CallId> cut = silent_for(link, kQuietUntilCutOff);
-    if (!cut.empty()) owner_.cut_off(link.server, cut);
+    if (!cut.empty()) owner_.on_calls_unreachable(link.server, cut);
   }
   if (!test_is_due(link)) return;
   link.tested = loop_.now();
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -43,7 +43,7 @@
 
 // How a set-up was lost: with a connection that broke before it left whole, or after (it may have run), or
 // for want of any connection.
-enum class Break { unsent, sent, unreachable };
+enum class SetUpLoss { unsent, sent, unreachable };
 
 class Servers : private Stream::Owner {
  public:
@@ -51,15 +51,15 @@
    public:
     virtual ~Owner() = default;
     // An answer, refusal or release.
-    virtual SetUpOutcome told_of_call(const ServerId& server, ServerLine line, MessageOrigin origin) = 0;
+    virtual SetUpOutcome on_call_message(const ServerId& server, ServerLine line, MessageOrigin origin) = 0;
     // The set-up of an attempt was lost on the way.
-    virtual void broke(const ServerId& server, CallId call, unsigned attempt, Break how) = 0;
-    virtual void told(const ServerId& server, const LoadReport& report) = 0;
+    virtual void on_set_up_lost(const ServerId& server, CallId call, unsigned attempt, SetUpLoss how) = 0;
+    virtual void on_load_report(const ServerId& server, const LoadReport& report) = 0;
     // Its process is gone, and with it every call there.
-    virtual void died(const ServerId& server) = 0;
+    virtual void on_process_gone(const ServerId& server) = 0;
     // Calls that stand there and whose end could not be heard any more: the connections that would bring it
     // are silent and no new one comes up.
-    virtual void cut_off(const ServerId& server, const std::vector<CallId>& calls) = 0;
+    virtual void on_calls_unreachable(const ServerId& server, const std::vector<CallId>& calls) = 0;
   };
 
   Servers(Loop& loop, Logger& log, Owner& owner, Duration connect_timeout)
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -135,13 +135,13 @@
 }
 
 struct Record : Servers::Owner {
-  SetUpOutcome told_of_call(const ServerId&, ServerLine, MessageOrigin) override {
+  SetUpOutcome on_call_message(const ServerId&, ServerLine, MessageOrigin) override {
     return SetUpOutcome::settled;
   }
-  void broke(const ServerId&, CallId, unsigned, Break) override { ++broken; }
-  void told(const ServerId&, const LoadReport&) override {}
-  void died(const ServerId&) override { ++dead; }
-  void cut_off(const ServerId&, const std::vector<CallId>&) override { ++dead; }
+  void on_set_up_lost(const ServerId&, CallId, unsigned, SetUpLoss) override { ++broken; }
+  void on_load_report(const ServerId&, const LoadReport&) override {}
+  void on_process_gone(const ServerId&) override { ++dead; }
+  void on_calls_unreachable(const ServerId&, const std::vector<CallId>&) override { ++dead; }
   int broken = 0, dead = 0;
 };
 
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -248,13 +248,13 @@
 // breaks: the release of the first, said again, would cut it behind its caller's back.
 TEST_F(Program, AReleaseOfAnEarlierAttemptDoesNotCutTheNext) {
   struct Ignores : Servers::Owner {
-    SetUpOutcome told_of_call(const ServerId&, ServerLine, MessageOrigin) override {
+    SetUpOutcome on_call_message(const ServerId&, ServerLine, MessageOrigin) override {
       return SetUpOutcome::settled;
     }
-    void broke(const ServerId&, CallId, unsigned, Break) override {}
-    void told(const ServerId&, const LoadReport&) override {}
-    void died(const ServerId&) override {}
-    void cut_off(const ServerId&, const std::vector<CallId>&) override {}
+    void on_set_up_lost(const ServerId&, CallId, unsigned, SetUpLoss) override {}
+    void on_load_report(const ServerId&, const LoadReport&) override {}
+    void on_process_gone(const ServerId&) override {}
+    void on_calls_unreachable(const ServerId&, const std::vector<CallId>&) override {}
   } owner;
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
