--- a/src/config.cpp
+++ b/src/config.cpp
@@ -76,11 +76,11 @@
 }
 
 // Throws simdjson's errors too.
-FleetNews news_of(object from) {
-  FleetNews news;
+ServerListUpdate news_of(object from) {
+  ServerListUpdate news;
   news.index = wanted<std::uint64_t>(from, "index");
   const object endpoints = wanted<object>(from, "endpoints");
-  news.whole = value(endpoints, "whole", false);
+  news.full = value(endpoints, "whole", false);
   for (const element entry : wanted<array>(endpoints, "hosts"))
     news.hosts.push_back(parse_host(entry.get_object()));
   return news;
@@ -133,7 +133,7 @@
   }
 }
 
-FleetNews parse_news(std::string_view json) {
+ServerListUpdate parse_news(std::string_view json) {
   simdjson::dom::parser parser;
   try {
     return news_of(parser.parse(json).get_object());
--- a/src/config.hpp
+++ b/src/config.hpp
@@ -47,7 +47,7 @@
   std::uint64_t seed = 0;
   Limits limits;
   std::uint64_t known_index = 0;
-  std::vector<FleetNews> known;
+  std::vector<ServerListUpdate> known;
   StartUp start;
   std::vector<std::string> unknown{};  // settings that mean nothing here, by path
 };
@@ -64,6 +64,6 @@
 std::vector<sockaddr_in> parse_levels(std::string_view toml);
 
 // One event of the coordinator. Throws ConfigError if it is malformed.
-FleetNews parse_news(std::string_view json);
+ServerListUpdate parse_news(std::string_view json);
 
 }  // namespace quartzarch
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -5,7 +5,7 @@
 
 namespace quartzarch {
 
-const Host* Fleet::at(const ServerId& address) const {
+const Host* ServerInventory::at(const ServerId& address) const {
   const Host* found = nullptr;
   const auto rank = [](const Host& host) {
     return std::pair(host.entry.availability != Availability::gone, host.entry.started.value_or(Time{0}));
@@ -16,23 +16,23 @@
   return found;
 }
 
-Fleet::Change Fleet::apply(const FleetNews& news) {
+ServerInventory::Change ServerInventory::apply(const ServerListUpdate& update) {
   std::map<ServerId, Host> before;
   std::set<ServerId> touched;
   const auto touch = [&](const ServerId& address) {
     if (!touched.insert(address).second) return;
     if (const Host* const host = at(address)) before[address] = *host;
   };
-  for (const Host& host : news.hosts) {
+  for (const Host& host : update.hosts) {
     touch(host.entry.id);
     // A host may come back at another address.
     if (const auto known = hosts_.find(host.name); known != hosts_.end()) touch(known->second.entry.id);
   }
-  if (news.whole) {
+  if (update.full) {
     for (const auto& [name, host] : hosts_) touch(host.entry.id);
     hosts_.clear();
   }
-  for (const Host& host : news.hosts) hosts_[host.name] = host;
+  for (const Host& host : update.hosts) hosts_[host.name] = host;
 
   Change change;
   for (const ServerId& address : touched) {
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -14,21 +14,21 @@
   ServerEntry entry{};
 };
 
-struct FleetNews {
+struct ServerListUpdate {
   std::uint64_t index = 0;
-  bool whole = false;
+  bool full = false;
   std::vector<Host> hosts{};
 };
 
 // The hosts by name. The controller knows servers by address only, and a new host may have the address of one
 // that has gone: for each address the host that runs there counts, before any that has gone.
-class Fleet {
+class ServerInventory {
  public:
   struct Change {
     ServerList list{};                 // for the controller
     std::vector<ServerId> replaced{};  // whose process has gone or is another one now
   };
-  Change apply(const FleetNews& news);
+  Change apply(const ServerListUpdate& update);
 
  private:
   const Host* at(const ServerId& address) const;
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -57,9 +57,9 @@
 
 // ---- The list
 
-void Planner::update_servers(const FleetNews& news) {
+void Planner::update_servers(const ServerListUpdate& update) {
   server_list_known_ = true;
-  const Fleet::Change change = fleet_.apply(news);
+  const ServerInventory::Change change = server_inventory_.apply(update);
   // What ran at an address that has another process now, or none, is cut.
   for (const ServerId& server : change.replaced) {
     on_process_gone(server);
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -35,7 +35,7 @@
   // request under way keeps the class it came with.
   void reload_settings(const StartUp& fresh);
 
-  void update_servers(const FleetNews& news);
+  void update_servers(const ServerListUpdate& update);
   // Asked for every call before anything is decided about it; it must outlive this, or null.
   void set_admission_filter(AdmissionFilter* filter) { admission_filter_ = filter; }
   // While it drains, what it refuses is refused at once; it must outlive this, or null.
@@ -127,7 +127,7 @@
   StartUp start_;
   Controller controller_;
   Servers servers_;
-  Fleet fleet_;
+  ServerInventory server_inventory_;
   bool server_list_known_ = false;
   Calls calls_;
   std::size_t pending_answers_ = 0;
--- a/src/net/coordinator.hpp
+++ b/src/net/coordinator.hpp
@@ -13,7 +13,7 @@
 
 class Coordinator : private Stream::Owner {
  public:
-  using OnNews = std::function<void(const FleetNews&)>;
+  using OnNews = std::function<void(const ServerListUpdate&)>;
 
   // Asks for what comes after event `index`.
   Coordinator(Loop& loop, Logger& log, const sockaddr_in& address, std::uint64_t index, OnNews on_news);
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -230,7 +230,7 @@
                  const ServeOptions& options, const std::optional<sip::FrontConfig>& sip) {
   Planner planner(loop, log, config.start, config.seed, bounds_of(config.limits));
   const auto operation = attach(loop, log, planner, files, config, options);
-  for (const FleetNews& news : config.known) planner.update_servers(news);
+  for (const ServerListUpdate& news : config.known) planner.update_servers(news);
   Fronts fronts(loop, log, planner, config, sip);
   planner.set_unknown_call_front(fronts.strays());
   Drain drain;
@@ -244,7 +244,7 @@
     log.line("%s: management at %s", config.name.c_str(), address_text(management->address()).c_str());
   }
   Coordinator coordinator(loop, log, config.coordinator, config.known_index,
-                          [&planner](const FleetNews& news) { planner.update_servers(news); });
+                          [&planner](const ServerListUpdate& news) { planner.update_servers(news); });
   log.line("%s: serving at %s", config.name.c_str(), address_text(config.listen).c_str());
   service.run({.owed = [&] { return planner.pending_answers(); },
                .idle = [&] { return fronts.idle(); },
@@ -276,11 +276,11 @@
   settings.instances *= static_cast<unsigned>(planners.size());
   Planner planner(loop, log, config.start, config.seed + index, bounds_of(config.limits));
   const auto operation = attach(loop, log, planner, files, config, options);
-  for (const FleetNews& news : config.known) planner.update_servers(news);
+  for (const ServerListUpdate& news : config.known) planner.update_servers(news);
   link::Port port(loop, log, planner, planners[index]);
   planner.set_unknown_call_front(port);
   Coordinator coordinator(loop, log, config.coordinator, config.known_index,
-                          [&planner](const FleetNews& news) { planner.update_servers(news); });
+                          [&planner](const ServerListUpdate& news) { planner.update_servers(news); });
   log.line("%s: planner %zu of %zu at %s", config.name.c_str(), index, planners.size(),
            address_text(planners[index]).c_str());
   Drain drain;
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -477,7 +477,7 @@
   Listener at;
   std::uint64_t told = 4;
   const Coordinator coordinator(loop, log, at.address(), 4,
-                                [&](const FleetNews& news) { told = news.index; });
+                                [&](const ServerListUpdate& news) { told = news.index; });
   Peer first, second, third;
   until([&] { return static_cast<bool>(first = at.accept()); }, "the first");
   hears(first, "Last-Event-ID: 4\r\n");
@@ -501,7 +501,7 @@
     Listener at;
     std::uint64_t told = 4;
     const Coordinator coordinator(loop, log, at.address(), 4,
-                                  [&](const FleetNews& news) { told = news.index; });
+                                  [&](const ServerListUpdate& news) { told = news.index; });
     Peer first, second;
     until([&] { return static_cast<bool>(first = at.accept()); }, "the first");
     hears(first, "Last-Event-ID: 4\r\n");
@@ -525,7 +525,7 @@
   Listener at;
   std::uint64_t told = 4;
   const Coordinator coordinator(loop, log, at.address(), 4,
-                                [&](const FleetNews& news) { told = news.index; });
+                                [&](const ServerListUpdate& news) { told = news.index; });
   Peer stream;
   until([&] { return static_cast<bool>(stream = at.accept()); }, "the stream");
   for (const char* part :
