--- a/src/config.hpp
+++ b/src/config.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/fleet.hpp"
+#include "core/server_inventory.hpp"
 #include "settings.hpp"
 
 namespace quartzarch {
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -12,7 +12,7 @@
 #include "core/calls.hpp"
 #include "core/drain.hpp"
 #include "core/exchange.hpp"
-#include "core/fleet.hpp"
+#include "core/server_inventory.hpp"
 #include "core/tally.hpp"
 #include "log.hpp"
 #include "net/servers.hpp"
--- a/src/core/fleet.cpp
+++ b/src/core/server_inventory.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet.hpp"
+#include "core/server_inventory.hpp"
 
 #include <set>
 #include <utility>
--- a/src/net/coordinator.hpp
+++ b/src/net/coordinator.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "core/fleet.hpp"
+#include "core/server_inventory.hpp"
 #include "log.hpp"
 #include "net/stream.hpp"
 
