--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -51,7 +51,7 @@
       controller_(start_.settings, seed, loop.now()),
       servers_(loop, log, *this, start_.connect_timeout),
       capacity_(capacity) {
-  for (const std::string& name : start_.class_names) tally_.know(name);
+  for (const std::string& name : start_.class_names) counters_.add_class(name);
   loop_.at_each_end([this] { return send_due(); });
 }
 
@@ -105,7 +105,7 @@
     table.push_back(wanted);
     names.push_back(name);
     kept.push_back(true);
-    tally_.know(name);
+    counters_.add_class(name);
   }
   // What vanished, or was replaced by a later place, is no longer found by its name.
   for (std::size_t i = 0; i < names.size(); ++i) {
@@ -129,11 +129,11 @@
   }
   // Answers given before anything is decided, counted as all others are.
   const auto fail_now = [&] {
-    tally_.failed(request.call_class);
+    counters_.failed(request.call_class);
     front.fail(call, Failure::error);
   };
   const auto refuse_now = [&](Duration retry_after) {
-    tally_.refused(request.call_class);
+    counters_.refused(request.call_class);
     front.refuse(call, retry_after);
   };
   // Every set-up gets a new id. One that is over may still be heard of by its id, and a broken caller that
@@ -193,7 +193,7 @@
     const auto away = turns_away(exchange->request());
     if (!away) continue;
     settle(*exchange);
-    tally_.refused(exchange->request().call_class);
+    counters_.refused(exchange->request().call_class);
     exchange->refuse(*away);
     withdraw(call);
   }
@@ -221,13 +221,13 @@
 void Planner::answer_without_server(Exchange& exchange) {
   if (exchange.attempts > 0) return answer_failed(exchange);
   settle(exchange);
-  tally_.refused(exchange.request().call_class);
+  counters_.refused(exchange.request().call_class);
   exchange.refuse(kRetryAfterWhenFull);
 }
 
 void Planner::answer_failed(Exchange& exchange) {
   settle(exchange);
-  tally_.failed(exchange.request().call_class);
+  counters_.failed(exchange.request().call_class);
   exchange.fail(Failure::error);
 }
 
@@ -368,7 +368,7 @@
   }
   settle(exchange);
   if (admission_filter_) admission_filter_->answered(exchange.request(), loop_.now());
-  tally_.served(exchange.request().call_class);
+  counters_.served(exchange.request().call_class);
   exchange.answer(std::move(line.description));
   deliver(SetupStood{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent});
   if (!line.load.empty()) on_load_report(attempt.server, parse_load(line.load));
@@ -469,7 +469,7 @@
 }
 
 void Planner::ignore(const ServerId& server, const ServerLine& line, const char* reason) {
-  ++tally_.messages_ignored;
+  ++counters_.messages_ignored;
   log_message(server, line, (std::string("ignored, ") + reason).c_str());
 }
 
@@ -492,7 +492,7 @@
   const bool settled = !exchange.owed();
   exchange.timed_out = ending == Ending::timed_out;
   exchange.earlier.ended(attempt.server, ending);
-  ++tally_.attempts_ended[static_cast<std::size_t>(ending)];
+  ++counters_.attempts_ended[static_cast<std::size_t>(ending)];
   log_.call_line("call %s: attempt %u at %s ended after %lld ms: %s%s", call_text(call).c_str(),
                  attempt.number, server_text(attempt.server).c_str(),
                  static_cast<long long>((loop_.now() - attempt.sent) / std::chrono::milliseconds(1)),
@@ -564,7 +564,7 @@
       log_.call_line("call %s: attempt %u to %s", call_text(call).c_str(), number,
                      server_text(exchange->attempt->server).c_str());
     }
-    ++tally_.dispatches;
+    ++counters_.dispatches;
     const Request& request = exchange->request();
     servers_.offer(exchange->attempt->server, {call, request.call_class, request.number, request.description,
                                                exchange->deadline(), number});
@@ -587,7 +587,7 @@
   if (!exchange || !exchange->owed()) return;
   settle(*exchange);
   if (admission_filter_) admission_filter_->refused(exchange->request(), loop_.now());
-  tally_.refused(exchange->request().call_class);
+  counters_.refused(exchange->request().call_class);
   if (exchange->attempts > 0) {
     log_.call_line("call %s: refused after %u attempts", call_text(action.call).c_str(), exchange->attempts);
   }
@@ -599,7 +599,7 @@
   Exchange* const exchange = find(action.call);
   if (!exchange || !exchange->owed()) return;
   settle(*exchange);
-  tally_.failed(exchange->request().call_class);
+  counters_.failed(exchange->request().call_class);
   log_.call_line("call %s: failed after %u attempts", call_text(action.call).c_str(), exchange->attempts);
   exchange->fail(exchange->timed_out ? Failure::timed_out : Failure::error);
   if (!exchange->attempt) erase(action.call);
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -63,8 +63,8 @@
   // Requests taken and not ended: owed their answer, or calls that stand.
   std::size_t concurrent() const;
   // What was answered how, and what went to servers; a reload is counted by whoever reads the file.
-  const Tally& tally() const { return tally_; }
-  Tally& tally() { return tally_; }
+  const CallCounters& counters() const { return counters_; }
+  CallCounters& counters() { return counters_; }
   // Servers in the list that are not gone, and those of them that are draining or cannot be reached.
   std::size_t targets() const;
   std::size_t targets_disabled() const;
@@ -141,7 +141,7 @@
   Front* unknown_call_front_ = nullptr;
   AdmissionFilter* admission_filter_ = nullptr;
   const Drain* drain_ = nullptr;
-  Tally tally_;
+  CallCounters counters_;
   std::map<ServerId, Availability> listed_servers_;
 };
 
--- a/src/core/tally.hpp
+++ b/src/core/tally.hpp
@@ -20,7 +20,7 @@
 }
 inline constexpr std::size_t kEndings = static_cast<std::size_t>(Ending::not_sent) + 1;
 
-struct Tally {
+struct CallCounters {
   struct Outcomes {
     std::uint64_t success = 0;   // requests served: the call stood
     std::uint64_t overload = 0;  // requests refused, with a time to come back
@@ -34,7 +34,7 @@
   std::uint64_t reload_failure = 0;
 
   // Classes are counted from when they are known: a caller cannot make more of them by naming others.
-  void know(const std::string& call_class) { by_class[call_class]; }
+  void add_class(const std::string& call_class) { by_class[call_class]; }
   void served(std::string_view call_class) { count(call_class, &Outcomes::success); }
   void refused(std::string_view call_class) { count(call_class, &Outcomes::overload); }
   void failed(std::string_view call_class) { count(call_class, &Outcomes::error); }
--- a/src/managed.cpp
+++ b/src/managed.cpp
@@ -5,7 +5,7 @@
 namespace quartzarch {
 
 std::string Managed::metrics() const {
-  const Tally& tally = planner_.tally();
+  const CallCounters& tally = planner_.counters();
   std::string success, overload, error;
   for (const auto& [name, outcomes] : tally.by_class) {
     const std::string key = (success.empty() ? "" : ",") + in_quotes(name) + ":";
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -73,7 +73,7 @@
   // The text of the file that it started with: what a file read again must have too.
   void started_with(std::string text) { running_ = std::move(text); }
   // Where files taken and turned down at SIGHUP are counted.
-  void count_in(Tally& tally) { tally_ = &tally; }
+  void count_in(CallCounters& tally) { tally_ = &tally; }
   std::optional<Time> stop_came() const { return signals_.stop_came(); }
 
   // What a serving process does at the steps of its life.
@@ -158,7 +158,7 @@
   const char* config_path_;
   KeptCertificates* certificates_ = nullptr;
   Extension* extension_ = nullptr;
-  Tally* tally_ = nullptr;
+  CallCounters* tally_ = nullptr;
   std::string running_;  // the text of the file in force
   Signals signals_;
   std::optional<StopSchedule> schedule_{};
@@ -236,7 +236,7 @@
   Drain drain;
   fronts.drain_by(drain);
   planner.set_drain(&drain);
-  service.count_in(planner.tally());
+  service.count_in(planner.counters());
   Managed operations(loop, planner, drain);
   std::optional<ManagementFront> management;
   if (const auto address = management_address(config)) {
