--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -9,11 +9,11 @@
 #include <unordered_set>
 #include <vector>
 
+#include "core/call_counters.hpp"
 #include "core/calls.hpp"
 #include "core/drain.hpp"
 #include "core/exchange.hpp"
 #include "core/server_inventory.hpp"
-#include "core/tally.hpp"
 #include "log.hpp"
 #include "net/servers.hpp"
 #include "settings.hpp"
