--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -154,7 +154,8 @@
     log_.line("call %s: nothing a setup server can read, failed", call_text(call).c_str());
     return fail_now();
   }
-  if (const auto away = drain_ ? drain_->refuses(loop_.now()) : std::nullopt) return refuse_now(*away);
+  if (const auto away = drain_ ? drain_->refusal_retry_after(loop_.now()) : std::nullopt)
+    return refuse_now(*away);
   if (admission_filter_) {
     if (const auto away = admission_filter_->rejected_for(request, loop_.now())) return refuse_now(*away);
   }
--- a/src/core/stop.hpp
+++ b/src/core/stop.hpp
@@ -12,7 +12,7 @@
 class StopSchedule {
  public:
   StopSchedule(Duration longest_deadline, Duration longest_aim)
-      : earliest_kill_(std::min(longest_deadline, kLongestCounted) + kKillAfterDeadline),
+      : earliest_kill_(std::min(longest_deadline, kMaxCountedDeadline) + kKillAfterDeadline),
         longest_aim_(longest_aim) {}
 
   // New set-ups are taken until then, and refused at once from then on. What comes within 0.7 s is served;
@@ -21,20 +21,20 @@
     return std::min(std::max(kKillAfterDeadline, answer_by() - longest_aim_), answer_by());
   }
   // By then everything that was taken has its final answer.
-  Duration answer_by() const { return end_by() - kLastWrites; }
+  Duration answer_by() const { return end_by() - kFinalWriteTime; }
   // By then the process has ended, whatever its peers do.
-  Duration end_by() const { return std::max(earliest_kill_ - kMargin, kLastWrites); }
+  Duration end_by() const { return std::max(earliest_kill_ - kSchedulingMargin, kFinalWriteTime); }
   // Requests still arrive until then (connections for 0.4 s, and on open ones for a further 0.2 s); it ends
   // no sooner.
   Duration last_arrivals() const { return std::min(kLastArrivals, end_by()); }
 
  private:
-  static constexpr Duration kLongestCounted = std::chrono::seconds(3);
+  static constexpr Duration kMaxCountedDeadline = std::chrono::seconds(3);
   static constexpr Duration kKillAfterDeadline = std::chrono::milliseconds(700);
   static constexpr Duration kLastArrivals = std::chrono::milliseconds(800);
-  static constexpr Duration kLastWrites = std::chrono::milliseconds(100);
+  static constexpr Duration kFinalWriteTime = std::chrono::milliseconds(100);
   // A busy machine runs the last steps late.
-  static constexpr Duration kMargin = std::chrono::milliseconds(200);
+  static constexpr Duration kSchedulingMargin = std::chrono::milliseconds(200);
 
   Duration earliest_kill_;
   Duration longest_aim_;
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -281,7 +281,7 @@
   }
   if (!connection.open.empty() || connection.cut_short) return Stay::may;
   // Its calls that stand are told when they are over on it: it stays while any does.
-  if (const auto quiet = drain_ ? drain_->quiet_allowed(now) : std::nullopt) {
+  if (const auto quiet = drain_ ? drain_->idle_timeout(now) : std::nullopt) {
     if (now - connection.stream->last_used() >= *quiet && carrying_.count(connection.stream.get()) == 0)
       return Stay::drained;
   }
@@ -315,13 +315,13 @@
   }
   tell_held();
   send_homeless();
-  const Duration every = drain_ ? drain_->sweep_every(loop_.now(), kSweep) : kSweep;
+  const Duration every = drain_ ? drain_->sweep_interval(loop_.now(), kSweep) : kSweep;
   sweep_timer_ = loop_.at(loop_.now() + every, [this] { sweep(); });
 }
 
 // What a drain has not emptied by the time it is looked at: a line for each connection, once.
 void BinaryFront::tell_held() {
-  const bool now_told = drain_ && drain_->looked_at(loop_.now());
+  const bool now_told = drain_ && drain_->is_inspectable(loop_.now());
   if (std::exchange(held_told_, now_told) || !now_told) return;
   for (const auto& [stream, connection] : connections_) {
     const auto standing = std::count_if(calls_.begin(), calls_.end(), [&, of = stream](const auto& call) {
@@ -407,7 +407,7 @@
       return true;
     case Type::test: {
       // Passed by a drained process it tells the front that it takes work, whatever the second address says.
-      const bool passed = core_.ready() && (!drain_ || drain_->passes_tests());
+      const bool passed = core_.ready() && (!drain_ || drain_->passes_health_checks());
       from.standing = std::max(from.standing, Standing::tested);
       from.stream->send(Message(Type::tested, call).put_cause(passed ? 1 : 0).finish(tag(Kind::other)));
       return true;
--- a/src/link/planners.cpp
+++ b/src/link/planners.cpp
@@ -75,7 +75,7 @@
 void Planners::request(Request request, Front& front) {
   const CallId call = request.call;
   if (calls_.count(call) > 0) return;  // a second set-up with the id of a call
-  if (const auto away = drain_ ? drain_->refuses(loop_.now()) : std::nullopt)
+  if (const auto away = drain_ ? drain_->refusal_retry_after(loop_.now()) : std::nullopt)
     return front.refuse(call, *away);
   const auto planner = choose(call);
   // With no planner there is nobody to decide: the caller is told at once.
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -104,7 +104,7 @@
   Peer asking = Peer::connect(drained.address());
   asking.say(setup(0xbb, "d"));
   hears(server, "offer");
-  drain.drain(loop.now() - Drain::kLookedAt);
+  drain.drain(loop.now() - Drain::kInspectableAfter);
   const auto text = [&] {
     std::rewind(lines);
     std::string all(1000, '\0');
@@ -165,15 +165,15 @@
   const Time at{std::chrono::seconds(10)};
   EXPECT_TRUE(drain.ready(true));
   EXPECT_FALSE(drain.ready(false));
-  EXPECT_FALSE(drain.quiet_allowed(at));
+  EXPECT_FALSE(drain.idle_timeout(at));
   drain.drain(at);
   drain.drain(at + std::chrono::seconds(1));  // the first one counts
   EXPECT_FALSE(drain.ready(true));
-  EXPECT_EQ(drain.quiet_allowed(at), Drain::kQuiet);
-  EXPECT_EQ(drain.quiet_allowed(at + Drain::kEmptyBy), Duration{0});
+  EXPECT_EQ(drain.idle_timeout(at), Drain::kIdleTimeout);
+  EXPECT_EQ(drain.idle_timeout(at + Drain::kCloseAllIdleAfter), Duration{0});
   drain.activate();
   EXPECT_TRUE(drain.ready(true));
-  EXPECT_FALSE(drain.quiet_allowed(at));
+  EXPECT_FALSE(drain.idle_timeout(at));
   drain.stop(at, StopSchedule(std::chrono::seconds(9), milliseconds(1500)));
   drain.activate();
   EXPECT_FALSE(drain.ready(true));
