--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -124,7 +124,7 @@
     log_.line("call %s: a second set-up with its id", call_text(call).c_str());
     // The first one's caller has left and its attempt is out: a second one may not be, and this caller is
     // owed an answer. While the first one's answer is owed, or its call stands, it is that one's.
-    if (!known->owed() && !known->stands()) front.refuse(call, kRetryAfterWhenFull);
+    if (!known->answer_pending() && !known->established()) front.refuse(call, kRetryAfterWhenFull);
     return;
   }
   // Answers given before anything is decided, counted as all others are.
@@ -181,7 +181,7 @@
 void Planner::recheck_held_calls(const std::function<std::optional<Duration>(const Request&)>& turns_away) {
   std::vector<CallId> held;
   for (const auto& [call, exchange] : calls_) {
-    if (exchange.owed() && !exchange.attempt) held.push_back(call);
+    if (exchange.answer_pending() && !exchange.attempt) held.push_back(call);
   }
   // In the order in which they came, whatever the table's.
   std::sort(held.begin(), held.end(), [this](CallId a, CallId b) {
@@ -190,7 +190,7 @@
   });
   for (const CallId call : held) {
     Exchange* const exchange = find(call);
-    if (!exchange || !exchange->owed() || exchange->attempt) continue;
+    if (!exchange || !exchange->answer_pending() || exchange->attempt) continue;
     const auto away = turns_away(exchange->request());
     if (!away) continue;
     settle(*exchange);
@@ -207,20 +207,20 @@
 void Planner::answer_pending_calls() {
   std::vector<CallId> owed;
   for (const auto& [call, exchange] : calls_) {
-    if (exchange.owed()) owed.push_back(call);
+    if (exchange.answer_pending()) owed.push_back(call);
   }
   std::sort(owed.begin(), owed.end());
   for (const CallId call : owed) {
     Exchange& exchange = *find(call);
     answer_without_server(exchange);
-    if (exchange.attempt && exchange.attempt->left)
+    if (exchange.attempt && exchange.attempt->dispatched)
       servers_.end(exchange.attempt->server, call, cause::kNormal);
     erase(call);
   }
 }
 
 void Planner::answer_without_server(Exchange& exchange) {
-  if (exchange.attempts > 0) return answer_failed(exchange);
+  if (exchange.attempts_made > 0) return answer_failed(exchange);
   settle(exchange);
   counters_.refused(exchange.request().call_class);
   exchange.refuse(kRetryAfterWhenFull);
@@ -234,7 +234,7 @@
 
 void Planner::cancel(CallId call) {
   Exchange* const exchange = find(call);
-  if (!exchange || !exchange->owed()) return;
+  if (!exchange || !exchange->answer_pending()) return;
   settle(*exchange);
   exchange->close();
   withdraw(call);
@@ -249,7 +249,7 @@
   // An attempt that the controller did not call off is out until it ends. One that has not begun to leave
   // never does: nobody waits for it any more.
   const Exchange::Attempt attempt = *left->attempt;
-  if (!attempt.left || servers_.take_back(attempt.server, call)) attempt_ended(*left, Ending::not_sent);
+  if (!attempt.dispatched || servers_.take_back(attempt.server, call)) attempt_ended(*left, Ending::not_sent);
 }
 
 void Planner::release(CallId call, int cause) {
@@ -259,7 +259,7 @@
     if (past_.count(call) == 0) servers_.end_everywhere(call, cause);
     return remember(call);
   }
-  if (!exchange->stands()) return cancel(call);
+  if (!exchange->established()) return cancel(call);
   exchange->close();
   servers_.end(exchange->attempt->server, call, cause);
   end_standing(call, Ending::cancelled, cause, {});
@@ -308,8 +308,8 @@
 
 AttemptState state_of(const Exchange& exchange, bool set_up_is_out) {
   if (!exchange.attempt) return AttemptState::none;
-  if (exchange.stands()) return AttemptState::established;
-  return exchange.attempt->left && set_up_is_out ? AttemptState::sent : AttemptState::scheduled;
+  if (exchange.established()) return AttemptState::established;
+  return exchange.attempt->dispatched && set_up_is_out ? AttemptState::sent : AttemptState::scheduled;
 }
 
 ServerMessage message_of(const ServerLine& line) {
@@ -323,9 +323,10 @@
 SetUpOutcome Planner::handle_attempt_message(Exchange& exchange, const ServerId& server, ServerLine line,
                                              MessageOrigin origin) {
   const CallId call = line.call;
-  const Duration out_for = exchange.attempt ? loop_.now() - exchange.attempt->sent : Duration{0};
-  const MessageRule rule = *find_rule(state_of(exchange, origin.set_up_is_out), message_of(line),
-                                      origin.connection, exchange.earlier.at(server), age_of(out_for));
+  const Duration out_for = exchange.attempt ? loop_.now() - exchange.attempt->sent_at : Duration{0};
+  const MessageRule rule =
+      *find_rule(state_of(exchange, origin.set_up_is_out), message_of(line), origin.connection,
+                 exchange.earlier_attempts.at(server), age_of(out_for));
   const Ending over = line.why == cause::kNormal ? Ending::completed : Ending::reset;
   if (rule.verdict == Verdict::refused || rule.verdict == Verdict::give_up) {
     log_message(
@@ -361,7 +362,7 @@
 
 SetUpOutcome Planner::answered(Exchange& exchange, ServerLine line) {
   const Exchange::Attempt attempt = *exchange.attempt;
-  if (!exchange.owed()) {
+  if (!exchange.answer_pending()) {
     // Its caller has left: nobody will ever use the call.
     servers_.end(attempt.server, line.call, cause::kNormal);
     attempt_ended(exchange, Ending::cancelled);
@@ -371,21 +372,21 @@
   if (admission_filter_) admission_filter_->answered(exchange.request(), loop_.now());
   counters_.served(exchange.request().call_class);
   exchange.answer(std::move(line.description));
-  deliver(SetupStood{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent});
+  deliver(SetupStood{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent_at});
   if (!line.load.empty()) on_load_report(attempt.server, parse_load(line.load));
-  if (!attempt.ended_early) return SetUpOutcome::established;
-  const Ending over = *attempt.ended_early == cause::kNormal ? Ending::completed : Ending::reset;
-  end_standing(line.call, over, *attempt.ended_early, {});
+  if (!attempt.early_end_cause) return SetUpOutcome::established;
+  const Ending over = *attempt.early_end_cause == cause::kNormal ? Ending::completed : Ending::reset;
+  end_standing(line.call, over, *attempt.early_end_cause, {});
   return SetUpOutcome::settled;
 }
 
 // What has stood and is over is told within 1 s: answered and ended if the answer still comes, else failed.
 void Planner::await_answer_of_ended_call(Exchange& exchange, int cause) {
-  if (std::exchange(exchange.attempt->ended_early, cause)) return;
+  if (std::exchange(exchange.attempt->early_end_cause, cause)) return;
   const CallId call = exchange.request().call;
   loop_.at(loop_.now() + kAnswerAfterEnd, [this, call, number = exchange.attempt->number] {
     Exchange* const ended = find(call);
-    if (!ended || !ended->attempt || ended->attempt->number != number || ended->stands()) return;
+    if (!ended || !ended->attempt || ended->attempt->number != number || ended->established()) return;
     log_.call_line("call %s: over before its answer came", call_text(call).c_str());
     answer_without_server(*ended);
     withdraw(call);
@@ -400,7 +401,7 @@
 
 void Planner::on_set_up_lost(const ServerId& server, CallId call, unsigned attempt, SetUpLoss how) {
   Exchange* const exchange = find(call);
-  if (!exchange || !exchange->attempt || exchange->stands()) return;
+  if (!exchange || !exchange->attempt || exchange->established()) return;
   if (exchange->attempt->server != server || exchange->attempt->number != attempt) return;
   // A connection that broke says nothing of the process behind it; one that cannot be made does.
   attempt_ended(*exchange, how == SetUpLoss::sent ? Ending::reset : Ending::not_connected,
@@ -414,7 +415,7 @@
 std::vector<CallId> Planner::standing_at(const ServerId& server) const {
   std::vector<CallId> found;
   for (const auto& [call, exchange] : calls_) {
-    if (exchange.stands() && exchange.attempt->server == server) found.push_back(call);
+    if (exchange.established() && exchange.attempt->server == server) found.push_back(call);
   }
   std::sort(found.begin(), found.end());
   return found;
@@ -438,7 +439,7 @@
 
 std::size_t Planner::concurrent() const {
   return static_cast<std::size_t>(std::count_if(calls_.begin(), calls_.end(), [](const auto& each) {
-    return each.second.owed() || each.second.stands();
+    return each.second.answer_pending() || each.second.established();
   }));
 }
 
@@ -489,28 +490,28 @@
 void Planner::attempt_ended(Exchange& exchange, Ending ending, Cause cause, const LoadReport& report) {
   const CallId call = exchange.request().call;
   const Exchange::Attempt attempt = *std::exchange(exchange.attempt, std::nullopt);
-  if (attempt.ended_early && exchange.owed()) answer_failed(exchange);
-  const bool settled = !exchange.owed();
-  exchange.timed_out = ending == Ending::timed_out;
-  exchange.earlier.ended(attempt.server, ending);
+  if (attempt.early_end_cause && exchange.answer_pending()) answer_failed(exchange);
+  const bool settled = !exchange.answer_pending();
+  exchange.last_timed_out = ending == Ending::timed_out;
+  exchange.earlier_attempts.ended(attempt.server, ending);
   ++counters_.attempts_ended[static_cast<std::size_t>(ending)];
   log_.call_line("call %s: attempt %u at %s ended after %lld ms: %s%s", call_text(call).c_str(),
                  attempt.number, server_text(attempt.server).c_str(),
-                 static_cast<long long>((loop_.now() - attempt.sent) / std::chrono::milliseconds(1)),
+                 static_cast<long long>((loop_.now() - attempt.sent_at) / std::chrono::milliseconds(1)),
                  std::string(ending_text(ending)).c_str(), settled ? ", nothing more is owed" : "");
   if (settled) erase(call);
-  deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent, ending, cause,
+  deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent_at, ending, cause,
                        settled, std::nullopt, report});
 }
 
 void Planner::end_standing(CallId call, Ending ending, int cause, const LoadReport& report) {
   Exchange* const exchange = find(call);
   const Exchange::Attempt attempt = *exchange->attempt;
-  exchange->over(cause);
+  exchange->end(cause);
   servers_.call_over(attempt.server, call);
   erase(call);
-  deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent, ending, Cause::none,
-                       true, std::nullopt, report});
+  deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent_at, ending,
+                       Cause::none, true, std::nullopt, report});
 }
 
 // ---- The controller
@@ -536,8 +537,8 @@
 // A set-up leaves at the end of the pass only: what is read in the same pass may still stop it.
 void Planner::carry_out(const SendSetup& action) {
   Exchange* const exchange = find(action.call);
-  if (!exchange || !exchange->owed() || exchange->attempt) return;
-  exchange->attempt = Exchange::Attempt{exchange->attempts++, action.server, loop_.now(), false};
+  if (!exchange || !exchange->answer_pending() || exchange->attempt) return;
+  exchange->attempt = Exchange::Attempt{exchange->attempts_made++, action.server, loop_.now(), false};
   const Time until = action.give_up_after && *action.give_up_after != Duration{0}
                          ? std::min(loop_.now() + *action.give_up_after, exchange->deadline())
                          : exchange->deadline();
@@ -548,8 +549,8 @@
 void Planner::watch_deadline(const Exchange& exchange, Time at) {
   loop_.at(at, [this, call = exchange.request().call, number = exchange.attempt->number] {
     Exchange* const late = find(call);
-    if (!late || !late->attempt || late->attempt->number != number || late->stands()) return;
-    if (late->attempt->left) servers_.end(late->attempt->server, call, cause::kNormal);
+    if (!late || !late->attempt || late->attempt->number != number || late->established()) return;
+    if (late->attempt->dispatched) servers_.end(late->attempt->server, call, cause::kNormal);
     attempt_ended(*late, Ending::timed_out);
   });
 }
@@ -558,9 +559,10 @@
   const auto due = std::exchange(due_, {});
   for (const auto& [call, number] : due) {
     Exchange* const exchange = find(call);
-    if (!exchange || !exchange->attempt || exchange->attempt->number != number || exchange->attempt->left)
+    if (!exchange || !exchange->attempt || exchange->attempt->number != number ||
+        exchange->attempt->dispatched)
       continue;
-    exchange->attempt->left = true;
+    exchange->attempt->dispatched = true;
     if (number > 0) {
       log_.call_line("call %s: attempt %u to %s", call_text(call).c_str(), number,
                      server_text(exchange->attempt->server).c_str());
@@ -575,22 +577,24 @@
 
 void Planner::carry_out(const CancelAttempt& action) {
   Exchange* const exchange = find(action.call);
-  if (!exchange || !exchange->attempt || exchange->attempt->number != action.attempt || exchange->stands())
+  if (!exchange || !exchange->attempt || exchange->attempt->number != action.attempt ||
+      exchange->established())
     return;
   // Its call is over: the answer is waited for, and the call is not to be sent again.
-  if (exchange->attempt->ended_early && exchange->owed()) return;
-  if (exchange->attempt->left) servers_.end(exchange->attempt->server, action.call, cause::kNormal);
+  if (exchange->attempt->early_end_cause && exchange->answer_pending()) return;
+  if (exchange->attempt->dispatched) servers_.end(exchange->attempt->server, action.call, cause::kNormal);
   attempt_ended(*exchange, Ending::cancelled);
 }
 
 void Planner::carry_out(const Refuse& action) {
   Exchange* const exchange = find(action.call);
-  if (!exchange || !exchange->owed()) return;
+  if (!exchange || !exchange->answer_pending()) return;
   settle(*exchange);
   if (admission_filter_) admission_filter_->refused(exchange->request(), loop_.now());
   counters_.refused(exchange->request().call_class);
-  if (exchange->attempts > 0) {
-    log_.call_line("call %s: refused after %u attempts", call_text(action.call).c_str(), exchange->attempts);
+  if (exchange->attempts_made > 0) {
+    log_.call_line("call %s: refused after %u attempts", call_text(action.call).c_str(),
+                   exchange->attempts_made);
   }
   exchange->refuse(action.retry_after);
   if (!exchange->attempt) erase(action.call);
@@ -598,11 +602,12 @@
 
 void Planner::carry_out(const Fail& action) {
   Exchange* const exchange = find(action.call);
-  if (!exchange || !exchange->owed()) return;
+  if (!exchange || !exchange->answer_pending()) return;
   settle(*exchange);
   counters_.failed(exchange->request().call_class);
-  log_.call_line("call %s: failed after %u attempts", call_text(action.call).c_str(), exchange->attempts);
-  exchange->fail(exchange->timed_out ? Failure::timed_out : Failure::error);
+  log_.call_line("call %s: failed after %u attempts", call_text(action.call).c_str(),
+                 exchange->attempts_made);
+  exchange->fail(exchange->last_timed_out ? Failure::timed_out : Failure::error);
   if (!exchange->attempt) erase(action.call);
 }
 
