--- a/src/core/attempt.hpp
+++ b/src/core/attempt.hpp
@@ -28,20 +28,20 @@
 };
 
 // No call is over so shortly after its set-up has left.
-inline constexpr Duration kShortestCall = std::chrono::milliseconds(250);
+inline constexpr Duration kMinCallDuration = std::chrono::milliseconds(250);
 // A set-up that breaks on its way is reset within this time.
-inline constexpr Duration kLongestReset = std::chrono::milliseconds(500);
+inline constexpr Duration kMaxResetDelay = std::chrono::milliseconds(500);
 
 // How long an attempt has been out.
-enum class Age : std::uint8_t {
-  new_attempt,     // under kShortestCall: no call set up by it can be over
+enum class AttemptAge : std::uint8_t {
+  new_attempt,     // under kMinCallDuration: no call set up by it can be over
   recent_attempt,  // a reset means that the set-up broke on its way
-  old_attempt,     // from kLongestReset on: a reset may also mean that the call stood and was cut
+  old_attempt,     // from kMaxResetDelay on: a reset may also mean that the call stood and was cut
 };
 
-constexpr Age age_of(Duration out_for) {
-  if (out_for < kShortestCall) return Age::new_attempt;
-  return out_for < kLongestReset ? Age::recent_attempt : Age::old_attempt;
+constexpr AttemptAge attempt_age(Duration elapsed) {
+  if (elapsed < kMinCallDuration) return AttemptAge::new_attempt;
+  return elapsed < kMaxResetDelay ? AttemptAge::recent_attempt : AttemptAge::old_attempt;
 }
 
 enum class ServerMessage : std::uint8_t {
@@ -52,31 +52,31 @@
 };
 
 // The connection that a message came on: that of the set-up which is out, or another to the same server.
-enum class Connection : std::uint8_t { own, other };
+enum class MessageConnection : std::uint8_t { own, other };
 
 // What may still come of earlier attempts of the call at the same server.
-enum class Earlier : std::uint8_t {
+enum class EarlierOutcome : std::uint8_t {
   none,             // nothing: there was none, or the server's own word ended each
   connection_lost,  // its connection is gone: a release of what it may have set up
   given_up,  // by a time-out or a cancel: also a late answer or refusal on a connection that is still open
 };
 
 enum class Verdict : std::uint8_t {
-  ignore,            // of an earlier attempt, or a repetition
-  answered,          // the call stands
-  refused,           // the attempt is over
-  give_up,           // of this attempt or of an earlier one, nobody can tell: end the attempt at the server
-  ended_early,       // the attempt's call is over and its answer is still to come
-  ended,             // the call that stood is over
-  ended_and_release  // it is over, or an earlier one is: end it at the server as well
+  ignore,    // of an earlier attempt, or a repetition
+  answered,  // the call stands
+  refused,   // the attempt is over
+  give_up,   // of this attempt or of an earlier one, nobody can tell: end the attempt at the server
+  ended_before_answer,  // the attempt's call is over and its answer is still to come
+  ended,                // the call that stood is over
+  ended_and_release     // it is over, or an earlier one is: end it at the server as well
 };
 
 struct MessageRule {
   AttemptState state;
   ServerMessage message;
-  std::optional<Connection> connection;  // absent: any
-  std::optional<Earlier> earlier;        // absent: any
-  std::optional<Age> age;                // absent: any
+  std::optional<MessageConnection> connection;  // absent: any
+  std::optional<EarlierOutcome> earlier;        // absent: any
+  std::optional<AttemptAge> age;                // absent: any
   Verdict verdict;
   const char* reason;  // for the log
 };
@@ -86,16 +86,16 @@
   using enum ServerMessage;
   using S = AttemptState;
   using V = Verdict;
-  constexpr auto kAnyConnection = std::optional<Connection>{};
-  constexpr auto kAnyEarlier = std::optional<Earlier>{};
-  constexpr auto kAnyAge = std::optional<Age>{};
-  constexpr auto kNew = std::optional(Age::new_attempt);
-  constexpr auto kOld = std::optional(Age::old_attempt);
-  constexpr auto kOwn = std::optional(Connection::own);
-  constexpr auto kOther = std::optional(Connection::other);
-  constexpr auto kNone = std::optional(Earlier::none);
-  constexpr auto kLost = std::optional(Earlier::connection_lost);
-  constexpr auto kGivenUp = std::optional(Earlier::given_up);
+  constexpr auto kAnyConnection = std::optional<MessageConnection>{};
+  constexpr auto kAnyEarlier = std::optional<EarlierOutcome>{};
+  constexpr auto kAnyAge = std::optional<AttemptAge>{};
+  constexpr auto kNew = std::optional(AttemptAge::new_attempt);
+  constexpr auto kOld = std::optional(AttemptAge::old_attempt);
+  constexpr auto kOwn = std::optional(MessageConnection::own);
+  constexpr auto kOther = std::optional(MessageConnection::other);
+  constexpr auto kNone = std::optional(EarlierOutcome::none);
+  constexpr auto kLost = std::optional(EarlierOutcome::connection_lost);
+  constexpr auto kGivenUp = std::optional(EarlierOutcome::given_up);
   return std::to_array<MessageRule>({
       {S::none, answer, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "no attempt is out"},
       {S::none, refusal, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "no attempt is out"},
@@ -112,16 +112,16 @@
       {S::sent, refusal, kOwn, kAnyEarlier, kAnyAge, V::refused, "refused"},
       {S::sent, refusal, kOther, kNone, kAnyAge, V::refused, "refused"},
       {S::sent, refusal, kOther, kAnyEarlier, kAnyAge, V::ignore, "an earlier attempt's: another connection"},
-      {S::sent, reset, kOwn, kNone, kOld, V::ended_early, "over, its answer is still to come"},
+      {S::sent, reset, kOwn, kNone, kOld, V::ended_before_answer, "over, its answer is still to come"},
       {S::sent, reset, kOwn, kNone, kAnyAge, V::refused, "reset"},
       {S::sent, reset, kOwn, kAnyEarlier, kAnyAge, V::give_up, "this attempt's or an earlier one's"},
-      {S::sent, reset, kOther, kNone, kAnyAge, V::ended_early, "over, its answer is still to come"},
+      {S::sent, reset, kOther, kNone, kAnyAge, V::ended_before_answer, "over, its answer is still to come"},
       {S::sent, reset, kOther, kAnyEarlier, kAnyAge, V::ignore, "an earlier attempt's: another connection"},
       {S::sent, release, kAnyConnection, kLost, kNew, V::ignore,
        "an earlier attempt's: this one has just left"},
       {S::sent, release, kAnyConnection, kGivenUp, kNew, V::ignore,
        "an earlier attempt's: this one has just left"},
-      {S::sent, release, kAnyConnection, kAnyEarlier, kAnyAge, V::ended_early,
+      {S::sent, release, kAnyConnection, kAnyEarlier, kAnyAge, V::ended_before_answer,
        "over, its answer is still to come"},
       {S::established, answer, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore,
        "the call stands there already"},
@@ -139,7 +139,8 @@
 }();
 
 constexpr std::optional<MessageRule> find_rule(AttemptState state, ServerMessage message,
-                                               Connection connection, Earlier earlier, Age age) {
+                                               MessageConnection connection, EarlierOutcome earlier,
+                                               AttemptAge age) {
   for (const MessageRule& rule : kMessageRules) {
     const bool matches = rule.state == state && rule.message == message &&
                          rule.connection.value_or(connection) == connection &&
@@ -149,58 +150,60 @@
   return std::nullopt;
 }
 
-constexpr bool every_message_is_decided() {
+constexpr bool every_combination_has_a_rule() {
   for (const auto state :
        {AttemptState::none, AttemptState::scheduled, AttemptState::sent, AttemptState::established})
     for (const auto message :
          {ServerMessage::answer, ServerMessage::refusal, ServerMessage::reset, ServerMessage::release})
-      for (const auto connection : {Connection::own, Connection::other})
-        for (const auto earlier : {Earlier::none, Earlier::connection_lost, Earlier::given_up})
-          for (const auto age : {Age::new_attempt, Age::recent_attempt, Age::old_attempt})
+      for (const auto connection : {MessageConnection::own, MessageConnection::other})
+        for (const auto earlier :
+             {EarlierOutcome::none, EarlierOutcome::connection_lost, EarlierOutcome::given_up})
+          for (const auto age :
+               {AttemptAge::new_attempt, AttemptAge::recent_attempt, AttemptAge::old_attempt})
             if (!find_rule(state, message, connection, earlier, age)) return false;
   return true;
 }
-static_assert(every_message_is_decided());
+static_assert(every_combination_has_a_rule());
 
 // How long the answer of a call that is over is waited for: its caller hears of the end within 1 s of it.
-inline constexpr Duration kAnswerAfterEnd = std::chrono::milliseconds(700);
+inline constexpr Duration kAnswerTimeoutAfterEnd = std::chrono::milliseconds(700);
 
 // What earlier attempts of one call left open, by server.
 class EarlierAttempts {
  public:
   // An attempt at `server` is over for this side. Only the server's own answer or refusal settles it: after
   // anything else a message of it may still come.
-  void ended(const ServerId& server, Ending ending) {
-    const Earlier left = left_by(ending);
-    if (left == Earlier::none) return;
+  void record(const ServerId& server, Ending ending) {
+    const EarlierOutcome outcome = outcome_of(ending);
+    if (outcome == EarlierOutcome::none) return;
     for (Entry& entry : entries_) {
       if (entry.server != server) continue;
-      if (entry.left < left) entry.left = left;
+      if (entry.outcome < outcome) entry.outcome = outcome;
       return;
     }
-    entries_.push_back({server, left});
+    entries_.push_back({server, outcome});
   }
-  Earlier at(const ServerId& server) const {
+  EarlierOutcome at(const ServerId& server) const {
     for (const Entry& entry : entries_) {
-      if (entry.server == server) return entry.left;
+      if (entry.server == server) return entry.outcome;
     }
-    return Earlier::none;
+    return EarlierOutcome::none;
   }
 
  private:
   struct Entry {
     ServerId server;
-    Earlier left;
+    EarlierOutcome outcome;
   };
-  static Earlier left_by(Ending ending) {
+  static EarlierOutcome outcome_of(Ending ending) {
     switch (ending) {
       case Ending::reset:
-        return Earlier::connection_lost;
+        return EarlierOutcome::connection_lost;
       case Ending::timed_out:
       case Ending::cancelled:
-        return Earlier::given_up;
+        return EarlierOutcome::given_up;
       default:
-        return Earlier::none;
+        return EarlierOutcome::none;
     }
   }
   std::vector<Entry> entries_{};
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -326,18 +326,18 @@
   const Duration out_for = exchange.attempt ? loop_.now() - exchange.attempt->sent_at : Duration{0};
   const MessageRule rule =
       *find_rule(state_of(exchange, origin.set_up_is_out), message_of(line), origin.connection,
-                 exchange.earlier_attempts.at(server), age_of(out_for));
+                 exchange.earlier_attempts.at(server), attempt_age(out_for));
   const Ending over = line.why == cause::kNormal ? Ending::completed : Ending::reset;
   if (rule.verdict == Verdict::refused || rule.verdict == Verdict::give_up) {
     log_message(
         server, line,
-        origin.connection == Connection::own ? "on the set-up's connection" : "on another connection");
+        origin.connection == MessageConnection::own ? "on the set-up's connection" : "on another connection");
   }
   switch (rule.verdict) {
     case Verdict::ignore:
       ignore(server, line, rule.reason);
       return SetUpOutcome::open;
-    case Verdict::ended_early:
+    case Verdict::ended_before_answer:
       log_message(server, line, rule.reason);
       await_answer_of_ended_call(exchange, line.why);
       return SetUpOutcome::open;
@@ -384,7 +384,7 @@
 void Planner::await_answer_of_ended_call(Exchange& exchange, int cause) {
   if (std::exchange(exchange.attempt->early_end_cause, cause)) return;
   const CallId call = exchange.request().call;
-  loop_.at(loop_.now() + kAnswerAfterEnd, [this, call, number = exchange.attempt->number] {
+  loop_.at(loop_.now() + kAnswerTimeoutAfterEnd, [this, call, number = exchange.attempt->number] {
     Exchange* const ended = find(call);
     if (!ended || !ended->attempt || ended->attempt->number != number || ended->established()) return;
     log_.call_line("call %s: over before its answer came", call_text(call).c_str());
@@ -493,7 +493,7 @@
   if (attempt.early_end_cause && exchange.answer_pending()) answer_failed(exchange);
   const bool settled = !exchange.answer_pending();
   exchange.last_timed_out = ending == Ending::timed_out;
-  exchange.earlier_attempts.ended(attempt.server, ending);
+  exchange.earlier_attempts.record(attempt.server, ending);
   ++counters_.attempts_ended[static_cast<std::size_t>(ending)];
   log_.call_line("call %s: attempt %u at %s ended after %lld ms: %s%s", call_text(call).c_str(),
                  attempt.number, server_text(attempt.server).c_str(),
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -324,7 +324,7 @@
   const CallId call = line.call;
   MessageOrigin origin;
   for (const Lane& lane : at.link->lanes) origin.set_up_is_out |= lane.out.count(call) > 0;
-  if (at.lane->out.count(call) > 0) origin.connection = Connection::own;
+  if (at.lane->out.count(call) > 0) origin.connection = MessageConnection::own;
   const SetUpOutcome outcome = owner_.on_call_message(server, std::move(line), origin);
   if (outcome == SetUpOutcome::open) return;
   settle(server, call);
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -31,7 +31,7 @@
 // Whether a set-up of the call that a message names is out at the server, and on which connection.
 struct MessageOrigin {
   bool set_up_is_out = false;
-  Connection connection = Connection::other;
+  MessageConnection connection = MessageConnection::other;
 };
 
 // What a server's message meant for the set-up that is out.
--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -205,22 +205,24 @@
 
 // The table itself, where a whole conversation would only repeat it.
 TEST(MessageRules, WhatAnEarlierAttemptMayHaveSentNeverSettlesALaterOneUnasked) {
-  const auto verdict = [](ServerMessage message, Connection connection, Earlier earlier) {
-    return find_rule(AttemptState::sent, message, connection, earlier, Age::recent_attempt)->verdict;
+  const auto verdict = [](ServerMessage message, MessageConnection connection, EarlierOutcome earlier) {
+    return find_rule(AttemptState::sent, message, connection, earlier, AttemptAge::recent_attempt)->verdict;
   };
-  for (const Earlier earlier : {Earlier::connection_lost, Earlier::given_up}) {
+  for (const EarlierOutcome earlier : {EarlierOutcome::connection_lost, EarlierOutcome::given_up}) {
     for (const ServerMessage message :
          {ServerMessage::answer, ServerMessage::refusal, ServerMessage::reset}) {
-      EXPECT_EQ(verdict(message, Connection::other, earlier), Verdict::ignore);
+      EXPECT_EQ(verdict(message, MessageConnection::other, earlier), Verdict::ignore);
     }
-    EXPECT_EQ(
-        find_rule(AttemptState::sent, ServerMessage::release, Connection::own, earlier, Age::new_attempt)
-            ->verdict,
-        Verdict::ignore);
-    EXPECT_EQ(verdict(ServerMessage::reset, Connection::own, earlier), Verdict::give_up);
+    EXPECT_EQ(find_rule(AttemptState::sent, ServerMessage::release, MessageConnection::own, earlier,
+                        AttemptAge::new_attempt)
+                  ->verdict,
+              Verdict::ignore);
+    EXPECT_EQ(verdict(ServerMessage::reset, MessageConnection::own, earlier), Verdict::give_up);
   }
-  EXPECT_EQ(verdict(ServerMessage::refusal, Connection::own, Earlier::given_up), Verdict::give_up);
-  EXPECT_EQ(verdict(ServerMessage::refusal, Connection::own, Earlier::connection_lost), Verdict::refused);
+  EXPECT_EQ(verdict(ServerMessage::refusal, MessageConnection::own, EarlierOutcome::given_up),
+            Verdict::give_up);
+  EXPECT_EQ(verdict(ServerMessage::refusal, MessageConnection::own, EarlierOutcome::connection_lost),
+            Verdict::refused);
 }
 
 // A release of the first attempt that is read after the retry would end the retry: both go on one connection.
