--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -7,11 +7,11 @@
 namespace quartzarch {
 namespace {
 
-constexpr std::size_t kMostPast = 20000;
+constexpr std::size_t kMaxEndedCalls = 20000;
 constexpr Duration kRetryAfterWhenFull = std::chrono::seconds(1);
 
 // The number called as the controller's key: 16 hex digits as they are, anything else by its FNV-1a hash.
-std::uint64_t key_of(std::string_view number) {
+std::uint64_t number_key(std::string_view number) {
   if (number.empty()) return 0;
   std::uint64_t key = 0;
   const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), key, 16);
@@ -21,7 +21,7 @@
   return key;
 }
 
-Cause cause_of(std::string_view note) {
+Cause cause_from_note(std::string_view note) {
   if (note == "blocked") return Cause::no_circuit;
   if (note == "bounced" || note == "far_swamped") return Cause::turned_back;
   if (note == "swamped") return Cause::processor_full;
@@ -29,7 +29,7 @@
   return Cause::none;
 }
 
-Ending refusal_of(int why) {
+Ending refusal_ending(int why) {
   switch (why) {
     case cause::kNoCircuit:
       return Ending::full;
@@ -138,7 +138,7 @@
   };
   // Every set-up gets a new id. One that is over may still be heard of by its id, and a broken caller that
   // asks under one id without end must not make an attempt of each.
-  if (past_.count(call) > 0) return fail_now();
+  if (ended_calls_.count(call) > 0) return fail_now();
   const auto& names = start_.class_names;
   const auto name =
       request.call_class.empty() ? names.end() : std::find(names.begin(), names.end(), request.call_class);
@@ -162,7 +162,7 @@
   CallArrived event;
   event.call = call;
   event.call_class = static_cast<unsigned>(name - names.begin());
-  event.key = key_of(request.number);
+  event.key = number_key(request.number);
   // No caller waits longer than its class lets it, whatever it says.
   const Duration longest = start_.settings.classes[event.call_class].deadline;
   if (!request.caller_timeout || (longest > Duration{0} && *request.caller_timeout > longest))
@@ -193,7 +193,7 @@
     if (!exchange || !exchange->answer_pending() || exchange->attempt) continue;
     const auto away = turns_away(exchange->request());
     if (!away) continue;
-    settle(*exchange);
+    clear_pending(*exchange);
     counters_.refused(exchange->request().call_class);
     exchange->refuse(*away);
     withdraw(call);
@@ -215,19 +215,19 @@
     answer_without_server(exchange);
     if (exchange.attempt && exchange.attempt->dispatched)
       servers_.end(exchange.attempt->server, call, cause::kNormal);
-    erase(call);
+    forget(call);
   }
 }
 
 void Planner::answer_without_server(Exchange& exchange) {
   if (exchange.attempts_made > 0) return answer_failed(exchange);
-  settle(exchange);
+  clear_pending(exchange);
   counters_.refused(exchange.request().call_class);
   exchange.refuse(kRetryAfterWhenFull);
 }
 
 void Planner::answer_failed(Exchange& exchange) {
-  settle(exchange);
+  clear_pending(exchange);
   counters_.failed(exchange.request().call_class);
   exchange.fail(Failure::error);
 }
@@ -235,7 +235,7 @@
 void Planner::cancel(CallId call) {
   Exchange* const exchange = find(call);
   if (!exchange || !exchange->answer_pending()) return;
-  settle(*exchange);
+  clear_pending(*exchange);
   exchange->close();
   withdraw(call);
 }
@@ -245,7 +245,7 @@
   deliver(CallCancelled{call});
   Exchange* const left = find(call);
   if (!left) return;
-  if (!left->attempt) return erase(call);
+  if (!left->attempt) return forget(call);
   // An attempt that the controller did not call off is out until it ends. One that has not begun to leave
   // never does: nobody waits for it any more.
   const Exchange::Attempt attempt = *left->attempt;
@@ -256,13 +256,13 @@
   Exchange* const exchange = find(call);
   if (!exchange) {
     // It may have been set up before this process started.
-    if (past_.count(call) == 0) servers_.end_everywhere(call, cause);
-    return remember(call);
+    if (ended_calls_.count(call) == 0) servers_.end_everywhere(call, cause);
+    return remember_ended(call);
   }
   if (!exchange->established()) return cancel(call);
   exchange->close();
   servers_.end(exchange->attempt->server, call, cause);
-  end_standing(call, Ending::cancelled, cause, {});
+  end_established(call, Ending::cancelled, cause, {});
 }
 
 // ---- The server side
@@ -281,9 +281,9 @@
 }
 
 void Planner::handle_unknown_call_message(const ServerId& server, const ServerLine& line) {
-  const bool is_past = past_.count(line.call) > 0;
+  const bool has_ended = ended_calls_.count(line.call) > 0;
   if (line.op == ServerOp::accept) {
-    if (!is_past) return ignore(server, line, "unknown call");
+    if (!has_ended) return ignore(server, line, "unknown call");
     // Nobody will ever use the call.
     log_.call_line("call %s: late answer of %s, released there", call_text(line.call).c_str(),
                    server_text(server).c_str());
@@ -291,8 +291,8 @@
   }
   // It may have stood before this process started: its caller must still hear that it is over.
   const bool over = line.why == cause::kNormal || line.why == cause::kTemporary;
-  remember(line.call);
-  if (!is_past && over && unknown_call_front_) unknown_call_front_->call_ended(line.call, line.why);
+  remember_ended(line.call);
+  if (!has_ended && over && unknown_call_front_) unknown_call_front_->call_ended(line.call, line.why);
 }
 
 // Of an earlier attempt there, which is over: a call that stands by it has nobody to use it.
@@ -342,25 +342,25 @@
       await_answer_of_ended_call(exchange, line.why);
       return SetUpOutcome::open;
     case Verdict::answered:
-      return answered(exchange, std::move(line));
+      return handle_answer(exchange, std::move(line));
     case Verdict::refused:
-      attempt_ended(exchange, refusal_of(line.why), cause_of(line.note), parse_load(line.load));
+      attempt_ended(exchange, refusal_ending(line.why), cause_from_note(line.note), parse_load(line.load));
       return SetUpOutcome::settled;
     case Verdict::give_up:
-      give_up(exchange);
+      abandon_attempt(exchange);
       return SetUpOutcome::settled;
     case Verdict::ended:
-      end_standing(call, over, line.why, parse_load(line.load));
+      end_established(call, over, line.why, parse_load(line.load));
       return SetUpOutcome::settled;
     case Verdict::ended_and_release:
       servers_.end(server, call, cause::kNormal);
-      end_standing(call, over, line.why, parse_load(line.load));
+      end_established(call, over, line.why, parse_load(line.load));
       return SetUpOutcome::settled;
   }
   return SetUpOutcome::open;
 }
 
-SetUpOutcome Planner::answered(Exchange& exchange, ServerLine line) {
+SetUpOutcome Planner::handle_answer(Exchange& exchange, ServerLine line) {
   const Exchange::Attempt attempt = *exchange.attempt;
   if (!exchange.answer_pending()) {
     // Its caller has left: nobody will ever use the call.
@@ -368,7 +368,7 @@
     attempt_ended(exchange, Ending::cancelled);
     return SetUpOutcome::settled;
   }
-  settle(exchange);
+  clear_pending(exchange);
   if (admission_filter_) admission_filter_->answered(exchange.request(), loop_.now());
   counters_.served(exchange.request().call_class);
   exchange.answer(std::move(line.description));
@@ -376,7 +376,7 @@
   if (!line.load.empty()) on_load_report(attempt.server, parse_load(line.load));
   if (!attempt.early_end_cause) return SetUpOutcome::established;
   const Ending over = *attempt.early_end_cause == cause::kNormal ? Ending::completed : Ending::reset;
-  end_standing(line.call, over, *attempt.early_end_cause, {});
+  end_established(line.call, over, *attempt.early_end_cause, {});
   return SetUpOutcome::settled;
 }
 
@@ -394,7 +394,7 @@
 }
 
 // The server may have meant this attempt or an earlier one. Ended from here, it is over either way.
-void Planner::give_up(Exchange& exchange) {
+void Planner::abandon_attempt(Exchange& exchange) {
   servers_.end(exchange.attempt->server, exchange.request().call, cause::kNormal);
   attempt_ended(exchange, Ending::reset, Cause::connection_lost);
 }
@@ -412,7 +412,7 @@
   deliver(ServerProbed{server, true, report});
 }
 
-std::vector<CallId> Planner::standing_at(const ServerId& server) const {
+std::vector<CallId> Planner::established_at(const ServerId& server) const {
   std::vector<CallId> found;
   for (const auto& [call, exchange] : calls_) {
     if (exchange.established() && exchange.attempt->server == server) found.push_back(call);
@@ -422,10 +422,10 @@
 }
 
 void Planner::on_process_gone(const ServerId& server) {
-  const std::vector<CallId> cut = standing_at(server);
+  const std::vector<CallId> cut = established_at(server);
   if (cut.empty()) return;
   log_.line("server %s: its process is gone, %zu calls cut", server_text(server).c_str(), cut.size());
-  for (const CallId call : cut) end_standing(call, Ending::reset, cause::kTemporary, {});
+  for (const CallId call : cut) end_established(call, Ending::reset, cause::kTemporary, {});
 }
 
 // Some may stand there still: they are released, should it be there again.
@@ -433,7 +433,7 @@
   log_.line("server %s: silent, %zu calls cut", server_text(server).c_str(), calls.size());
   for (const CallId call : calls) {
     servers_.end(server, call, cause::kTemporary);
-    end_standing(call, Ending::reset, cause::kTemporary, {});
+    end_established(call, Ending::reset, cause::kTemporary, {});
   }
 }
 
@@ -459,7 +459,7 @@
   return found == calls_.end() ? nullptr : &found->second;
 }
 
-void Planner::settle(const Exchange& exchange) {
+void Planner::clear_pending(const Exchange& exchange) {
   --pending_answers_;
   waiting_bytes_ -= exchange.request().description.size();
 }
@@ -475,16 +475,16 @@
   log_message(server, line, (std::string("ignored, ") + reason).c_str());
 }
 
-void Planner::erase(CallId call) {
-  if (calls_.erase(call) > 0) remember(call);
+void Planner::forget(CallId call) {
+  if (calls_.erase(call) > 0) remember_ended(call);
 }
 
-void Planner::remember(CallId call) {
-  if (!past_.insert(call).second) return;
-  past_order_.push_back(call);
-  if (past_order_.size() <= kMostPast) return;
-  past_.erase(past_order_.front());
-  past_order_.pop_front();
+void Planner::remember_ended(CallId call) {
+  if (!ended_calls_.insert(call).second) return;
+  ended_calls_order_.push_back(call);
+  if (ended_calls_order_.size() <= kMaxEndedCalls) return;
+  ended_calls_.erase(ended_calls_order_.front());
+  ended_calls_order_.pop_front();
 }
 
 void Planner::attempt_ended(Exchange& exchange, Ending ending, Cause cause, const LoadReport& report) {
@@ -499,17 +499,17 @@
                  attempt.number, server_text(attempt.server).c_str(),
                  static_cast<long long>((loop_.now() - attempt.sent_at) / std::chrono::milliseconds(1)),
                  std::string(ending_text(ending)).c_str(), settled ? ", nothing more is owed" : "");
-  if (settled) erase(call);
+  if (settled) forget(call);
   deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent_at, ending, cause,
                        settled, std::nullopt, report});
 }
 
-void Planner::end_standing(CallId call, Ending ending, int cause, const LoadReport& report) {
+void Planner::end_established(CallId call, Ending ending, int cause, const LoadReport& report) {
   Exchange* const exchange = find(call);
   const Exchange::Attempt attempt = *exchange->attempt;
   exchange->end(cause);
   servers_.call_over(attempt.server, call);
-  erase(call);
+  forget(call);
   deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent_at, ending,
                        Cause::none, true, std::nullopt, report});
 }
@@ -519,23 +519,23 @@
 // Events that come up while an action is carried out wait for their turn.
 void Planner::deliver(Event event) {
   events_.push_back(std::move(event));
-  if (!pumping_) pump();
+  if (!processing_events_) process_events();
 }
 
-void Planner::pump() {
-  pumping_ = true;
+void Planner::process_events() {
+  processing_events_ = true;
   while (!events_.empty()) {
     const Event event = std::move(events_.front());
     events_.pop_front();
     for (const Action& action : controller_.handle(loop_.now(), event)) {
-      std::visit([this](const auto& a) { carry_out(a); }, action);
+      std::visit([this](const auto& a) { execute(a); }, action);
     }
   }
-  pumping_ = false;
+  processing_events_ = false;
 }
 
 // A set-up leaves at the end of the pass only: what is read in the same pass may still stop it.
-void Planner::carry_out(const SendSetup& action) {
+void Planner::execute(const SendSetup& action) {
   Exchange* const exchange = find(action.call);
   if (!exchange || !exchange->answer_pending() || exchange->attempt) return;
   exchange->attempt = Exchange::Attempt{exchange->attempts_made++, action.server, loop_.now(), false};
@@ -543,7 +543,7 @@
                          ? std::min(loop_.now() + *action.give_up_after, exchange->deadline())
                          : exchange->deadline();
   watch_deadline(*exchange, until);
-  due_.emplace_back(action.call, exchange->attempt->number);
+  due_attempts_.emplace_back(action.call, exchange->attempt->number);
 }
 
 void Planner::watch_deadline(const Exchange& exchange, Time at) {
@@ -556,7 +556,7 @@
 }
 
 bool Planner::send_due() {
-  const auto due = std::exchange(due_, {});
+  const auto due = std::exchange(due_attempts_, {});
   for (const auto& [call, number] : due) {
     Exchange* const exchange = find(call);
     if (!exchange || !exchange->attempt || exchange->attempt->number != number ||
@@ -575,7 +575,7 @@
   return !due.empty();
 }
 
-void Planner::carry_out(const CancelAttempt& action) {
+void Planner::execute(const CancelAttempt& action) {
   Exchange* const exchange = find(action.call);
   if (!exchange || !exchange->attempt || exchange->attempt->number != action.attempt ||
       exchange->established())
@@ -586,10 +586,10 @@
   attempt_ended(*exchange, Ending::cancelled);
 }
 
-void Planner::carry_out(const Refuse& action) {
+void Planner::execute(const Refuse& action) {
   Exchange* const exchange = find(action.call);
   if (!exchange || !exchange->answer_pending()) return;
-  settle(*exchange);
+  clear_pending(*exchange);
   if (admission_filter_) admission_filter_->refused(exchange->request(), loop_.now());
   counters_.refused(exchange->request().call_class);
   if (exchange->attempts_made > 0) {
@@ -597,24 +597,24 @@
                    exchange->attempts_made);
   }
   exchange->refuse(action.retry_after);
-  if (!exchange->attempt) erase(action.call);
+  if (!exchange->attempt) forget(action.call);
 }
 
-void Planner::carry_out(const Fail& action) {
+void Planner::execute(const Fail& action) {
   Exchange* const exchange = find(action.call);
   if (!exchange || !exchange->answer_pending()) return;
-  settle(*exchange);
+  clear_pending(*exchange);
   counters_.failed(exchange->request().call_class);
   log_.call_line("call %s: failed after %u attempts", call_text(action.call).c_str(),
                  exchange->attempts_made);
   exchange->fail(exchange->last_timed_out ? Failure::timed_out : Failure::error);
-  if (!exchange->attempt) erase(action.call);
+  if (!exchange->attempt) forget(action.call);
 }
 
-void Planner::carry_out(const SetTimer& action) {
+void Planner::execute(const SetTimer& action) {
   loop_.at(loop_.now() + action.after, [this, token = action.token] { deliver(TimerFired{token}); });
 }
 
-void Planner::carry_out(const Log& action) { log_.line("%s", action.text.c_str()); }
+void Planner::execute(const Log& action) { log_.line("%s", action.text.c_str()); }
 
 }  // namespace quartzarch
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -77,7 +77,7 @@
   void on_load_report(const ServerId& server, const LoadReport& report) override;
   void on_process_gone(const ServerId& server) override;
   void on_calls_unreachable(const ServerId& server, const std::vector<CallId>& calls) override;
-  std::vector<CallId> standing_at(const ServerId& server) const;
+  std::vector<CallId> established_at(const ServerId& server) const;
 
   // The steps of on_call_message: for a call that is not known here, one whose attempt is at another server,
   // and one whose attempt is at this server.
@@ -85,8 +85,8 @@
   void handle_other_server_message(const Exchange& exchange, const ServerId& server, const ServerLine& line);
   SetUpOutcome handle_attempt_message(Exchange& exchange, const ServerId& server, ServerLine line,
                                       MessageOrigin origin);
-  SetUpOutcome answered(Exchange& exchange, ServerLine line);
-  void give_up(Exchange& exchange);
+  SetUpOutcome handle_answer(Exchange& exchange, ServerLine line);
+  void abandon_attempt(Exchange& exchange);
   void await_answer_of_ended_call(Exchange& exchange, int cause);
   // The final answer to a call that is owed one and gets none from a server: refused if no attempt was made,
   // else failed.
@@ -94,33 +94,33 @@
   void answer_failed(Exchange& exchange);
 
   void deliver(Event event);
-  void pump();
+  void process_events();
   bool send_due();
   void attempt_ended(Exchange& exchange, Ending ending, Cause cause = Cause::none,
                      const LoadReport& report = {});
   void withdraw(CallId call);
   void watch_deadline(const Exchange& exchange, Time at);
-  void end_standing(CallId call, Ending ending, int cause, const LoadReport& report);
+  void end_established(CallId call, Ending ending, int cause, const LoadReport& report);
   void log_message(const ServerId& server, const ServerLine& line, const char* meaning);
   // Logs and counts a server's message that belongs to no live attempt.
   void ignore(const ServerId& server, const ServerLine& line, const char* reason);
-  void erase(CallId call);
-  void remember(CallId call);
-
-  void carry_out(const SendSetup& action);
-  void carry_out(const CancelAttempt& action);
-  void carry_out(const Refuse& action);
-  void carry_out(const Fail& action);
-  void carry_out(const SetTimer& action);
-  void carry_out(const Log& action);
+  void forget(CallId call);
+  void remember_ended(CallId call);
+
+  void execute(const SendSetup& action);
+  void execute(const CancelAttempt& action);
+  void execute(const Refuse& action);
+  void execute(const Fail& action);
+  void execute(const SetTimer& action);
+  void execute(const Log& action);
   // The settings rule these out here, and the controller keeps to that.
-  void carry_out(const Probe&) {}
-  void carry_out(const TellPeer&) {}
-  void carry_out(const Subscribe&) {}
+  void execute(const Probe&) {}
+  void execute(const TellPeer&) {}
+  void execute(const Subscribe&) {}
 
   Exchange* find(CallId call);
   // Nothing is owed to its caller any more.
-  void settle(const Exchange& exchange);
+  void clear_pending(const Exchange& exchange);
 
   Loop& loop_;
   Logger& log_;
@@ -134,10 +134,10 @@
   std::size_t waiting_bytes_ = 0;  // of the descriptions of those
   Capacity capacity_;
   std::deque<Event> events_;
-  bool pumping_ = false;
-  std::vector<std::pair<CallId, unsigned>> due_;  // attempts to be sent at the end of the pass
-  std::unordered_set<CallId> past_;               // calls that are over, so that nothing is told twice
-  std::deque<CallId> past_order_;
+  bool processing_events_ = false;
+  std::vector<std::pair<CallId, unsigned>> due_attempts_;  // attempts to be sent at the end of the pass
+  std::unordered_set<CallId> ended_calls_;  // calls that are over, so that nothing is told twice
+  std::deque<CallId> ended_calls_order_;
   Front* unknown_call_front_ = nullptr;
   AdmissionFilter* admission_filter_ = nullptr;
   const Drain* drain_ = nullptr;
