--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -63,7 +63,7 @@
   // What ran at an address that has another process now, or none, is cut.
   for (const ServerId& server : change.replaced) {
     on_process_gone(server);
-    servers_.drop(server);
+    servers_.disconnect(server);
   }
   for (const ServerEntry& entry : change.list.entries) {
     log_.line("list: server %s number %d %s", server_text(entry.id).c_str(), entry.number,
@@ -76,10 +76,10 @@
   for (const ServerEntry& entry : change.list.entries) {
     if (entry.availability == Availability::gone) {
       listed_servers_.erase(entry.id);
-      servers_.drop(entry.id);
+      servers_.disconnect(entry.id);
     } else {
       listed_servers_[entry.id] = entry.availability;
-      servers_.keep(entry.id);
+      servers_.keep_connected(entry.id);
     }
   }
 }
@@ -150,7 +150,7 @@
       waiting_bytes_ + request.description.size() > capacity_.waiting_bytes) {
     return refuse_now(kRetryAfterWhenFull);
   }
-  if (!Servers::can_carry({call, request.call_class, request.number, request.description, {}})) {
+  if (!Servers::is_sendable({call, request.call_class, request.number, request.description, {}})) {
     log_.line("call %s: nothing a setup server can read, failed", call_text(call).c_str());
     return fail_now();
   }
@@ -214,7 +214,7 @@
     Exchange& exchange = *find(call);
     answer_without_server(exchange);
     if (exchange.attempt && exchange.attempt->dispatched)
-      servers_.end(exchange.attempt->server, call, cause::kNormal);
+      servers_.release(exchange.attempt->server, call, cause::kNormal);
     forget(call);
   }
 }
@@ -249,19 +249,20 @@
   // An attempt that the controller did not call off is out until it ends. One that has not begun to leave
   // never does: nobody waits for it any more.
   const Exchange::Attempt attempt = *left->attempt;
-  if (!attempt.dispatched || servers_.take_back(attempt.server, call)) attempt_ended(*left, Ending::not_sent);
+  if (!attempt.dispatched || servers_.withdraw_unsent(attempt.server, call))
+    attempt_ended(*left, Ending::not_sent);
 }
 
 void Planner::release(CallId call, int cause) {
   Exchange* const exchange = find(call);
   if (!exchange) {
     // It may have been set up before this process started.
-    if (ended_calls_.count(call) == 0) servers_.end_everywhere(call, cause);
+    if (ended_calls_.count(call) == 0) servers_.release_everywhere(call, cause);
     return remember_ended(call);
   }
   if (!exchange->established()) return cancel(call);
   exchange->close();
-  servers_.end(exchange->attempt->server, call, cause);
+  servers_.release(exchange->attempt->server, call, cause);
   end_established(call, Ending::cancelled, cause, {});
 }
 
@@ -287,7 +288,7 @@
     // Nobody will ever use the call.
     log_.call_line("call %s: late answer of %s, released there", call_text(line.call).c_str(),
                    server_text(server).c_str());
-    return servers_.end(server, line.call, cause::kNormal);
+    return servers_.release(server, line.call, cause::kNormal);
   }
   // It may have stood before this process started: its caller must still hear that it is over.
   const bool over = line.why == cause::kNormal || line.why == cause::kTemporary;
@@ -301,7 +302,7 @@
   if (line.op != ServerOp::accept) return ignore(server, line, "the attempt is at another server");
   log_.call_line("call %s: late answer of %s, released there", call_text(exchange.request().call).c_str(),
                  server_text(server).c_str());
-  servers_.end(server, line.call, cause::kNormal);
+  servers_.release(server, line.call, cause::kNormal);
 }
 
 namespace {
@@ -353,7 +354,7 @@
       end_established(call, over, line.why, parse_load(line.load));
       return SetUpOutcome::settled;
     case Verdict::ended_and_release:
-      servers_.end(server, call, cause::kNormal);
+      servers_.release(server, call, cause::kNormal);
       end_established(call, over, line.why, parse_load(line.load));
       return SetUpOutcome::settled;
   }
@@ -364,7 +365,7 @@
   const Exchange::Attempt attempt = *exchange.attempt;
   if (!exchange.answer_pending()) {
     // Its caller has left: nobody will ever use the call.
-    servers_.end(attempt.server, line.call, cause::kNormal);
+    servers_.release(attempt.server, line.call, cause::kNormal);
     attempt_ended(exchange, Ending::cancelled);
     return SetUpOutcome::settled;
   }
@@ -395,7 +396,7 @@
 
 // The server may have meant this attempt or an earlier one. Ended from here, it is over either way.
 void Planner::abandon_attempt(Exchange& exchange) {
-  servers_.end(exchange.attempt->server, exchange.request().call, cause::kNormal);
+  servers_.release(exchange.attempt->server, exchange.request().call, cause::kNormal);
   attempt_ended(exchange, Ending::reset, Cause::connection_lost);
 }
 
@@ -432,7 +433,7 @@
 void Planner::on_calls_unreachable(const ServerId& server, const std::vector<CallId>& calls) {
   log_.line("server %s: silent, %zu calls cut", server_text(server).c_str(), calls.size());
   for (const CallId call : calls) {
-    servers_.end(server, call, cause::kTemporary);
+    servers_.release(server, call, cause::kTemporary);
     end_established(call, Ending::reset, cause::kTemporary, {});
   }
 }
@@ -508,7 +509,7 @@
   Exchange* const exchange = find(call);
   const Exchange::Attempt attempt = *exchange->attempt;
   exchange->end(cause);
-  servers_.call_over(attempt.server, call);
+  servers_.forget_call(attempt.server, call);
   forget(call);
   deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent_at, ending,
                        Cause::none, true, std::nullopt, report});
@@ -550,7 +551,7 @@
   loop_.at(at, [this, call = exchange.request().call, number = exchange.attempt->number] {
     Exchange* const late = find(call);
     if (!late || !late->attempt || late->attempt->number != number || late->established()) return;
-    if (late->attempt->dispatched) servers_.end(late->attempt->server, call, cause::kNormal);
+    if (late->attempt->dispatched) servers_.release(late->attempt->server, call, cause::kNormal);
     attempt_ended(*late, Ending::timed_out);
   });
 }
@@ -582,7 +583,7 @@
     return;
   // Its call is over: the answer is waited for, and the call is not to be sent again.
   if (exchange->attempt->early_end_cause && exchange->answer_pending()) return;
-  if (exchange->attempt->dispatched) servers_.end(exchange->attempt->server, action.call, cause::kNormal);
+  if (exchange->attempt->dispatched) servers_.release(exchange->attempt->server, action.call, cause::kNormal);
   attempt_ended(*exchange, Ending::cancelled);
 }
 
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-bool Servers::can_carry(const Offer& offer) {
+bool Servers::is_sendable(const Offer& offer) {
   const Segment line = offer_segment(offer, Duration{0});
   return offer.call != 0 && line.head.size() + line.body.size() + kLongestLeft <= kLongestMessage &&
          is_utf8(offer.call_class) && is_utf8(offer.number) && is_utf8(offer.description);
@@ -137,13 +137,13 @@
   return nullptr;
 }
 
-void Servers::keep(const ServerId& server) {
+void Servers::keep_connected(const ServerId& server) {
   Link& kept = link(server);
   if (std::exchange(kept.kept, true)) return;
   connect(kept);
 }
 
-void Servers::drop(const ServerId& server) {
+void Servers::disconnect(const ServerId& server) {
   const auto found = links_.find(server);
   if (found == links_.end()) return;
   Link gone = std::move(found->second);
@@ -217,7 +217,7 @@
   connect(to);
 }
 
-bool Servers::take_back(const ServerId& server, CallId call) {
+bool Servers::withdraw_unsent(const ServerId& server, CallId call) {
   const auto found = links_.find(server);
   if (found == links_.end()) return false;
   const auto waited = std::erase_if(found->second.waiting, [call](const Waiting& what) {
@@ -242,9 +242,9 @@
   });
 }
 
-void Servers::end(const ServerId& server, CallId call, int cause) {
+void Servers::release(const ServerId& server, CallId call, int cause) {
   const auto found = links_.find(server);
-  if (found == links_.end() || take_back(server, call)) return;
+  if (found == links_.end() || withdraw_unsent(server, call)) return;
   Link& to = found->second;
   Lane* lane = nullptr;
   for (Lane& each : to.lanes) {
@@ -266,7 +266,7 @@
   connect(to);
 }
 
-void Servers::end_everywhere(CallId call, int cause) {
+void Servers::release_everywhere(CallId call, int cause) {
   for (auto& [id, link] : links_) {
     if (Lane* const lane = best_lane(link)) lane->stream->send(end_segment(call, cause));
   }
@@ -331,7 +331,7 @@
   if (outcome == SetUpOutcome::established) at.lane->standing.insert(call);
 }
 
-void Servers::call_over(const ServerId& server, CallId call) {
+void Servers::forget_call(const ServerId& server, CallId call) {
   const auto found = links_.find(server);
   if (found == links_.end()) return;
   found->second.standing.erase(call);
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -70,24 +70,24 @@
 
   // False for a set-up at which a setup server would close the connection, with all that is out on it: no id,
   // text that is no UTF-8, or a line longer than a message may be.
-  static bool can_carry(const Offer& offer);
+  static bool is_sendable(const Offer& offer);
 
   // Keeps connections open to the server, so that its news arrives.
-  void keep(const ServerId& server);
+  void keep_connected(const ServerId& server);
   // Closes them: whatever runs there now, it is not what was known.
-  void drop(const ServerId& server);
+  void disconnect(const ServerId& server);
 
   void offer(const ServerId& server, Offer offer);
   // Gives a set-up up, or releases a call that stands. Of a set-up that has not begun to leave nothing does.
-  void end(const ServerId& server, CallId call, int cause);
+  void release(const ServerId& server, CallId call, int cause);
   // Whether a set-up had not begun to leave; it does not any more.
-  bool take_back(const ServerId& server, CallId call);
+  bool withdraw_unsent(const ServerId& server, CallId call);
   // A call that stood there is over: its end is not awaited any more.
-  void call_over(const ServerId& server, CallId call);
+  void forget_call(const ServerId& server, CallId call);
   // No release waits to be written.
   bool idle() const;
   // Releases a call that may stand anywhere.
-  void end_everywhere(CallId call, int cause);
+  void release_everywhere(CallId call, int cause);
   // A connection was lost and none is up since: the process there may be gone.
   bool unreachable(const ServerId& server) const {
     const auto found = links_.find(server);
--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -239,7 +239,7 @@
   } owner;
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
-  servers.keep(id);
+  servers.keep_connected(id);
   const auto accepted = [&] {
     if (Peer more = listener.accept()) lanes.push_back(std::move(more));
     return lanes.size();
@@ -255,7 +255,7 @@
   servers.offer(id, {0xdd, "voice", "1", "d", far});
   servers.offer(id, {0xee, "voice", "1", "d", far});
   settle();
-  servers.end(id, 0xaa, cause::kNormal);
+  servers.release(id, 0xaa, cause::kNormal);
   servers.offer(id, {0xaa, "voice", "1", "d", far, 1});
   settle();
   for (Peer& lane : lanes) {
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -150,7 +150,7 @@
   Record owner;
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
-  servers.keep(id);
+  servers.keep_connected(id);
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
   settle();
   const Time far = loop.now() + std::chrono::hours(1);
@@ -159,7 +159,7 @@
   while (!stuck && last < 4000) {  // 60 MB, more than any connection holds
     servers.offer(id, {++last, "voice", "1", std::string(15000, 'd'), far});
     loop.pass(Duration{0});
-    stuck = servers.take_back(id, last);
+    stuck = servers.withdraw_unsent(id, last);
   }
   ASSERT_TRUE(stuck) << "nothing was taken back";
   servers.offer(id, {last + 1, "voice", "1", "last", far});
@@ -334,7 +334,7 @@
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
   std::optional<NoDescriptorLeft> none(std::in_place);
-  servers.keep(id);
+  servers.keep_connected(id);
   servers.offer(id, {0xaa, "voice", "1", "d", loop.now() + milliseconds(5000)});
   settle();
   EXPECT_EQ(owner.dead + owner.broken, 0);
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -258,14 +258,14 @@
   } owner;
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
-  servers.keep(id);
+  servers.keep_connected(id);
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
   settle();
   const Offer offer{0xaa, "voice", "1", "d", loop.now() + milliseconds(5000)};
   servers.offer(id, offer);
   until([&] { return count(server.heard(), "offer") == 1; }, "the first attempt");
-  servers.end(id, 0xaa, cause::kNormal);
-  servers.end(id, 0xbb, cause::kNormal);
+  servers.release(id, 0xaa, cause::kNormal);
+  servers.release(id, 0xbb, cause::kNormal);
   servers.offer(id, offer);
   until([&] { return count(server.heard(), "offer") == 2; }, "both attempts");
   server.reset();
