--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -13,33 +13,33 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t kLongestMessage = 16 * 1024;
-constexpr std::size_t kLongestLeft = 16;  // digits of the time that is left
-constexpr std::size_t kMostWaiting = 4096;
+constexpr std::size_t kMaxMessageBytes = 16 * 1024;
+constexpr std::size_t kMaxLeftDigits = 16;  // digits of the time that is left
+constexpr std::size_t kMaxQueued = 4096;
 // A line comes in one piece or is cut: the rest will not come, nor anything else on that connection.
-constexpr Duration kLongestCut = milliseconds(300);
+constexpr Duration kPartialLineTimeout = milliseconds(300);
 // A connection that brings nothing while what was sent later on others is answered is of no more use, nor are
 // all of them if the server brings nothing at all for long: its machine may be cut off.
-constexpr Duration kSilentBesideOthers = milliseconds(150);
-constexpr Duration kOvertakenBy = milliseconds(50);
-constexpr Duration kSilentAltogether = milliseconds(3000);
+constexpr Duration kOvertakenSilenceTimeout = milliseconds(150);
+constexpr Duration kOvertakenMargin = milliseconds(50);
+constexpr Duration kSilenceTimeout = milliseconds(3000);
 // Callers hear within 8 s of a call's end although its server could tell nobody. Where a connection that
 // would bring the end of a call has been silent for so long, a new one is opened; if none comes up, the call
 // is given up.
-constexpr Duration kQuietUntilTested = milliseconds(4500);
-constexpr Duration kTestAgain = milliseconds(500);
-constexpr Duration kQuietUntilCutOff = milliseconds(6700);
+constexpr Duration kLivenessTestAfter = milliseconds(4500);
+constexpr Duration kLivenessTestInterval = milliseconds(500);
+constexpr Duration kUnreachableAfter = milliseconds(6700);
 // By then the server knows that a connection was closed from here, and has written to it for the last time.
-constexpr Duration kCloseHeard = milliseconds(250);
-constexpr Duration kWatch = milliseconds(50);
+constexpr Duration kCloseSettleTime = milliseconds(250);
+constexpr Duration kCheckInterval = milliseconds(50);
 // A release that was written this shortly before its connection broke may not have been read.
-constexpr Duration kUnreadFor = milliseconds(1000);
-constexpr Duration kFirstBackoff = milliseconds(250);
-constexpr Duration kLongestBackoff = milliseconds(4000);
+constexpr Duration kReleaseRepeatWindow = milliseconds(1000);
+constexpr Duration kInitialBackoff = milliseconds(250);
+constexpr Duration kMaxBackoff = milliseconds(4000);
 // Without a socket of its own to be had, a connection is tried again after this.
-constexpr Duration kUnmadeBackoff = milliseconds(100);
+constexpr Duration kNoSocketBackoff = milliseconds(100);
 // A segment's tag: the call whose set-up it is; 0 for others.
-constexpr std::uint64_t kNoSetup = 0;
+constexpr std::uint64_t kNoSetUpTag = 0;
 
 sockaddr_in socket_address(const ServerId& server) {
   sockaddr_in address{};
@@ -65,14 +65,14 @@
   return {"{\"op\":\"end\",\"call\":\"" + call_text(call) +
               "\",\"with\":{},\"why\":" + std::to_string(cause) + "}\n",
           {},
-          kNoSetup};
+          kNoSetUpTag};
 }
 
 }  // namespace
 
 bool Servers::is_sendable(const Offer& offer) {
   const Segment line = offer_segment(offer, Duration{0});
-  return offer.call != 0 && line.head.size() + line.body.size() + kLongestLeft <= kLongestMessage &&
+  return offer.call != 0 && line.head.size() + line.body.size() + kMaxLeftDigits <= kMaxMessageBytes &&
          is_utf8(offer.call_class) && is_utf8(offer.number) && is_utf8(offer.description);
 }
 
@@ -112,7 +112,7 @@
 
 // It is in the middle of a line, or has owed an answer for a while.
 bool Servers::doubtful(const Lane& lane) const {
-  return lane.cut_short || loop_.now() - lane.owes().value_or(loop_.now()) > kOvertakenBy;
+  return lane.cut_short || loop_.now() - lane.owes().value_or(loop_.now()) > kOvertakenMargin;
 }
 
 // Of those that are up, the first with the fewest set-ups out; one that is in the middle of a line comes
@@ -188,7 +188,7 @@
 }
 
 void Servers::reconnect_after_backoff(Link& link, Lane& lane) {
-  lane.backoff = std::clamp(lane.backoff * 2, kFirstBackoff, kLongestBackoff);
+  lane.backoff = std::clamp(lane.backoff * 2, kInitialBackoff, kMaxBackoff);
   if (link.kept) connect_after(link, lane, lane.backoff);
 }
 
@@ -211,7 +211,7 @@
     if (!lane->out.empty()) connect(to);  // the next need not share it
     return write(to, *lane, what);
   }
-  if (to.waiting.size() >= kMostWaiting)
+  if (to.waiting.size() >= kMaxQueued)
     return owner_.on_set_up_lost(server, what.offer.call, what.offer.attempt, SetUpLoss::unreachable);
   to.waiting.push_back(std::move(what));
   connect(to);
@@ -253,7 +253,7 @@
     lane = &each;
     // What is given up here is no sign of silence, unless others had overtaken it.
     const Time sent = out->second.sent;
-    const bool overtaken = sent > each.heard && sent + kOvertakenBy < to.answered_to;
+    const bool overtaken = sent > each.heard && sent + kOvertakenMargin < to.answered_to;
     if (overtaken && !each.given_up) each.given_up = sent;
     each.out.erase(out);
   }
@@ -262,7 +262,7 @@
   what.offer.call = call;
   if (lane) return write(to, *lane, what);
   // A call that stands survives its connection, and so does what ends it.
-  if (to.waiting.size() < kMostWaiting) to.waiting.push_back(std::move(what));
+  if (to.waiting.size() < kMaxQueued) to.waiting.push_back(std::move(what));
   connect(to);
 }
 
@@ -281,7 +281,8 @@
     lane.out[what.offer.call] = {what.offer.attempt, loop_.now()};
     return lane.stream->send(offer_segment(what.offer, what.offer.until - loop_.now()));
   }
-  while (!lane.ended.empty() && loop_.now() - lane.ended.front().first > kUnreadFor) lane.ended.pop_front();
+  while (!lane.ended.empty() && loop_.now() - lane.ended.front().first > kReleaseRepeatWindow)
+    lane.ended.pop_front();
   lane.ended.emplace_back(loop_.now(), what);
   lane.stream->send(end_segment(what.offer.call, what.cause));
 }
@@ -303,14 +304,14 @@
     const Place at = place_of(stream);
     if (!at.link) return;
     if (length == std::string_view::npos) {
-      if (input.size() > kLongestMessage) return lose(stream, "endless line");
+      if (input.size() > kMaxMessageBytes) return lose(stream, "endless line");
       if (!input.empty() && !at.lane->cut_short) at.lane->cut_short = loop_.now();
       return;
     }
     at.lane->cut_short.reset();
     at.lane->given_up.reset();
     at.lane->heard = loop_.now();
-    auto line = length <= kLongestMessage ? parse_server_line(input.substr(0, length)) : std::nullopt;
+    auto line = length <= kMaxMessageBytes ? parse_server_line(input.substr(0, length)) : std::nullopt;
     if (!line) return lose(stream, "malformed line");
     stream.consume(length + 1);
     handle(at, std::move(*line));
@@ -363,7 +364,7 @@
 // only if that opens after the server has written it.
 void Servers::refresh_soon(Link& link) {
   if (link.refresh) loop_.cancel(*link.refresh);
-  link.refresh = loop_.at(loop_.now() + kCloseHeard, [this, server = link.server] {
+  link.refresh = loop_.at(loop_.now() + kCloseSettleTime, [this, server = link.server] {
     const auto found = links_.find(server);
     if (found == links_.end()) return;
     found->second.refresh.reset();
@@ -391,10 +392,10 @@
     // What was to be released must not stay standing: said once more, which does no harm.
     Lane* const other = best_lane(*at.link);
     for (const auto& [when, what] : ended) {
-      if (loop_.now() - when > kUnreadFor) continue;
+      if (loop_.now() - when > kReleaseRepeatWindow) continue;
       if (other) {
         write(*at.link, *other, what);
-      } else if (at.link->waiting.size() < kMostWaiting) {
+      } else if (at.link->waiting.size() < kMaxQueued) {
         at.link->waiting.push_back(what);
       }
     }
@@ -409,7 +410,7 @@
   // What waits goes on waiting: it is this process that lacks something, not the server.
   if (how == Lost::unmade) {
     log_.line("server %s: no socket to be had", server_text(server).c_str());
-    return connect_after(*at.link, *at.lane, kUnmadeBackoff);
+    return connect_after(*at.link, *at.lane, kNoSocketBackoff);
   }
   const bool died = how == Lost::refused && std::exchange(at.link->broken, false);
   reconnect_after_backoff(*at.link, *at.lane);
@@ -435,17 +436,17 @@
       if (!lane.up()) continue;
       const Time owes = lane.owes().value_or(now);
       const Duration silent = now - owes;
-      const bool overtaken = owes + kOvertakenBy < link.answered_to;
-      if (lane.cut_short && now - *lane.cut_short > kLongestCut) {
+      const bool overtaken = owes + kOvertakenMargin < link.answered_to;
+      if (lane.cut_short && now - *lane.cut_short > kPartialLineTimeout) {
         useless.emplace_back(lane.stream, "half a line");
-      } else if (silent > (overtaken ? kSilentBesideOthers : kSilentAltogether)) {
+      } else if (silent > (overtaken ? kOvertakenSilenceTimeout : kSilenceTimeout)) {
         useless.emplace_back(lane.stream, "silent");
       }
     }
   }
   for (const auto& [stream, why] : useless) lose(*stream, why);
   for (auto& [id, link] : links_) look_for_life(link);
-  watch_timer_ = loop_.at(loop_.now() + kWatch, [this] { watch(); });
+  watch_timer_ = loop_.at(loop_.now() + kCheckInterval, [this] { watch(); });
 }
 
 // Up to then a release of any call that stands there without a connection of its own has been heard: the
@@ -475,7 +476,7 @@
 bool Servers::test_is_due(const Link& link) const {
   const bool on_its_way = std::any_of(link.lanes.begin(), link.lanes.end(),
                                       [](const Lane& lane) { return lane.stream && !lane.up(); });
-  return !on_its_way && !silent_for(link, kQuietUntilTested).empty();
+  return !on_its_way && !silent_for(link, kLivenessTestAfter).empty();
 }
 
 // The place of a connection that is not there, else of the quietest, best one without set-ups on it.
@@ -490,9 +491,9 @@
 // An open connection that is quiet tells nothing: its server may have nothing to say, or its machine be gone
 // or cut off. There no new connection comes up either.
 void Servers::look_for_life(Link& link) {
-  if (loop_.now() - link.tested < kTestAgain) return;
+  if (loop_.now() - link.tested < kLivenessTestInterval) return;
   if (link.doubted) {
-    const std::vector<CallId> cut = silent_for(link, kQuietUntilCutOff);
+    const std::vector<CallId> cut = silent_for(link, kUnreachableAfter);
     if (!cut.empty()) owner_.on_calls_unreachable(link.server, cut);
   }
   if (!test_is_due(link)) return;
