--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -79,295 +79,308 @@
 std::string server_text(const ServerId& server) { return address_text(socket_address(server)); }
 
 Servers::~Servers() {
-  if (watch_timer_) loop_.cancel(*watch_timer_);
-  for (auto& [id, link] : links_) {
-    if (link.refresh) loop_.cancel(*link.refresh);
-    for (Lane& lane : link.lanes) close_lane(link, lane);
+  if (check_timer_) loop_.cancel(*check_timer_);
+  for (auto& [id, state] : servers_) {
+    if (state.replacement_timer) loop_.cancel(*state.replacement_timer);
+    for (Connection& connection : state.connections) close_connection(state, connection);
   }
 }
 
-Servers::Link& Servers::link(const ServerId& server) {
-  const auto [found, fresh] = links_.try_emplace(server);
-  if (fresh) found->second.opened = loop_.now();
+Servers::ServerState& Servers::state_of(const ServerId& server) {
+  const auto [found, fresh] = servers_.try_emplace(server);
+  if (fresh) found->second.last_connected_at = loop_.now();
   found->second.server = server;
   return found->second;
 }
 
-std::optional<Time> Servers::Lane::owes() const {
-  std::optional<Time> first = given_up;
-  for (const auto& [call, set_up] : out) {
-    if (set_up.sent > heard && (!first || set_up.sent < *first)) first = set_up.sent;
+std::optional<Time> Servers::Connection::unanswered_since() const {
+  std::optional<Time> first = abandoned_since;
+  for (const auto& [call, set_up] : in_flight) {
+    if (set_up.sent_at > last_received && (!first || set_up.sent_at < *first)) first = set_up.sent_at;
   }
   return first;
 }
 
-Servers::Place Servers::place_of(const Stream& stream) {
-  for (auto& [id, link] : links_) {
-    for (Lane& lane : link.lanes) {
-      if (lane.stream.get() == &stream) return {&link, &lane};
+Servers::ConnectionRef Servers::find_connection(const Stream& stream) {
+  for (auto& [id, state] : servers_) {
+    for (Connection& connection : state.connections) {
+      if (connection.stream.get() == &stream) return {&state, &connection};
     }
   }
   return {};
 }
 
 // It is in the middle of a line, or has owed an answer for a while.
-bool Servers::doubtful(const Lane& lane) const {
-  return lane.cut_short || loop_.now() - lane.owes().value_or(loop_.now()) > kOvertakenMargin;
+bool Servers::is_suspect(const Connection& connection) const {
+  return connection.partial_line_since ||
+         loop_.now() - connection.unanswered_since().value_or(loop_.now()) > kOvertakenMargin;
 }
 
 // Of those that are up, the first with the fewest set-ups out; one that is in the middle of a line comes
 // last.
-Servers::Lane* Servers::best_lane(Link& link) {
-  Lane* best = nullptr;
-  const auto rank = [this](const Lane& lane) { return std::pair(doubtful(lane), lane.out.size()); };
-  for (Lane& lane : link.lanes) {
-    if (lane.up() && (!best || rank(lane) < rank(*best))) best = &lane;
+Servers::Connection* Servers::best_connection(ServerState& state) {
+  Connection* best = nullptr;
+  const auto rank = [this](const Connection& connection) {
+    return std::pair(is_suspect(connection), connection.in_flight.size());
+  };
+  for (Connection& connection : state.connections) {
+    if (connection.up() && (!best || rank(connection) < rank(*best))) best = &connection;
   }
   return best;
 }
 
 // The connection on which an earlier attempt of the call was released a short while ago. A retry on another
 // one could overtake that release, which would then end the retry.
-Servers::Lane* Servers::lane_after_release(Link& link, CallId call) {
-  for (Lane& lane : link.lanes) {
-    const bool released = std::any_of(lane.ended.begin(), lane.ended.end(),
+Servers::Connection* Servers::connection_after_release(ServerState& state, CallId call) {
+  for (Connection& connection : state.connections) {
+    const bool released = std::any_of(connection.recent_releases.begin(), connection.recent_releases.end(),
                                       [&](const auto& item) { return item.second.offer.call == call; });
-    if (released && lane.up() && !doubtful(lane)) return &lane;
+    if (released && connection.up() && !is_suspect(connection)) return &connection;
   }
   return nullptr;
 }
 
 void Servers::keep_connected(const ServerId& server) {
-  Link& kept = link(server);
-  if (std::exchange(kept.kept, true)) return;
-  connect(kept);
+  ServerState& state = state_of(server);
+  if (std::exchange(state.keep_connected, true)) return;
+  connect(state);
 }
 
 void Servers::disconnect(const ServerId& server) {
-  const auto found = links_.find(server);
-  if (found == links_.end()) return;
-  Link gone = std::move(found->second);
-  links_.erase(found);
-  if (gone.refresh) loop_.cancel(*gone.refresh);
-  for (Lane& lane : gone.lanes) close_lane(gone, lane);
-  for (Lane& lane : gone.lanes) {
-    for (const auto& [call, set_up] : lane.out)
+  const auto found = servers_.find(server);
+  if (found == servers_.end()) return;
+  ServerState gone = std::move(found->second);
+  servers_.erase(found);
+  if (gone.replacement_timer) loop_.cancel(*gone.replacement_timer);
+  for (Connection& connection : gone.connections) close_connection(gone, connection);
+  for (Connection& connection : gone.connections) {
+    for (const auto& [call, set_up] : connection.in_flight)
       owner_.on_set_up_lost(server, call, set_up.attempt, SetUpLoss::sent);
   }
-  for (const Waiting& what : gone.waiting) {
+  for (const QueuedMessage& what : gone.queued) {
     if (what.is_offer)
       owner_.on_set_up_lost(server, what.offer.call, what.offer.attempt, SetUpLoss::unreachable);
   }
 }
 
-void Servers::close_lane(Link& link, Lane& lane) {
-  link.standing.merge(std::exchange(lane.standing, {}));
-  if (lane.retry) loop_.cancel(*std::exchange(lane.retry, std::nullopt));
-  if (!lane.stream) return;
-  lane.stream->close();
-  loop_.bury(std::exchange(lane.stream, nullptr));
+void Servers::close_connection(ServerState& state, Connection& connection) {
+  state.orphaned_calls.merge(std::exchange(connection.established_calls, {}));
+  if (connection.retry) loop_.cancel(*std::exchange(connection.retry, std::nullopt));
+  if (!connection.stream) return;
+  connection.stream->close();
+  loop_.bury(std::exchange(connection.stream, nullptr));
 }
 
 // One more connection, if there is room. One that is due later takes its place, unless none is up.
-void Servers::connect(Link& link) {
-  if (link.refresh && best_lane(link)) return;
-  for (Lane& lane : link.lanes) {
-    if (!lane.stream) return connect(link, lane);
-    if (!lane.up()) return;  // on its way already
+void Servers::connect(ServerState& state) {
+  if (state.replacement_timer && best_connection(state)) return;
+  for (Connection& connection : state.connections) {
+    if (!connection.stream) return connect(state, connection);
+    if (!connection.up()) return;  // on its way already
   }
 }
 
-void Servers::connect(Link& link, Lane& lane) {
-  if (lane.stream) return;
-  if (lane.retry) loop_.cancel(*std::exchange(lane.retry, std::nullopt));
-  lane.cut_short.reset();
-  lane.given_up.reset();
-  lane.heard = loop_.now();
-  lane.stream = std::make_shared<Stream>(loop_, socket_address(link.server), connect_timeout_,
-                                         static_cast<Stream::Owner&>(*this), Rank::servers);
+void Servers::connect(ServerState& state, Connection& connection) {
+  if (connection.stream) return;
+  if (connection.retry) loop_.cancel(*std::exchange(connection.retry, std::nullopt));
+  connection.partial_line_since.reset();
+  connection.abandoned_since.reset();
+  connection.last_received = loop_.now();
+  connection.stream = std::make_shared<Stream>(loop_, socket_address(state.server), connect_timeout_,
+                                               static_cast<Stream::Owner&>(*this), Rank::servers);
 }
 
-void Servers::reconnect_after_backoff(Link& link, Lane& lane) {
-  lane.backoff = std::clamp(lane.backoff * 2, kInitialBackoff, kMaxBackoff);
-  if (link.kept) connect_after(link, lane, lane.backoff);
+void Servers::reconnect_after_backoff(ServerState& state, Connection& connection) {
+  connection.backoff = std::clamp(connection.backoff * 2, kInitialBackoff, kMaxBackoff);
+  if (state.keep_connected) connect_after(state, connection, connection.backoff);
 }
 
-void Servers::connect_after(Link& link, Lane& lane, Duration backoff) {
-  if (lane.retry) return;
-  const auto index = static_cast<std::size_t>(&lane - link.lanes.data());
-  lane.retry = loop_.at(loop_.now() + backoff, [this, index, server = link.server] {
-    const auto found = links_.find(server);
-    if (found == links_.end()) return;
-    found->second.lanes[index].retry.reset();
-    connect(found->second, found->second.lanes[index]);
+void Servers::connect_after(ServerState& state, Connection& connection, Duration backoff) {
+  if (connection.retry) return;
+  const auto index = static_cast<std::size_t>(&connection - state.connections.data());
+  connection.retry = loop_.at(loop_.now() + backoff, [this, index, server = state.server] {
+    const auto found = servers_.find(server);
+    if (found == servers_.end()) return;
+    found->second.connections[index].retry.reset();
+    connect(found->second, found->second.connections[index]);
   });
 }
 
 void Servers::offer(const ServerId& server, Offer offer) {
-  Link& to = link(server);
-  Waiting what{true, std::move(offer), 0};
-  Lane* const released_on = lane_after_release(to, what.offer.call);
-  if (Lane* const lane = released_on ? released_on : best_lane(to)) {
-    if (!lane->out.empty()) connect(to);  // the next need not share it
-    return write(to, *lane, what);
+  ServerState& to = state_of(server);
+  QueuedMessage what{true, std::move(offer), 0};
+  Connection* const released_on = connection_after_release(to, what.offer.call);
+  if (Connection* const connection = released_on ? released_on : best_connection(to)) {
+    if (!connection->in_flight.empty()) connect(to);  // the next need not share it
+    return write(to, *connection, what);
   }
-  if (to.waiting.size() >= kMaxQueued)
+  if (to.queued.size() >= kMaxQueued)
     return owner_.on_set_up_lost(server, what.offer.call, what.offer.attempt, SetUpLoss::unreachable);
-  to.waiting.push_back(std::move(what));
+  to.queued.push_back(std::move(what));
   connect(to);
 }
 
 bool Servers::withdraw_unsent(const ServerId& server, CallId call) {
-  const auto found = links_.find(server);
-  if (found == links_.end()) return false;
-  const auto waited = std::erase_if(found->second.waiting, [call](const Waiting& what) {
+  const auto found = servers_.find(server);
+  if (found == servers_.end()) return false;
+  const auto waited = std::erase_if(found->second.queued, [call](const QueuedMessage& what) {
     return what.is_offer && what.offer.call == call;
   });
   if (waited > 0) return true;
   // A server that takes nothing leaves it in the line of its connection.
-  for (Lane& lane : found->second.lanes) {
-    const auto out = lane.out.find(call);
-    if (out == lane.out.end() || !lane.up() || !lane.stream->take_back(call)) continue;
-    lane.out.erase(out);
+  for (Connection& connection : found->second.connections) {
+    const auto out = connection.in_flight.find(call);
+    if (out == connection.in_flight.end() || !connection.up() || !connection.stream->take_back(call))
+      continue;
+    connection.in_flight.erase(out);
     return true;
   }
   return false;
 }
 
 bool Servers::idle() const {
-  return std::all_of(links_.begin(), links_.end(), [](const auto& item) {
-    return item.second.waiting.empty() &&
-           std::all_of(item.second.lanes.begin(), item.second.lanes.end(),
-                       [](const Lane& lane) { return !lane.up() || lane.stream->unsent().empty(); });
+  return std::all_of(servers_.begin(), servers_.end(), [](const auto& item) {
+    return item.second.queued.empty() &&
+           std::all_of(item.second.connections.begin(), item.second.connections.end(),
+                       [](const Connection& connection) {
+                         return !connection.up() || connection.stream->unsent().empty();
+                       });
   });
 }
 
 void Servers::release(const ServerId& server, CallId call, int cause) {
-  const auto found = links_.find(server);
-  if (found == links_.end() || withdraw_unsent(server, call)) return;
-  Link& to = found->second;
-  Lane* lane = nullptr;
-  for (Lane& each : to.lanes) {
-    const auto out = each.out.find(call);
-    if (out == each.out.end()) continue;
-    lane = &each;
+  const auto found = servers_.find(server);
+  if (found == servers_.end() || withdraw_unsent(server, call)) return;
+  ServerState& to = found->second;
+  Connection* connection = nullptr;
+  for (Connection& each : to.connections) {
+    const auto out = each.in_flight.find(call);
+    if (out == each.in_flight.end()) continue;
+    connection = &each;
     // What is given up here is no sign of silence, unless others had overtaken it.
-    const Time sent = out->second.sent;
-    const bool overtaken = sent > each.heard && sent + kOvertakenMargin < to.answered_to;
-    if (overtaken && !each.given_up) each.given_up = sent;
-    each.out.erase(out);
+    const Time sent = out->second.sent_at;
+    const bool overtaken = sent > each.last_received && sent + kOvertakenMargin < to.latest_answered_sent_at;
+    if (overtaken && !each.abandoned_since) each.abandoned_since = sent;
+    each.in_flight.erase(out);
   }
-  if (!lane || !lane->up()) lane = best_lane(to);
-  Waiting what{false, {}, cause};
+  if (!connection || !connection->up()) connection = best_connection(to);
+  QueuedMessage what{false, {}, cause};
   what.offer.call = call;
-  if (lane) return write(to, *lane, what);
+  if (connection) return write(to, *connection, what);
   // A call that stands survives its connection, and so does what ends it.
-  if (to.waiting.size() < kMaxQueued) to.waiting.push_back(std::move(what));
+  if (to.queued.size() < kMaxQueued) to.queued.push_back(std::move(what));
   connect(to);
 }
 
 void Servers::release_everywhere(CallId call, int cause) {
-  for (auto& [id, link] : links_) {
-    if (Lane* const lane = best_lane(link)) lane->stream->send(end_segment(call, cause));
+  for (auto& [id, state] : servers_) {
+    if (Connection* const connection = best_connection(state))
+      connection->stream->send(end_segment(call, cause));
   }
 }
 
-void Servers::write(Link& link, Lane& lane, const Waiting& what) {
+void Servers::write(ServerState& state, Connection& connection, const QueuedMessage& what) {
   if (what.is_offer) {
     // A release of its attempt before, said again from now on, would cut this one.
-    for (Lane& each : link.lanes) {
-      std::erase_if(each.ended, [&](const auto& item) { return item.second.offer.call == what.offer.call; });
+    for (Connection& each : state.connections) {
+      std::erase_if(each.recent_releases,
+                    [&](const auto& item) { return item.second.offer.call == what.offer.call; });
     }
-    lane.out[what.offer.call] = {what.offer.attempt, loop_.now()};
-    return lane.stream->send(offer_segment(what.offer, what.offer.until - loop_.now()));
+    connection.in_flight[what.offer.call] = {what.offer.attempt, loop_.now()};
+    return connection.stream->send(offer_segment(what.offer, what.offer.until - loop_.now()));
   }
-  while (!lane.ended.empty() && loop_.now() - lane.ended.front().first > kReleaseRepeatWindow)
-    lane.ended.pop_front();
-  lane.ended.emplace_back(loop_.now(), what);
-  lane.stream->send(end_segment(what.offer.call, what.cause));
+  while (!connection.recent_releases.empty() &&
+         loop_.now() - connection.recent_releases.front().first > kReleaseRepeatWindow)
+    connection.recent_releases.pop_front();
+  connection.recent_releases.emplace_back(loop_.now(), what);
+  connection.stream->send(end_segment(what.offer.call, what.cause));
 }
 
 void Servers::connected(Stream& stream) {
-  const Place at = place_of(stream);
-  if (!at.link) return;
-  at.lane->backoff = Duration{0};
-  at.link->broken = false;
-  at.link->opened = loop_.now();
-  at.link->doubted = false;
-  for (const Waiting& what : std::exchange(at.link->waiting, {})) write(*at.link, *at.lane, what);
+  const ConnectionRef at = find_connection(stream);
+  if (!at.state) return;
+  at.connection->backoff = Duration{0};
+  at.state->connection_lost = false;
+  at.state->last_connected_at = loop_.now();
+  at.state->connect_timed_out = false;
+  for (const QueuedMessage& what : std::exchange(at.state->queued, {}))
+    write(*at.state, *at.connection, what);
 }
 
 void Servers::arrived(Stream& stream) {
   while (stream.alive()) {
     const std::string_view input = stream.input();
     const auto length = input.find('\n');
-    const Place at = place_of(stream);
-    if (!at.link) return;
+    const ConnectionRef at = find_connection(stream);
+    if (!at.state) return;
     if (length == std::string_view::npos) {
-      if (input.size() > kMaxMessageBytes) return lose(stream, "endless line");
-      if (!input.empty() && !at.lane->cut_short) at.lane->cut_short = loop_.now();
+      if (input.size() > kMaxMessageBytes) return close_unusable(stream, "endless line");
+      if (!input.empty() && !at.connection->partial_line_since)
+        at.connection->partial_line_since = loop_.now();
       return;
     }
-    at.lane->cut_short.reset();
-    at.lane->given_up.reset();
-    at.lane->heard = loop_.now();
+    at.connection->partial_line_since.reset();
+    at.connection->abandoned_since.reset();
+    at.connection->last_received = loop_.now();
     auto line = length <= kMaxMessageBytes ? parse_server_line(input.substr(0, length)) : std::nullopt;
-    if (!line) return lose(stream, "malformed line");
+    if (!line) return close_unusable(stream, "malformed line");
     stream.consume(length + 1);
     handle(at, std::move(*line));
   }
 }
 
-void Servers::handle(const Place& at, ServerLine line) {
-  const ServerId server = at.link->server;
+void Servers::handle(const ConnectionRef& at, ServerLine line) {
+  const ServerId server = at.state->server;
   if (line.op == ServerOp::group) return owner_.on_load_report(server, parse_load(line.load));
   if (line.op != ServerOp::accept && line.op != ServerOp::end) return;
   const CallId call = line.call;
   MessageOrigin origin;
-  for (const Lane& lane : at.link->lanes) origin.set_up_is_out |= lane.out.count(call) > 0;
-  if (at.lane->out.count(call) > 0) origin.connection = MessageConnection::own;
+  for (const Connection& connection : at.state->connections)
+    origin.set_up_is_out |= connection.in_flight.count(call) > 0;
+  if (at.connection->in_flight.count(call) > 0) origin.connection = MessageConnection::own;
   const SetUpOutcome outcome = owner_.on_call_message(server, std::move(line), origin);
   if (outcome == SetUpOutcome::open) return;
-  settle(server, call);
-  if (outcome == SetUpOutcome::established) at.lane->standing.insert(call);
+  finish_set_up(server, call);
+  if (outcome == SetUpOutcome::established) at.connection->established_calls.insert(call);
 }
 
 void Servers::forget_call(const ServerId& server, CallId call) {
-  const auto found = links_.find(server);
-  if (found == links_.end()) return;
-  found->second.standing.erase(call);
-  for (Lane& lane : found->second.lanes) lane.standing.erase(call);
-}
-
-void Servers::settle(const ServerId& server, CallId call) {
-  const auto found = links_.find(server);
-  if (found == links_.end()) return;
-  for (Lane& lane : found->second.lanes) {
-    const auto out = lane.out.find(call);
-    if (out == lane.out.end()) continue;
-    found->second.answered_to = std::max(found->second.answered_to, out->second.sent);
-    lane.out.erase(out);
+  const auto found = servers_.find(server);
+  if (found == servers_.end()) return;
+  found->second.orphaned_calls.erase(call);
+  for (Connection& connection : found->second.connections) connection.established_calls.erase(call);
+}
+
+void Servers::finish_set_up(const ServerId& server, CallId call) {
+  const auto found = servers_.find(server);
+  if (found == servers_.end()) return;
+  for (Connection& connection : found->second.connections) {
+    const auto out = connection.in_flight.find(call);
+    if (out == connection.in_flight.end()) continue;
+    found->second.latest_answered_sent_at =
+        std::max(found->second.latest_answered_sent_at, out->second.sent_at);
+    connection.in_flight.erase(out);
   }
 }
 
 // After what cannot be read nothing that comes on the connection can be trusted.
-void Servers::lose(Stream& stream, const char* why) {
-  const Place at = place_of(stream);
-  if (!at.link) return;
-  log_.line("server %s: %s, connection closed", server_text(at.link->server).c_str(), why);
+void Servers::close_unusable(Stream& stream, const char* why) {
+  const ConnectionRef at = find_connection(stream);
+  if (!at.state) return;
+  log_.line("server %s: %s, connection closed", server_text(at.state->server).c_str(), why);
   stream.close();
-  refresh_soon(*at.link);
+  schedule_replacement(*at.state);
   lost(stream, Lost::closed);
 }
 
 // A release that was on its way on a connection that is closed here comes again on the next one opened, but
 // only if that opens after the server has written it.
-void Servers::refresh_soon(Link& link) {
-  if (link.refresh) loop_.cancel(*link.refresh);
-  link.refresh = loop_.at(loop_.now() + kCloseSettleTime, [this, server = link.server] {
-    const auto found = links_.find(server);
-    if (found == links_.end()) return;
-    found->second.refresh.reset();
+void Servers::schedule_replacement(ServerState& state) {
+  if (state.replacement_timer) loop_.cancel(*state.replacement_timer);
+  state.replacement_timer = loop_.at(loop_.now() + kCloseSettleTime, [this, server = state.server] {
+    const auto found = servers_.find(server);
+    if (found == servers_.end()) return;
+    found->second.replacement_timer.reset();
     connect(found->second);
   });
 }
@@ -375,132 +388,134 @@
 // The end of a connection gives up the set-ups on it; the calls that stand there go on. Only if the process
 // refuses the next connection is it gone, and its calls with it.
 void Servers::lost(Stream& stream, Lost how) {
-  const Place at = place_of(stream);
-  if (!at.link) return;
-  const ServerId server = at.link->server;
+  const ConnectionRef at = find_connection(stream);
+  if (!at.state) return;
+  const ServerId server = at.state->server;
   std::set<CallId> unsent;
   for (const Segment& segment : stream.unsent()) unsent.insert(segment.tag);
-  loop_.bury(std::exchange(at.lane->stream, nullptr));  // `stream` lives until the end of the pass
+  loop_.bury(std::exchange(at.connection->stream, nullptr));  // `stream` lives until the end of the pass
   if (stream.came_up()) {
-    const auto out = std::exchange(at.lane->out, {});
-    const auto ended = std::exchange(at.lane->ended, {});
-    at.link->standing.merge(std::exchange(at.lane->standing, {}));
+    const auto in_flight = std::exchange(at.connection->in_flight, {});
+    const auto releases = std::exchange(at.connection->recent_releases, {});
+    at.state->orphaned_calls.merge(std::exchange(at.connection->established_calls, {}));
     log_.line("server %s: connection %s, %zu set-ups out", server_text(server).c_str(),
-              how == Lost::reset ? "reset" : "closed", out.size());
-    at.link->broken = true;
-    connect(*at.link);
+              how == Lost::reset ? "reset" : "closed", in_flight.size());
+    at.state->connection_lost = true;
+    connect(*at.state);
     // What was to be released must not stay standing: said once more, which does no harm.
-    Lane* const other = best_lane(*at.link);
-    for (const auto& [when, what] : ended) {
+    Connection* const other = best_connection(*at.state);
+    for (const auto& [when, what] : releases) {
       if (loop_.now() - when > kReleaseRepeatWindow) continue;
       if (other) {
-        write(*at.link, *other, what);
-      } else if (at.link->waiting.size() < kMaxQueued) {
-        at.link->waiting.push_back(what);
+        write(*at.state, *other, what);
+      } else if (at.state->queued.size() < kMaxQueued) {
+        at.state->queued.push_back(what);
       }
     }
-    for (const auto& [call, set_up] : out) {
+    for (const auto& [call, set_up] : in_flight) {
       owner_.on_set_up_lost(server, call, set_up.attempt,
                             unsent.count(call) > 0 ? SetUpLoss::unsent : SetUpLoss::sent);
     }
     return;
   }
-  at.link->doubted |= how == Lost::timed_out;
-  if (best_lane(*at.link)) return;
+  at.state->connect_timed_out |= how == Lost::timed_out;
+  if (best_connection(*at.state)) return;
   // What waits goes on waiting: it is this process that lacks something, not the server.
   if (how == Lost::unmade) {
     log_.line("server %s: no socket to be had", server_text(server).c_str());
-    return connect_after(*at.link, *at.lane, kNoSocketBackoff);
+    return connect_after(*at.state, *at.connection, kNoSocketBackoff);
   }
-  const bool died = how == Lost::refused && std::exchange(at.link->broken, false);
-  reconnect_after_backoff(*at.link, *at.lane);
+  const bool process_gone = how == Lost::refused && std::exchange(at.state->connection_lost, false);
+  reconnect_after_backoff(*at.state, *at.connection);
   log_.line("server %s: connection %s", server_text(server).c_str(),
             how == Lost::refused ? "refused" : "not up in time");
-  const auto waiting = std::exchange(at.link->waiting, {});
-  if (died) owner_.on_process_gone(server);
-  for (const Waiting& what : waiting) {
+  const auto queued = std::exchange(at.state->queued, {});
+  if (process_gone) owner_.on_process_gone(server);
+  for (const QueuedMessage& what : queued) {
     if (what.is_offer) {
       owner_.on_set_up_lost(server, what.offer.call, what.offer.attempt, SetUpLoss::unreachable);
-    } else if (const auto still = links_.find(server); still != links_.end() && !died) {
-      still->second.waiting.push_back(what);
+    } else if (const auto still = servers_.find(server); still != servers_.end() && !process_gone) {
+      still->second.queued.push_back(what);
     }
   }
 }
 
 // Looks for connections that are open and of no more use.
-void Servers::watch() {
-  std::vector<std::pair<std::shared_ptr<Stream>, const char*>> useless;
+void Servers::check_connections() {
+  std::vector<std::pair<std::shared_ptr<Stream>, const char*>> unusable;
   const Time now = loop_.now();
-  for (auto& [id, link] : links_) {
-    for (Lane& lane : link.lanes) {
-      if (!lane.up()) continue;
-      const Time owes = lane.owes().value_or(now);
-      const Duration silent = now - owes;
-      const bool overtaken = owes + kOvertakenMargin < link.answered_to;
-      if (lane.cut_short && now - *lane.cut_short > kPartialLineTimeout) {
-        useless.emplace_back(lane.stream, "half a line");
+  for (auto& [id, state] : servers_) {
+    for (Connection& connection : state.connections) {
+      if (!connection.up()) continue;
+      const Time unanswered_from = connection.unanswered_since().value_or(now);
+      const Duration silent = now - unanswered_from;
+      const bool overtaken = unanswered_from + kOvertakenMargin < state.latest_answered_sent_at;
+      if (connection.partial_line_since && now - *connection.partial_line_since > kPartialLineTimeout) {
+        unusable.emplace_back(connection.stream, "half a line");
       } else if (silent > (overtaken ? kOvertakenSilenceTimeout : kSilenceTimeout)) {
-        useless.emplace_back(lane.stream, "silent");
+        unusable.emplace_back(connection.stream, "silent");
       }
     }
   }
-  for (const auto& [stream, why] : useless) lose(*stream, why);
-  for (auto& [id, link] : links_) look_for_life(link);
-  watch_timer_ = loop_.at(loop_.now() + kCheckInterval, [this] { watch(); });
+  for (const auto& [stream, why] : unusable) close_unusable(*stream, why);
+  for (auto& [id, state] : servers_) check_liveness(state);
+  check_timer_ = loop_.at(loop_.now() + kCheckInterval, [this] { check_connections(); });
 }
 
 // Up to then a release of any call that stands there without a connection of its own has been heard: the
 // server may say it on any connection that is open.
-Time Servers::latest_sign_for_all(const Link& link) const {
+Time Servers::last_received_on_all(const ServerState& state) const {
   std::optional<Time> oldest;
-  for (const Lane& lane : link.lanes) {
-    if (lane.up()) oldest = std::min(oldest.value_or(lane.heard), lane.heard);
+  for (const Connection& connection : state.connections) {
+    if (connection.up())
+      oldest = std::min(oldest.value_or(connection.last_received), connection.last_received);
   }
-  return std::max(oldest.value_or(link.opened), link.opened);
+  return std::max(oldest.value_or(state.last_connected_at), state.last_connected_at);
 }
 
 // Calls whose end may have been said, and not heard, for so long: nothing came on the connection that would
 // bring it, and none was opened, on which it would be said again.
-std::vector<CallId> Servers::silent_for(const Link& link, Duration silence) const {
+std::vector<CallId> Servers::calls_unheard_for(const ServerState& state, Duration silence) const {
   const Time since = loop_.now() - silence;
   std::vector<CallId> calls;
-  for (const Lane& lane : link.lanes) {
-    if (std::max(lane.heard, link.opened) <= since)
-      calls.insert(calls.end(), lane.standing.begin(), lane.standing.end());
+  for (const Connection& connection : state.connections) {
+    if (std::max(connection.last_received, state.last_connected_at) <= since)
+      calls.insert(calls.end(), connection.established_calls.begin(), connection.established_calls.end());
   }
-  if (latest_sign_for_all(link) <= since)
-    calls.insert(calls.end(), link.standing.begin(), link.standing.end());
+  if (last_received_on_all(state) <= since)
+    calls.insert(calls.end(), state.orphaned_calls.begin(), state.orphaned_calls.end());
   return calls;
 }
 
-bool Servers::test_is_due(const Link& link) const {
-  const bool on_its_way = std::any_of(link.lanes.begin(), link.lanes.end(),
-                                      [](const Lane& lane) { return lane.stream && !lane.up(); });
-  return !on_its_way && !silent_for(link, kLivenessTestAfter).empty();
+bool Servers::liveness_test_is_due(const ServerState& state) const {
+  const bool on_its_way =
+      std::any_of(state.connections.begin(), state.connections.end(),
+                  [](const Connection& connection) { return connection.stream && !connection.up(); });
+  return !on_its_way && !calls_unheard_for(state, kLivenessTestAfter).empty();
 }
 
 // The place of a connection that is not there, else of the quietest, best one without set-ups on it.
-Servers::Lane* Servers::lane_for_test(Link& link) {
-  const auto rank = [](const Lane& lane) {
-    return std::tuple(lane.stream != nullptr, !lane.out.empty(), lane.heard);
+Servers::Connection* Servers::connection_for_liveness_test(ServerState& state) {
+  const auto rank = [](const Connection& connection) {
+    return std::tuple(connection.stream != nullptr, !connection.in_flight.empty(), connection.last_received);
   };
-  return &*std::min_element(link.lanes.begin(), link.lanes.end(),
-                            [&](const Lane& a, const Lane& b) { return rank(a) < rank(b); });
+  return &*std::min_element(state.connections.begin(), state.connections.end(),
+                            [&](const Connection& a, const Connection& b) { return rank(a) < rank(b); });
 }
 
 // An open connection that is quiet tells nothing: its server may have nothing to say, or its machine be gone
 // or cut off. There no new connection comes up either.
-void Servers::look_for_life(Link& link) {
-  if (loop_.now() - link.tested < kLivenessTestInterval) return;
-  if (link.doubted) {
-    const std::vector<CallId> cut = silent_for(link, kUnreachableAfter);
-    if (!cut.empty()) owner_.on_calls_unreachable(link.server, cut);
+void Servers::check_liveness(ServerState& state) {
+  if (loop_.now() - state.last_liveness_test < kLivenessTestInterval) return;
+  if (state.connect_timed_out) {
+    const std::vector<CallId> cut = calls_unheard_for(state, kUnreachableAfter);
+    if (!cut.empty()) owner_.on_calls_unreachable(state.server, cut);
   }
-  if (!test_is_due(link)) return;
-  link.tested = loop_.now();
-  Lane& lane = *lane_for_test(link);
-  if (lane.up()) return lose(*lane.stream, "silent, tested by a new connection");
-  connect(link, lane);
+  if (!liveness_test_is_due(state)) return;
+  state.last_liveness_test = loop_.now();
+  Connection& connection = *connection_for_liveness_test(state);
+  if (connection.up()) return close_unusable(*connection.stream, "silent, tested by a new connection");
+  connect(state, connection);
 }
 
 }  // namespace quartzarch
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -64,7 +64,7 @@
 
   Servers(Loop& loop, Logger& log, Owner& owner, Duration connect_timeout)
       : loop_(loop), log_(log), owner_(owner), connect_timeout_(connect_timeout) {
-    watch();
+    check_connections();
   }
   ~Servers() override;
 
@@ -90,14 +90,14 @@
   void release_everywhere(CallId call, int cause);
   // A connection was lost and none is up since: the process there may be gone.
   bool unreachable(const ServerId& server) const {
-    const auto found = links_.find(server);
-    return found != links_.end() && found->second.broken;
+    const auto found = servers_.find(server);
+    return found != servers_.end() && found->second.connection_lost;
   }
 
  private:
-  static constexpr std::size_t kLanes = 4;  // a server tells its state on at most so many
+  static constexpr std::size_t kConnectionsPerServer = 4;  // a server tells its state on at most so many
 
-  struct Waiting {
+  struct QueuedMessage {
     bool is_offer = false;
     Offer offer{};
     int cause = 0;
@@ -105,74 +105,75 @@
   // A set-up that was written and is not settled.
   struct SetUp {
     unsigned attempt = 0;
-    Time sent{};
+    Time sent_at{};
   };
   // One connection. What breaks it takes only the set-ups on it along, so a server has a few.
-  struct Lane {
+  struct Connection {
     std::shared_ptr<Stream> stream{};
-    std::map<CallId, SetUp> out{};
-    std::set<CallId> standing{};                   // calls that were answered on it and are not over
-    std::deque<std::pair<Time, Waiting>> ended{};  // releases written a short while ago
-    Time heard{};                                  // the last whole line
-    std::optional<Time> given_up{};   // since then: when a set-up was sent that was overtaken and given up
-    std::optional<Time> cut_short{};  // since when a line has been waiting for its rest
-    Duration backoff{};               // before the next try
+    std::map<CallId, SetUp> in_flight{};
+    std::set<CallId> established_calls{};  // calls that were answered on it and are not over
+    std::deque<std::pair<Time, QueuedMessage>> recent_releases{};  // releases written a short while ago
+    Time last_received{};                                          // the last whole line
+    std::optional<Time>
+        abandoned_since{};  // since then: when a set-up was sent that was overtaken and given up
+    std::optional<Time> partial_line_since{};  // since when a line has been waiting for its rest
+    Duration backoff{};                        // before the next try
     std::optional<Loop::TimerId> retry{};
 
     bool up() const { return stream && stream->up(); }
     // When the first set-up was sent on it that it has brought nothing since.
-    std::optional<Time> owes() const;
+    std::optional<Time> unanswered_since() const;
   };
-  struct Link {
+  struct ServerState {
     ServerId server{};
-    Time answered_to{};           // when the latest of the set-ups that were answered had been sent
-    std::set<CallId> standing{};  // calls that stand there and whose connection is gone
-    Time opened{};         // the last connection that came up: on it what was over by then is said again
-    Time tested{};         // the last connection made because another was silent
-    bool doubted = false;  // since the last one came up one did not
-    std::array<Lane, kLanes> lanes{};
-    std::vector<Waiting> waiting{};  // until a connection is up
-    bool kept = false;
-    bool broken = false;  // a connection was lost and none is up since; the process may be gone
-    std::optional<Loop::TimerId> refresh{};  // a new connection is due: see lose()
+    Time latest_answered_sent_at{};     // when the latest of the set-ups that were answered had been sent
+    std::set<CallId> orphaned_calls{};  // calls that stand there and whose connection is gone
+    Time last_connected_at{};   // the last connection that came up: on it what was over by then is said again
+    Time last_liveness_test{};  // the last connection made because another was silent
+    bool connect_timed_out = false;  // since the last one came up one did not
+    std::array<Connection, kConnectionsPerServer> connections{};
+    std::vector<QueuedMessage> queued{};  // until a connection is up
+    bool keep_connected = false;
+    bool connection_lost = false;  // a connection was lost and none is up since; the process may be gone
+    std::optional<Loop::TimerId> replacement_timer{};  // a new connection is due: see close_unusable()
   };
-  struct Place {
-    Link* link = nullptr;
-    Lane* lane = nullptr;
+  struct ConnectionRef {
+    ServerState* state = nullptr;
+    Connection* connection = nullptr;
   };
 
   void connected(Stream& stream) override;
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost how) override;
 
-  Link& link(const ServerId& server);
-  Place place_of(const Stream& stream);
-  Lane* best_lane(Link& link);
-  Lane* lane_after_release(Link& link, CallId call);
-  bool doubtful(const Lane& lane) const;
-  void settle(const ServerId& server, CallId call);
-  void connect(Link& link);
-  void connect(Link& link, Lane& lane);
-  void reconnect_after_backoff(Link& link, Lane& lane);
-  void connect_after(Link& link, Lane& lane, Duration backoff);
-  void write(Link& link, Lane& lane, const Waiting& what);
-  void handle(const Place& at, ServerLine line);
-  void lose(Stream& stream, const char* why);
-  void refresh_soon(Link& link);
-  void close_lane(Link& link, Lane& lane);
-  void watch();
-  bool test_is_due(const Link& link) const;
-  std::vector<CallId> silent_for(const Link& link, Duration silence) const;
-  Time latest_sign_for_all(const Link& link) const;
-  void look_for_life(Link& link);
-  Lane* lane_for_test(Link& link);
+  ServerState& state_of(const ServerId& server);
+  ConnectionRef find_connection(const Stream& stream);
+  Connection* best_connection(ServerState& state);
+  Connection* connection_after_release(ServerState& state, CallId call);
+  bool is_suspect(const Connection& connection) const;
+  void finish_set_up(const ServerId& server, CallId call);
+  void connect(ServerState& state);
+  void connect(ServerState& state, Connection& connection);
+  void reconnect_after_backoff(ServerState& state, Connection& connection);
+  void connect_after(ServerState& state, Connection& connection, Duration backoff);
+  void write(ServerState& state, Connection& connection, const QueuedMessage& what);
+  void handle(const ConnectionRef& at, ServerLine line);
+  void close_unusable(Stream& stream, const char* why);
+  void schedule_replacement(ServerState& state);
+  void close_connection(ServerState& state, Connection& connection);
+  void check_connections();
+  bool liveness_test_is_due(const ServerState& state) const;
+  std::vector<CallId> calls_unheard_for(const ServerState& state, Duration silence) const;
+  Time last_received_on_all(const ServerState& state) const;
+  void check_liveness(ServerState& state);
+  Connection* connection_for_liveness_test(ServerState& state);
 
   Loop& loop_;
   Logger& log_;
   Owner& owner_;
   Duration connect_timeout_;
-  std::map<ServerId, Link> links_;
-  std::optional<Loop::TimerId> watch_timer_{};
+  std::map<ServerId, ServerState> servers_;
+  std::optional<Loop::TimerId> check_timer_{};
 };
 
 std::string server_text(const ServerId& server);
