--- a/src/core/attempt.hpp
+++ b/src/core/attempt.hpp
@@ -1,13 +1,14 @@
-// Attempts of a call at setup servers, and which of a server's messages concern the one that is out.
+// Decides which attempt of a call a setup server's message belongs to, and what it means for the attempt in
+// flight.
 //
-// The wire names a call, not an attempt: every attempt of a call at one server has the same id there. A
-// server may release what an earlier attempt set up (its answer was lost with its connection) at any later
-// time, repeats that release on the next connection opened, and may answer an attempt that was given up
-// before it hears of that. Such a message must neither answer nor end a later attempt. What tells them apart
-// is the connection (a set-up is answered on its own connection), the kind of message, and what became of
-// earlier attempts at that server.
+// Messages on the wire carry a call id but no attempt number: all attempts of a call at one server share the
+// same id. A server may release a call that an earlier attempt set up (whose answer was lost with its
+// connection) at any later time, repeats that release on the next connection opened, and may answer an
+// abandoned attempt before it learns that it was abandoned. Such a message must neither answer nor end a
+// later attempt. Attempts are told apart by the connection (a set-up is answered on the connection it was
+// sent on), the kind of message, and how earlier attempts at that server ended.
 //
-// Decisions only: no I/O, no clock.
+// Pure decision logic: no I/O, no clock.
 #pragma once
 
 #include <array>
@@ -19,24 +20,24 @@
 
 namespace quartzarch {
 
-// An attempt of a call as it stands now.
+// The state of a call's current attempt.
 enum class AttemptState : std::uint8_t {
-  none,         // no attempt: the call waits for a server or behind the release guard
-  scheduled,    // leaves at the end of this pass
-  sent,         // handed to the server side, no answer yet
-  established,  // answered: the call stands at the server
+  none,         // no attempt: the call waits for a server or for the release guard to expire
+  scheduled,    // will be sent at the end of this pass of the event loop
+  sent,         // handed to the connections to the server, not answered yet
+  established,  // answered: the call is established at the server
 };
 
-// No call is over so shortly after its set-up has left.
+// No call ends sooner than this after its set-up was sent.
 inline constexpr Duration kMinCallDuration = std::chrono::milliseconds(250);
-// A set-up that breaks on its way is reset within this time.
+// A set-up that fails in transit is reset within this time.
 inline constexpr Duration kMaxResetDelay = std::chrono::milliseconds(500);
 
-// How long an attempt has been out.
+// How long ago an attempt was sent.
 enum class AttemptAge : std::uint8_t {
-  new_attempt,     // under kMinCallDuration: no call set up by it can be over
-  recent_attempt,  // a reset means that the set-up broke on its way
-  old_attempt,     // from kMaxResetDelay on: a reset may also mean that the call stood and was cut
+  new_attempt,     // under kMinCallDuration: a call set up by it cannot have ended yet
+  recent_attempt,  // a reset means that the set-up failed in transit
+  old_attempt,     // from kMaxResetDelay on: a reset may also mean that the call was established and cut
 };
 
 constexpr AttemptAge attempt_age(Duration elapsed) {
@@ -44,33 +45,37 @@
   return elapsed < kMaxResetDelay ? AttemptAge::recent_attempt : AttemptAge::old_attempt;
 }
 
+// The kinds of messages that a setup server sends about a call.
 enum class ServerMessage : std::uint8_t {
-  answer,   // the call stands
-  refusal,  // the set-up is turned away: causes 17, 34, 47, 102 and unknown ones
-  reset,    // cause 41: the set-up broke on its way, or a call that stood was cut
-  release,  // cause 16: a call that stood has come to its end; it may overtake the answer of its set-up
+  answer,   // the call is established
+  refusal,  // the set-up is refused: causes 17, 34, 47, 102 and unknown ones
+  reset,    // cause 41: the set-up failed in transit, or an established call was cut
+  release,  // cause 16: an established call has ended; it may overtake the answer to its set-up
 };
 
-// The connection that a message came on: that of the set-up which is out, or another to the same server.
+// The connection that a message came on: the one that the set-up in flight was sent on, or another to the
+// same server.
 enum class MessageConnection : std::uint8_t { own, other };
 
-// What may still come of earlier attempts of the call at the same server.
+// Which messages may still arrive for earlier attempts of the call at the same server.
 enum class EarlierOutcome : std::uint8_t {
-  none,             // nothing: there was none, or the server's own word ended each
-  connection_lost,  // its connection is gone: a release of what it may have set up
-  given_up,  // by a time-out or a cancel: also a late answer or refusal on a connection that is still open
+  none,             // none: there was no earlier attempt, or the server itself ended each
+  connection_lost,  // its connection is gone: a release of the call that it may have set up
+  given_up,         // after a time-out or a cancel: also a late answer or refusal on a connection still open
 };
 
+// What a message means for the current attempt.
 enum class Verdict : std::uint8_t {
-  ignore,    // of an earlier attempt, or a repetition
-  answered,  // the call stands
-  refused,   // the attempt is over
-  give_up,   // of this attempt or of an earlier one, nobody can tell: end the attempt at the server
-  ended_before_answer,  // the attempt's call is over and its answer is still to come
-  ended,                // the call that stood is over
-  ended_and_release     // it is over, or an earlier one is: end it at the server as well
+  ignore,    // belongs to an earlier attempt, or is a repetition
+  answered,  // the call is established
+  refused,   // the attempt has ended
+  give_up,   // belongs to this attempt or to an earlier one, undecidable: release the attempt at the server
+  ended_before_answer,  // the attempt's call has ended and its answer is still to come
+  ended,                // the established call has ended
+  ended_and_release     // it has ended, or an earlier attempt's call has: release it at the server as well
 };
 
+// One row of the decision table: the conditions and the verdict.
 struct MessageRule {
   AttemptState state;
   ServerMessage message;
@@ -81,7 +86,8 @@
   const char* reason;  // for the log
 };
 
-// The first rule that matches decides. Every combination is matched.
+// The decision table. The first rule that matches applies; a static_assert below checks that every
+// combination has one.
 inline constexpr auto kMessageRules = [] {
   using enum ServerMessage;
   using S = AttemptState;
@@ -97,38 +103,46 @@
   constexpr auto kLost = std::optional(EarlierOutcome::connection_lost);
   constexpr auto kGivenUp = std::optional(EarlierOutcome::given_up);
   return std::to_array<MessageRule>({
-      {S::none, answer, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "no attempt is out"},
-      {S::none, refusal, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "no attempt is out"},
-      {S::none, reset, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "no attempt is out"},
-      {S::none, release, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "no attempt is out"},
-      {S::scheduled, answer, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "the attempt has not left"},
-      {S::scheduled, refusal, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "the attempt has not left"},
-      {S::scheduled, reset, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "the attempt has not left"},
-      {S::scheduled, release, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "the attempt has not left"},
+      {S::none, answer, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "no attempt is in flight"},
+      {S::none, refusal, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "no attempt is in flight"},
+      {S::none, reset, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "no attempt is in flight"},
+      {S::none, release, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "no attempt is in flight"},
+      {S::scheduled, answer, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore,
+       "the attempt has not been sent"},
+      {S::scheduled, refusal, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore,
+       "the attempt has not been sent"},
+      {S::scheduled, reset, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore, "the attempt has not been sent"},
+      {S::scheduled, release, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore,
+       "the attempt has not been sent"},
       {S::sent, answer, kOwn, kAnyEarlier, kAnyAge, V::answered, "answered"},
       {S::sent, answer, kOther, kNone, kAnyAge, V::answered, "answered"},
-      {S::sent, answer, kOther, kAnyEarlier, kAnyAge, V::ignore, "an earlier attempt's: another connection"},
-      {S::sent, refusal, kOwn, kGivenUp, kAnyAge, V::give_up, "this attempt's or an earlier one's"},
+      {S::sent, answer, kOther, kAnyEarlier, kAnyAge, V::ignore,
+       "of an earlier attempt: on another connection"},
+      {S::sent, refusal, kOwn, kGivenUp, kAnyAge, V::give_up, "of this attempt or an earlier one"},
       {S::sent, refusal, kOwn, kAnyEarlier, kAnyAge, V::refused, "refused"},
       {S::sent, refusal, kOther, kNone, kAnyAge, V::refused, "refused"},
-      {S::sent, refusal, kOther, kAnyEarlier, kAnyAge, V::ignore, "an earlier attempt's: another connection"},
-      {S::sent, reset, kOwn, kNone, kOld, V::ended_before_answer, "over, its answer is still to come"},
+      {S::sent, refusal, kOther, kAnyEarlier, kAnyAge, V::ignore,
+       "of an earlier attempt: on another connection"},
+      {S::sent, reset, kOwn, kNone, kOld, V::ended_before_answer,
+       "the call has ended, its answer is still to come"},
       {S::sent, reset, kOwn, kNone, kAnyAge, V::refused, "reset"},
-      {S::sent, reset, kOwn, kAnyEarlier, kAnyAge, V::give_up, "this attempt's or an earlier one's"},
-      {S::sent, reset, kOther, kNone, kAnyAge, V::ended_before_answer, "over, its answer is still to come"},
-      {S::sent, reset, kOther, kAnyEarlier, kAnyAge, V::ignore, "an earlier attempt's: another connection"},
+      {S::sent, reset, kOwn, kAnyEarlier, kAnyAge, V::give_up, "of this attempt or an earlier one"},
+      {S::sent, reset, kOther, kNone, kAnyAge, V::ended_before_answer,
+       "the call has ended, its answer is still to come"},
+      {S::sent, reset, kOther, kAnyEarlier, kAnyAge, V::ignore,
+       "of an earlier attempt: on another connection"},
       {S::sent, release, kAnyConnection, kLost, kNew, V::ignore,
-       "an earlier attempt's: this one has just left"},
+       "of an earlier attempt: this one was only just sent"},
       {S::sent, release, kAnyConnection, kGivenUp, kNew, V::ignore,
-       "an earlier attempt's: this one has just left"},
+       "of an earlier attempt: this one was only just sent"},
       {S::sent, release, kAnyConnection, kAnyEarlier, kAnyAge, V::ended_before_answer,
-       "over, its answer is still to come"},
+       "the call has ended, its answer is still to come"},
       {S::established, answer, kAnyConnection, kAnyEarlier, kAnyAge, V::ignore,
-       "the call stands there already"},
+       "the call is already established there"},
       {S::established, refusal, kOther, kLost, kAnyAge, V::ignore,
-       "an earlier attempt's: another connection"},
+       "of an earlier attempt: on another connection"},
       {S::established, refusal, kOther, kGivenUp, kAnyAge, V::ignore,
-       "an earlier attempt's: another connection"},
+       "of an earlier attempt: on another connection"},
       {S::established, refusal, kAnyConnection, kNone, kAnyAge, V::ended, "over"},
       {S::established, refusal, kAnyConnection, kAnyEarlier, kAnyAge, V::ended_and_release, "over"},
       {S::established, reset, kAnyConnection, kNone, kAnyAge, V::ended, "over"},
@@ -165,14 +179,15 @@
 }
 static_assert(every_combination_has_a_rule());
 
-// How long the answer of a call that is over is waited for: its caller hears of the end within 1 s of it.
+// How long to wait for the answer of a call that has already ended. The caller must learn of a call's end
+// within 1 s.
 inline constexpr Duration kAnswerTimeoutAfterEnd = std::chrono::milliseconds(700);
 
-// What earlier attempts of one call left open, by server.
+// For each server, which messages the earlier attempts of one call there may still cause.
 class EarlierAttempts {
  public:
-  // An attempt at `server` is over for this side. Only the server's own answer or refusal settles it: after
-  // anything else a message of it may still come.
+  // An attempt at `server` has ended on this side. Only the server's own answer or refusal is final: after
+  // any other ending, further messages for the attempt may still arrive.
   void record(const ServerId& server, Ending ending) {
     const EarlierOutcome outcome = outcome_of(ending);
     if (outcome == EarlierOutcome::none) return;
--- a/src/core/call_counters.hpp
+++ b/src/core/call_counters.hpp
@@ -1,5 +1,5 @@
-// What the call controller has done, counted for operators: the figures of GET /v1/metrics. Plain counters,
-// no clock and no I/O; each process counts from 0.
+// Counters for operators, reported by GET /v1/metrics. Plain values, no clock and no I/O; each process counts
+// from 0.
 #pragma once
 
 #include <array>
@@ -22,18 +22,20 @@
 
 struct CallCounters {
   struct Outcomes {
-    std::uint64_t success = 0;   // requests served: the call stood
-    std::uint64_t overload = 0;  // requests refused, with a time to come back
+    std::uint64_t success = 0;   // requests answered: the call was established
+    std::uint64_t overload = 0;  // requests refused, with a time after which to retry
     std::uint64_t error = 0;     // requests failed
   };
   std::map<std::string, Outcomes, std::less<>> by_class{};
-  std::uint64_t dispatches = 0;                          // attempts handed whole to setup servers
-  std::array<std::uint64_t, kEndings> attempts_ended{};  // without an answer, by Ending
-  std::uint64_t messages_ignored = 0;  // answers and releases of setup servers that belong to no live attempt
+  std::uint64_t dispatches = 0;  // attempts handed to the connections to setup servers
+  std::array<std::uint64_t, kEndings> attempts_ended{};  // attempts that ended without an answer, by Ending
+  std::uint64_t messages_ignored =
+      0;  // answers and releases from setup servers that match no current attempt
   std::uint64_t reload_success = 0;
   std::uint64_t reload_failure = 0;
 
-  // Classes are counted from when they are known: a caller cannot make more of them by naming others.
+  // Counts a class from now on. Unknown classes are not counted: a caller must not be able to create entries
+  // by naming classes.
   void add_class(const std::string& call_class) { by_class[call_class]; }
   void served(std::string_view call_class) { count(call_class, &Outcomes::success); }
   void refused(std::string_view call_class) { count(call_class, &Outcomes::overload); }
--- a/src/core/calls.hpp
+++ b/src/core/calls.hpp
@@ -1,4 +1,5 @@
-// What fronts and the core tell each other, in plain values: no wire, no socket.
+// The interface between the fronts (which talk to callers) and the service that sets up calls, in plain
+// values: no wire format, no sockets.
 #pragma once
 
 #include <optional>
@@ -8,7 +9,7 @@
 
 namespace quartzarch {
 
-// Causes of a release (Q.850's numbers), as both wires use them.
+// Release causes (Q.850 numbers), used in the protocols of callers and of setup servers alike.
 namespace cause {
 inline constexpr int kNormal = 16;
 inline constexpr int kBusy = 17;
@@ -20,28 +21,30 @@
 inline constexpr int kTimer = 102;
 }  // namespace cause
 
-// By which front a call came.
+// The protocol of the front that received a call.
 enum class FrontProtocol : std::uint8_t { binary, sip };
 
+// A request of a caller to set up a call.
 struct Request {
   CallId call = 0;
   FrontProtocol protocol = FrontProtocol::binary;
-  std::uint32_t caller = 0;   // IPv4 address of the connection's other end, in host order; 0: unknown
-  std::string call_class{};   // its name in the settings
-  std::string number{};       // the number called, as the caller wrote it
-  std::string description{};  // passed on unchanged
-  std::optional<Duration> caller_timeout{};  // from when the caller sent it; absent: the class's deadline
+  std::uint32_t caller = 0;   // IPv4 address of the remote end of the connection, in host order; 0: unknown
+  std::string call_class{};   // name of the class in the settings
+  std::string number{};       // the called number, as the caller wrote it
+  std::string description{};  // the session description, passed on unchanged
+  std::optional<Duration> caller_timeout{};  // counted from received_at; absent: the class's deadline
   Time received_at{};
-  int first_choice = -1;
-  int advised = -1;
-  bool retry = false;
-  bool cut = false;  // it stood, was cut and comes again
+  int first_choice = -1;  // number of the setup server that the request names first; -1: none
+  int advised = -1;       // number of the server that had most room, as the request says ("via"); -1: none
+  bool retry = false;     // marked by the caller as a repeated try
+  bool cut = false;       // the call was established, was cut and is set up again
 };
 
 enum class Failure { error, timed_out };
 
-// What a front hears of its calls. Of answer, refuse and fail exactly one comes for each request, unless it
-// was withdrawn; over comes once for a call that was answered and was not released by the front.
+// Receives the results of a front's calls. For each request exactly one of answer, refuse and fail is called,
+// unless the front cancelled it; call_ended is called once for a call that was answered and that the front
+// did not release.
 class Front {
  public:
   virtual ~Front() = default;
@@ -51,28 +54,29 @@
   virtual void call_ended(CallId call, int cause) = 0;
 };
 
-// What stands before the decisions and may turn a call away: gaps that were announced, for one.
+// Checks each call before it is dispatched and may reject it; implemented by the call gaps that operators
+// announce.
 class AdmissionFilter {
  public:
   virtual ~AdmissionFilter() = default;
-  // Nothing: it may go on. Else for how long the caller is to stay away.
+  // Absent: the call is admitted. Else it is rejected, and the caller is to retry after this time.
   virtual std::optional<Duration> rejected_for(const Request& request, Time now) = 0;
-  // What became of one that went on.
+  // The results of admitted calls.
   virtual void answered(const Request& request, Time now) = 0;
   virtual void refused(const Request& request, Time now) = 0;
 };
 
-// What fronts ask for.
+// Sets up, cancels and releases calls for the fronts.
 class CallService {
  public:
   virtual ~CallService() = default;
-  // The front must outlive the call.
+  // `front` receives the result and must outlive the call.
   virtual void request(Request request, Front& front) = 0;
-  // The caller has stopped waiting; nothing is owed any more.
+  // The caller has stopped waiting; it gets no answer any more.
   virtual void cancel(CallId call) = 0;
-  // The caller ends a call that stands.
+  // The caller ends an established call.
   virtual void release(CallId call, int cause) = 0;
-  // The list of servers is known.
+  // True once the list of setup servers is known.
   virtual bool ready() const = 0;
 };
 
--- a/src/core/drain.hpp
+++ b/src/core/drain.hpp
@@ -1,5 +1,6 @@
-// Whether this call controller takes new work: drained by an operator or stopping, it says no when asked if
-// it is ready, serves what is open and empties the connections of callers. Time is passed in; no I/O.
+// Decides whether this call controller takes new work. While drained by an operator or stopping, it reports
+// not ready, serves what is open and closes the connections of callers as they become idle. Time is passed
+// in; no I/O.
 #pragma once
 
 #include <optional>
@@ -9,9 +10,10 @@
 
 namespace quartzarch {
 
+// The drain state of one process, and what follows from it for its fronts.
 class Drain {
  public:
-  // POST /v1/call-controller/drain; a second one changes nothing.
+  // POST /v1/call-controller/drain; repeating it has no effect.
   void drain(Time now) {
     drained_by_operator_ = true;
     begin(now);
@@ -21,44 +23,46 @@
     drained_by_operator_ = false;
     draining_since_.reset();
   }
-  // SIGTERM came at `now`: not ready for good, and drained from then on unless it was already.
+  // SIGTERM arrived at `now`: from then on not ready for good, and draining unless it was already.
   void stop(Time now, const StopSchedule& schedule) {
     stop_refusal_from_ = now + schedule.refuse_from();
     begin(now);
   }
 
   bool draining() const { return draining_since_.has_value(); }
-  // GET /v1/readyz: yes only while not drained and the servers are known.
+  // The answer to GET /v1/readyz: true only while neither draining nor stopping and once the setup servers
+  // are known.
   bool ready(bool servers_known) const { return servers_known && !draining_since_ && !stop_refusal_from_; }
 
-  // A test on the callers' own port, by which the front finds out ten times a second whether to send new
-  // connections: failed by an operator's drain. A process that stops passes it: beside it one on the same
-  // address may be ready, and the front must not turn from both.
+  // The health check on the callers' own port, by which the load balancer in front finds out ten times a
+  // second whether to send new connections. An operator's drain fails it. A stopping process passes it:
+  // another process on the same address may be ready, and the load balancer must not turn away from both.
   bool passes_health_checks() const { return !drained_by_operator_; }
 
-  // How long a caller's connection with nothing open may stay quiet before it is closed; none: as ever.
-  // Fronts stop sending new connections 0.2 s after a no, but clients go on using those they hold, and 4 s
-  // after the drain none may be held idle or in use: first those quiet for a while go, after
-  // kCloseAllIdleAfter all that are empty.
+  // How long a caller's connection with no open call may stay idle before it is closed; absent: the usual
+  // limit applies. Load balancers stop sending new connections 0.2 s after a failed check, but clients go on
+  // using those they hold, and 4 s after the drain began none may be left, idle or in use. Connections idle
+  // for kIdleTimeout are closed first, after kCloseAllIdleAfter all that have no open call.
   std::optional<Duration> idle_timeout(Time now) const {
     if (!draining_since_) return std::nullopt;
     if (refused_by_stop(now)) return Duration{0};
     return now - *draining_since_ < kCloseAllIdleAfter ? kIdleTimeout : Duration{0};
   }
 
-  // From kRefuseAfter on, new requests are refused at once with kRetryAfter, so that what is open can be
-  // emptied and closed before 4 s are over even on a connection that its client never stops using. A stop has
-  // less time: its schedule says from when on.
+  // From kRefuseAfter on, new requests are refused at once, to be retried after kRetryAfter; absent: they are
+  // not refused. So open calls can finish and connections be closed within 4 s, even on a connection that its
+  // client never stops using. A stop has less time: its schedule says when refusing begins.
   std::optional<Duration> refusal_retry_after(Time now) const {
     if (refused_by_stop(now)) return kRetryAfter;
     if (!draining_since_ || now - *draining_since_ < kRefuseAfter) return std::nullopt;
     return kRetryAfter;
   }
-  // From then on a drained process may be looked at from outside for what it still holds.
+  // True from the time on when a drained process may be inspected from outside for what it still holds.
   bool is_inspectable(Time now) const {
     return drained_by_operator_ && draining_since_ && now - *draining_since_ >= kInspectableAfter;
   }
-  // How often connections are looked at: often while they are being emptied.
+  // The interval between checks of the connections: `otherwise`, or kDrainSweepInterval while all idle ones
+  // are being closed.
   Duration sweep_interval(Time now, Duration otherwise) const {
     return idle_timeout(now) == Duration{0} ? kDrainSweepInterval : otherwise;
   }
@@ -77,7 +81,7 @@
   std::optional<Time> draining_since_{};
   bool refused_by_stop(Time now) const { return stop_refusal_from_ && now >= *stop_refusal_from_; }
 
-  bool drained_by_operator_ = false;  // by an operator
+  bool drained_by_operator_ = false;  // drained by an operator
   std::optional<Time> stop_refusal_from_{};
 };
 
--- a/src/core/exchange.hpp
+++ b/src/core/exchange.hpp
@@ -1,5 +1,5 @@
-// One call between its front and its server: the only place where the two sides meet. Whatever happens on
-// either, the front gets one final answer, and `over` only after it was told that the call stands.
+// The state of one call between its front and its setup server, the only place where both sides meet.
+// Guarantees that the front gets exactly one final answer, and call_ended only for a call that was answered.
 #pragma once
 
 #include <optional>
@@ -17,18 +17,21 @@
     unsigned number = 0;
     ServerId server{};
     Time sent_at{};
-    bool dispatched = false;  // handed to the server side
-    // The cause with which the server has said that its call is over, while its answer is still to come.
+    bool dispatched = false;  // handed to the connections to the server
+    // The cause with which the server ended the call before its answer arrived; the answer is still awaited.
     std::optional<int> early_end_cause{};
   };
 
   Exchange(Request request, Front& front) : request_(std::move(request)), front_(&front) {}
 
   const Request& request() const { return request_; }
+  // The front has not got its final answer yet.
   bool answer_pending() const { return state_ == State::pending; }
   bool established() const { return state_ == State::established; }
   Time deadline() const { return request_.received_at + request_.caller_timeout.value_or(Duration{0}); }
 
+  // The calls below report to the front. Each does nothing if the call is not in the state it needs;
+  // answer() returns whether the front was told.
   bool answer(std::string description) {
     if (!leave_pending(State::established)) return false;
     front_->answer(request_.call, std::move(description));
@@ -43,16 +46,16 @@
   void end(int cause) {
     if (std::exchange(state_, State::closed) == State::established) front_->call_ended(request_.call, cause);
   }
-  // The caller has left or ended the call: it hears nothing more.
+  // The caller has left or ended the call: the front is told nothing more.
   void close() {
     state_ = State::closed;
     request_.description = {};
   }
 
-  std::optional<Attempt> attempt{};    // the one that is out or stands
-  EarlierAttempts earlier_attempts{};  // what those before it left open
-  unsigned attempts_made = 0;          // made so far
-  bool last_timed_out = false;         // the last one did
+  std::optional<Attempt> attempt{};    // in flight or established
+  EarlierAttempts earlier_attempts{};  // what may still arrive for those before it
+  unsigned attempts_made = 0;          // including the current one
+  bool last_timed_out = false;         // the last attempt ended by a time-out
 
  private:
   enum class State { pending, established, closed };
@@ -60,7 +63,7 @@
   bool leave_pending(State to) {
     if (state_ != State::pending) return false;
     state_ = to;
-    request_.description = {};  // nothing is sent again
+    request_.description = {};  // no attempt follows that would need it
     return true;
   }
 
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -7,10 +7,12 @@
 namespace quartzarch {
 namespace {
 
+// Ended calls are remembered up to this number; the oldest are forgotten first.
 constexpr std::size_t kMaxEndedCalls = 20000;
 constexpr Duration kRetryAfterWhenFull = std::chrono::seconds(1);
 
-// The number called as the controller's key: 16 hex digits as they are, anything else by its FNV-1a hash.
+// The called number as the controller's key: up to 16 hex digits by their value, anything else by its FNV-1a
+// hash.
 std::uint64_t number_key(std::string_view number) {
   if (number.empty()) return 0;
   std::uint64_t key = 0;
@@ -21,6 +23,7 @@
   return key;
 }
 
+// The controller's cause for the note that a setup server gives with a refusal.
 Cause cause_from_note(std::string_view note) {
   if (note == "blocked") return Cause::no_circuit;
   if (note == "bounced" || note == "far_swamped") return Cause::turned_back;
@@ -29,6 +32,7 @@
   return Cause::none;
 }
 
+// The ending of an attempt that a server refused with the release cause `why`.
 Ending refusal_ending(int why) {
   switch (why) {
     case cause::kNoCircuit:
@@ -55,12 +59,12 @@
   loop_.at_each_end([this] { return send_due(); });
 }
 
-// ---- The list
+// ---- The list of setup servers
 
 void Planner::update_servers(const ServerListUpdate& update) {
   server_list_known_ = true;
   const ServerInventory::Change change = server_inventory_.apply(update);
-  // What ran at an address that has another process now, or none, is cut.
+  // Calls established at an address that has another process now, or none, are cut.
   for (const ServerId& server : change.replaced) {
     on_process_gone(server);
     servers_.disconnect(server);
@@ -101,13 +105,13 @@
       kept[static_cast<std::size_t>(at - names.begin())] = true;
       continue;
     }
-    // A new or changed class takes a new place; calls of the old one keep theirs.
+    // A new or changed class is appended; calls of the old one keep their index.
     table.push_back(wanted);
     names.push_back(name);
     kept.push_back(true);
     counters_.add_class(name);
   }
-  // What vanished, or was replaced by a later place, is no longer found by its name.
+  // A class that was removed, or replaced by an appended one, is no longer found by its name.
   for (std::size_t i = 0; i < names.size(); ++i) {
     if (!kept[i]) names[i].clear();
   }
@@ -122,12 +126,13 @@
   const CallId call = request.call;
   if (const Exchange* const known = find(call)) {
     log_.line("call %s: a second set-up with its id", call_text(call).c_str());
-    // The first one's caller has left and its attempt is out: a second one may not be, and this caller is
-    // owed an answer. While the first one's answer is owed, or its call stands, it is that one's.
+    // If the first one's caller has left but its attempt is still in flight, no second attempt may be made,
+    // and this caller needs an answer. While the first one is unanswered or its call is established, the id
+    // belongs to that one and nothing is answered here.
     if (!known->answer_pending() && !known->established()) front.refuse(call, kRetryAfterWhenFull);
     return;
   }
-  // Answers given before anything is decided, counted as all others are.
+  // Answers given without asking the controller; they are counted like all others.
   const auto fail_now = [&] {
     counters_.failed(request.call_class);
     front.fail(call, Failure::error);
@@ -136,8 +141,8 @@
     counters_.refused(request.call_class);
     front.refuse(call, retry_after);
   };
-  // Every set-up gets a new id. One that is over may still be heard of by its id, and a broken caller that
-  // asks under one id without end must not make an attempt of each.
+  // Callers use a new id for every set-up. Messages about an ended call may still arrive under its id, and a
+  // faulty caller that reuses one id endlessly must not cause an attempt each time.
   if (ended_calls_.count(call) > 0) return fail_now();
   const auto& names = start_.class_names;
   const auto name =
@@ -154,16 +159,17 @@
     log_.line("call %s: nothing a setup server can read, failed", call_text(call).c_str());
     return fail_now();
   }
-  if (const auto away = drain_ ? drain_->refusal_retry_after(loop_.now()) : std::nullopt)
-    return refuse_now(*away);
+  if (const auto retry_after = drain_ ? drain_->refusal_retry_after(loop_.now()) : std::nullopt)
+    return refuse_now(*retry_after);
   if (admission_filter_) {
-    if (const auto away = admission_filter_->rejected_for(request, loop_.now())) return refuse_now(*away);
+    if (const auto retry_after = admission_filter_->rejected_for(request, loop_.now()))
+      return refuse_now(*retry_after);
   }
   CallArrived event;
   event.call = call;
   event.call_class = static_cast<unsigned>(name - names.begin());
   event.key = number_key(request.number);
-  // No caller waits longer than its class lets it, whatever it says.
+  // The deadline of the class limits the caller's time-out, whatever the request says.
   const Duration longest = start_.settings.classes[event.call_class].deadline;
   if (!request.caller_timeout || (longest > Duration{0} && *request.caller_timeout > longest))
     request.caller_timeout = longest;
@@ -178,12 +184,12 @@
   deliver(event);
 }
 
-void Planner::recheck_held_calls(const std::function<std::optional<Duration>(const Request&)>& turns_away) {
+void Planner::recheck_held_calls(const std::function<std::optional<Duration>(const Request&)>& rejected_for) {
   std::vector<CallId> held;
   for (const auto& [call, exchange] : calls_) {
     if (exchange.answer_pending() && !exchange.attempt) held.push_back(call);
   }
-  // In the order in which they came, whatever the table's.
+  // In order of arrival, independent of the order of the hash table.
   std::sort(held.begin(), held.end(), [this](CallId a, CallId b) {
     const Time first = find(a)->request().received_at, second = find(b)->request().received_at;
     return first != second ? first < second : a < b;
@@ -191,26 +197,26 @@
   for (const CallId call : held) {
     Exchange* const exchange = find(call);
     if (!exchange || !exchange->answer_pending() || exchange->attempt) continue;
-    const auto away = turns_away(exchange->request());
-    if (!away) continue;
+    const auto retry_after = rejected_for(exchange->request());
+    if (!retry_after) continue;
     clear_pending(*exchange);
     counters_.refused(exchange->request().call_class);
-    exchange->refuse(*away);
+    exchange->refuse(*retry_after);
     withdraw(call);
   }
 }
 
 Duration Planner::longest_aim() const { return longest_aim_of(start_.settings.classes); }
 
-// The controller hears nothing of it: what it still decides about these calls finds none, and each event
-// would have it look at all calls that it holds.
+// The controller is not told: its later actions for these calls find no call and do nothing, and each event
+// would make it examine all calls that it holds.
 void Planner::answer_pending_calls() {
-  std::vector<CallId> owed;
+  std::vector<CallId> unanswered;
   for (const auto& [call, exchange] : calls_) {
-    if (exchange.answer_pending()) owed.push_back(call);
+    if (exchange.answer_pending()) unanswered.push_back(call);
   }
-  std::sort(owed.begin(), owed.end());
-  for (const CallId call : owed) {
+  std::sort(unanswered.begin(), unanswered.end());
+  for (const CallId call : unanswered) {
     Exchange& exchange = *find(call);
     answer_without_server(exchange);
     if (exchange.attempt && exchange.attempt->dispatched)
@@ -240,23 +246,23 @@
   withdraw(call);
 }
 
-// The call needs no more attempts: its caller has left, or has its answer.
+// Ends a call that needs no more attempts because its caller has left or has its answer.
 void Planner::withdraw(CallId call) {
   deliver(CallCancelled{call});
-  Exchange* const left = find(call);
-  if (!left) return;
-  if (!left->attempt) return forget(call);
-  // An attempt that the controller did not call off is out until it ends. One that has not begun to leave
-  // never does: nobody waits for it any more.
-  const Exchange::Attempt attempt = *left->attempt;
+  Exchange* const exchange = find(call);
+  if (!exchange) return;
+  if (!exchange->attempt) return forget(call);
+  // An attempt that the controller did not cancel stays in flight until it ends. One of which nothing was
+  // written yet is withdrawn: nobody waits for it any more.
+  const Exchange::Attempt attempt = *exchange->attempt;
   if (!attempt.dispatched || servers_.withdraw_unsent(attempt.server, call))
-    attempt_ended(*left, Ending::not_sent);
+    attempt_ended(*exchange, Ending::not_sent);
 }
 
 void Planner::release(CallId call, int cause) {
   Exchange* const exchange = find(call);
   if (!exchange) {
-    // It may have been set up before this process started.
+    // The call may have been set up before this process started.
     if (ended_calls_.count(call) == 0) servers_.release_everywhere(call, cause);
     return remember_ended(call);
   }
@@ -266,7 +272,7 @@
   end_established(call, Ending::cancelled, cause, {});
 }
 
-// ---- The server side
+// ---- Messages and connections of setup servers
 
 SetUpOutcome Planner::on_call_message(const ServerId& server, ServerLine line, MessageOrigin origin) {
   Exchange* const exchange = find(line.call);
@@ -285,18 +291,19 @@
   const bool has_ended = ended_calls_.count(line.call) > 0;
   if (line.op == ServerOp::accept) {
     if (!has_ended) return ignore(server, line, "unknown call");
-    // Nobody will ever use the call.
+    // No caller will use the call.
     log_.call_line("call %s: late answer of %s, released there", call_text(line.call).c_str(),
                    server_text(server).c_str());
     return servers_.release(server, line.call, cause::kNormal);
   }
-  // It may have stood before this process started: its caller must still hear that it is over.
-  const bool over = line.why == cause::kNormal || line.why == cause::kTemporary;
+  // The call may have been established before this process started: its caller must still be told of its end.
+  const bool call_over = line.why == cause::kNormal || line.why == cause::kTemporary;
   remember_ended(line.call);
-  if (!has_ended && over && unknown_call_front_) unknown_call_front_->call_ended(line.call, line.why);
+  if (!has_ended && call_over && unknown_call_front_) unknown_call_front_->call_ended(line.call, line.why);
 }
 
-// Of an earlier attempt there, which is over: a call that stands by it has nobody to use it.
+// The message concerns an earlier attempt at that server, which has ended. A call that it established has no
+// caller and is released.
 void Planner::handle_other_server_message(const Exchange& exchange, const ServerId& server,
                                           const ServerLine& line) {
   if (line.op != ServerOp::accept) return ignore(server, line, "the attempt is at another server");
@@ -324,11 +331,11 @@
 SetUpOutcome Planner::handle_attempt_message(Exchange& exchange, const ServerId& server, ServerLine line,
                                              MessageOrigin origin) {
   const CallId call = line.call;
-  const Duration out_for = exchange.attempt ? loop_.now() - exchange.attempt->sent_at : Duration{0};
+  const Duration elapsed = exchange.attempt ? loop_.now() - exchange.attempt->sent_at : Duration{0};
   const MessageRule rule =
       *find_rule(state_of(exchange, origin.set_up_is_out), message_of(line), origin.connection,
-                 exchange.earlier_attempts.at(server), attempt_age(out_for));
-  const Ending over = line.why == cause::kNormal ? Ending::completed : Ending::reset;
+                 exchange.earlier_attempts.at(server), attempt_age(elapsed));
+  const Ending ending = line.why == cause::kNormal ? Ending::completed : Ending::reset;
   if (rule.verdict == Verdict::refused || rule.verdict == Verdict::give_up) {
     log_message(
         server, line,
@@ -351,11 +358,11 @@
       abandon_attempt(exchange);
       return SetUpOutcome::settled;
     case Verdict::ended:
-      end_established(call, over, line.why, parse_load(line.load));
+      end_established(call, ending, line.why, parse_load(line.load));
       return SetUpOutcome::settled;
     case Verdict::ended_and_release:
       servers_.release(server, call, cause::kNormal);
-      end_established(call, over, line.why, parse_load(line.load));
+      end_established(call, ending, line.why, parse_load(line.load));
       return SetUpOutcome::settled;
   }
   return SetUpOutcome::open;
@@ -364,7 +371,7 @@
 SetUpOutcome Planner::handle_answer(Exchange& exchange, ServerLine line) {
   const Exchange::Attempt attempt = *exchange.attempt;
   if (!exchange.answer_pending()) {
-    // Its caller has left: nobody will ever use the call.
+    // Its caller has left and will not use the call.
     servers_.release(attempt.server, line.call, cause::kNormal);
     attempt_ended(exchange, Ending::cancelled);
     return SetUpOutcome::settled;
@@ -376,25 +383,26 @@
   deliver(SetupStood{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent_at});
   if (!line.load.empty()) on_load_report(attempt.server, parse_load(line.load));
   if (!attempt.early_end_cause) return SetUpOutcome::established;
-  const Ending over = *attempt.early_end_cause == cause::kNormal ? Ending::completed : Ending::reset;
-  end_established(line.call, over, *attempt.early_end_cause, {});
+  const Ending ending = *attempt.early_end_cause == cause::kNormal ? Ending::completed : Ending::reset;
+  end_established(line.call, ending, *attempt.early_end_cause, {});
   return SetUpOutcome::settled;
 }
 
-// What has stood and is over is told within 1 s: answered and ended if the answer still comes, else failed.
+// A call that was established and has ended must be reported to its caller within 1 s: answered and ended if
+// the answer still arrives, else failed.
 void Planner::await_answer_of_ended_call(Exchange& exchange, int cause) {
   if (std::exchange(exchange.attempt->early_end_cause, cause)) return;
   const CallId call = exchange.request().call;
   loop_.at(loop_.now() + kAnswerTimeoutAfterEnd, [this, call, number = exchange.attempt->number] {
     Exchange* const ended = find(call);
     if (!ended || !ended->attempt || ended->attempt->number != number || ended->established()) return;
-    log_.call_line("call %s: over before its answer came", call_text(call).c_str());
+    log_.call_line("call %s: ended before its answer arrived", call_text(call).c_str());
     answer_without_server(*ended);
     withdraw(call);
   });
 }
 
-// The server may have meant this attempt or an earlier one. Ended from here, it is over either way.
+// The server's message may concern this attempt or an earlier one. Releasing the call ends it in either case.
 void Planner::abandon_attempt(Exchange& exchange) {
   servers_.release(exchange.attempt->server, exchange.request().call, cause::kNormal);
   attempt_ended(exchange, Ending::reset, Cause::connection_lost);
@@ -404,7 +412,7 @@
   Exchange* const exchange = find(call);
   if (!exchange || !exchange->attempt || exchange->established()) return;
   if (exchange->attempt->server != server || exchange->attempt->number != attempt) return;
-  // A connection that broke says nothing of the process behind it; one that cannot be made does.
+  // A broken connection tells nothing about the server process; a connection that cannot be made does.
   attempt_ended(*exchange, how == SetUpLoss::sent ? Ending::reset : Ending::not_connected,
                 how == SetUpLoss::unreachable ? Cause::none : Cause::connection_lost);
 }
@@ -429,7 +437,7 @@
   for (const CallId call : cut) end_established(call, Ending::reset, cause::kTemporary, {});
 }
 
-// Some may stand there still: they are released, should it be there again.
+// Some calls may still be established there: they are released in case the server becomes reachable again.
 void Planner::on_calls_unreachable(const ServerId& server, const std::vector<CallId>& calls) {
   log_.line("server %s: silent, %zu calls cut", server_text(server).c_str(), calls.size());
   for (const CallId call : calls) {
@@ -499,7 +507,7 @@
   log_.call_line("call %s: attempt %u at %s ended after %lld ms: %s%s", call_text(call).c_str(),
                  attempt.number, server_text(attempt.server).c_str(),
                  static_cast<long long>((loop_.now() - attempt.sent_at) / std::chrono::milliseconds(1)),
-                 std::string(ending_text(ending)).c_str(), settled ? ", nothing more is owed" : "");
+                 std::string(ending_text(ending)).c_str(), settled ? ", nothing left to answer" : "");
   if (settled) forget(call);
   deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent_at, ending, cause,
                        settled, std::nullopt, report});
@@ -517,7 +525,7 @@
 
 // ---- The controller
 
-// Events that come up while an action is carried out wait for their turn.
+// Events that arise while an action is executed are queued behind it.
 void Planner::deliver(Event event) {
   events_.push_back(std::move(event));
   if (!processing_events_) process_events();
@@ -535,7 +543,8 @@
   processing_events_ = false;
 }
 
-// A set-up leaves at the end of the pass only: what is read in the same pass may still stop it.
+// A set-up is sent only at the end of the pass of the event loop: a message read in the same pass may still
+// cancel it.
 void Planner::execute(const SendSetup& action) {
   Exchange* const exchange = find(action.call);
   if (!exchange || !exchange->answer_pending() || exchange->attempt) return;
@@ -581,7 +590,7 @@
   if (!exchange || !exchange->attempt || exchange->attempt->number != action.attempt ||
       exchange->established())
     return;
-  // Its call is over: the answer is waited for, and the call is not to be sent again.
+  // The call has already ended at the server: its answer is awaited, and the call must not be sent again.
   if (exchange->attempt->early_end_cause && exchange->answer_pending()) return;
   if (exchange->attempt->dispatched) servers_.release(exchange->attempt->server, action.call, cause::kNormal);
   attempt_ended(*exchange, Ending::cancelled);
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -1,5 +1,5 @@
-// The planner: owns the controller, the exchanges and the attempts, and carries out what the controller
-// decides. It makes no decision of its own.
+// The planner dispatches calls to setup servers: it owns the controller, which decides, and the calls with
+// their attempts, and carries out the controller's actions. It makes no routing decision of its own.
 #pragma once
 
 #include <deque>
@@ -22,8 +22,8 @@
 
 class Planner : public CallService, private Servers::Owner {
  public:
-  // What the memory is meant for: more calls at once, or more bytes of set-ups that wait, are turned away
-  // unseen.
+  // Limits that follow from the memory: beyond this many calls at once, or bytes of set-ups not answered yet,
+  // requests are refused without asking the controller.
   struct Capacity {
     std::size_t calls = 30000;
     std::size_t waiting_bytes = 32 * 1024 * 1024;
@@ -31,41 +31,44 @@
 
   Planner(Loop& loop, Logger& log, StartUp start, std::uint64_t seed, Capacity capacity);
   void set_capacity(Capacity capacity) { capacity_ = capacity; }
-  // New settings at SIGHUP: classes that appear, change or vanish, and the attempts a call may have. A
-  // request under way keeps the class it came with.
+  // Applies new settings at SIGHUP: added, changed and removed classes, and the number of attempts a call may
+  // have. A request in progress keeps the class it came with.
   void reload_settings(const StartUp& fresh);
 
+  // Applies an update of the list of setup servers.
   void update_servers(const ServerListUpdate& update);
-  // Asked for every call before anything is decided about it; it must outlive this, or null.
+  // `filter` is asked about every call before anything is decided; null for none. It must outlive the planner
+  // or be reset.
   void set_admission_filter(AdmissionFilter* filter) { admission_filter_ = filter; }
-  // While it drains, what it refuses is refused at once; it must outlive this, or null.
+  // While `drain` refuses requests, they are refused at once; null for none. It must outlive the planner or
+  // be reset.
   void set_drain(const Drain* drain) { drain_ = drain; }
-  // Asks for every call that is held, no attempt of it out, and refuses what is turned away now.
-  void recheck_held_calls(const std::function<std::optional<Duration>(const Request&)>& turns_away);
-  // Gives every call that is still owed its final answer: refused if no attempt was made, else failed. For a
-  // stop.
+  // Asks `rejected_for` about every call that is held without an attempt in flight, and refuses those for
+  // which it returns a time after which to retry.
+  void recheck_held_calls(const std::function<std::optional<Duration>(const Request&)>& rejected_for);
+  // Gives every unanswered call its final answer, for a stop: refused if no attempt was made, else failed.
   void answer_pending_calls();
-  // Hears of calls that were answered before this process started and are over now.
+  // `front` is told of the end of calls that were answered before this process started.
   void set_unknown_call_front(Front& front) { unknown_call_front_ = &front; }
 
   void request(Request request, Front& front) override;
   void cancel(CallId call) override;
   void release(CallId call, int cause) override;
   bool ready() const override { return server_list_known_; }
-  // Of all classes, those taken at SIGHUP included.
+  // Over all classes, including those added at SIGHUP.
   Duration longest_deadline() const { return start_.longest_deadline; }
   Duration longest_aim() const;
 
-  // What setup servers are to hear has been written.
+  // True when every message to setup servers has been written.
   bool idle() const { return servers_.idle(); }
-  // Requests that still have their answer to come.
+  // Number of requests without a final answer yet.
   std::size_t pending_answers() const { return pending_answers_; }
-  // Requests taken and not ended: owed their answer, or calls that stand.
+  // Number of requests in progress: unanswered ones and established calls.
   std::size_t concurrent() const;
-  // What was answered how, and what went to servers; a reload is counted by whoever reads the file.
+  // Results of requests, and attempts at servers. Reloads are counted by the code that reads the file.
   const CallCounters& counters() const { return counters_; }
   CallCounters& counters() { return counters_; }
-  // Servers in the list that are not gone, and those of them that are draining or cannot be reached.
+  // Number of listed servers that are not gone, and of those among them that are draining or unreachable.
   std::size_t targets() const;
   std::size_t targets_disabled() const;
 
@@ -79,8 +82,8 @@
   void on_calls_unreachable(const ServerId& server, const std::vector<CallId>& calls) override;
   std::vector<CallId> established_at(const ServerId& server) const;
 
-  // The steps of on_call_message: for a call that is not known here, one whose attempt is at another server,
-  // and one whose attempt is at this server.
+  // The cases of on_call_message: a call that is not known here, one whose attempt is at another server, and
+  // one whose attempt is at this server.
   void handle_unknown_call_message(const ServerId& server, const ServerLine& line);
   void handle_other_server_message(const Exchange& exchange, const ServerId& server, const ServerLine& line);
   SetUpOutcome handle_attempt_message(Exchange& exchange, const ServerId& server, ServerLine line,
@@ -88,7 +91,7 @@
   SetUpOutcome handle_answer(Exchange& exchange, ServerLine line);
   void abandon_attempt(Exchange& exchange);
   void await_answer_of_ended_call(Exchange& exchange, int cause);
-  // The final answer to a call that is owed one and gets none from a server: refused if no attempt was made,
+  // Gives an unanswered call that gets no answer from a server its final one: refused if no attempt was made,
   // else failed.
   void answer_without_server(Exchange& exchange);
   void answer_failed(Exchange& exchange);
@@ -102,7 +105,7 @@
   void watch_deadline(const Exchange& exchange, Time at);
   void end_established(CallId call, Ending ending, int cause, const LoadReport& report);
   void log_message(const ServerId& server, const ServerLine& line, const char* meaning);
-  // Logs and counts a server's message that belongs to no live attempt.
+  // Logs and counts a server's message that matches no current attempt.
   void ignore(const ServerId& server, const ServerLine& line, const char* reason);
   void forget(CallId call);
   void remember_ended(CallId call);
@@ -113,13 +116,13 @@
   void execute(const Fail& action);
   void execute(const SetTimer& action);
   void execute(const Log& action);
-  // The settings rule these out here, and the controller keeps to that.
+  // The settings exclude these actions, and the controller does not issue them.
   void execute(const Probe&) {}
   void execute(const TellPeer&) {}
   void execute(const Subscribe&) {}
 
   Exchange* find(CallId call);
-  // Nothing is owed to its caller any more.
+  // Removes a call from the counts of unanswered ones: it is about to get its final answer, or needs none.
   void clear_pending(const Exchange& exchange);
 
   Loop& loop_;
@@ -131,13 +134,14 @@
   bool server_list_known_ = false;
   Calls calls_;
   std::size_t pending_answers_ = 0;
-  std::size_t waiting_bytes_ = 0;  // of the descriptions of those
+  std::size_t waiting_bytes_ = 0;  // size of the descriptions of those
   Capacity capacity_;
   std::deque<Event> events_;
   bool processing_events_ = false;
-  std::vector<std::pair<CallId, unsigned>> due_attempts_;  // attempts to be sent at the end of the pass
-  std::unordered_set<CallId> ended_calls_;  // calls that are over, so that nothing is told twice
-  std::deque<CallId> ended_calls_order_;
+  std::vector<std::pair<CallId, unsigned>>
+      due_attempts_;                        // attempts to be sent at the end of this pass of the event loop
+  std::unordered_set<CallId> ended_calls_;  // recently ended calls, so that no end is reported twice
+  std::deque<CallId> ended_calls_order_;    // the same, oldest first, for eviction
   Front* unknown_call_front_ = nullptr;
   AdmissionFilter* admission_filter_ = nullptr;
   const Drain* drain_ = nullptr;
--- a/src/core/server_inventory.cpp
+++ b/src/core/server_inventory.cpp
@@ -25,7 +25,7 @@
   };
   for (const Host& host : update.hosts) {
     touch(host.entry.id);
-    // A host may come back at another address.
+    // A host may have moved: its former address is affected too.
     if (const auto known = hosts_.find(host.name); known != hosts_.end()) touch(known->second.entry.id);
   }
   if (update.full) {
@@ -48,7 +48,7 @@
     if (gone) entry.availability = Availability::gone;
     change.list.entries.push_back(entry);
   }
-  // What is told as gone needs no keeping.
+  // Hosts that are gone have been reported in `change` and need not be kept.
   std::erase_if(hosts_,
                 [](const auto& item) { return item.second.entry.availability == Availability::gone; });
   return change;
--- a/src/core/server_inventory.hpp
+++ b/src/core/server_inventory.hpp
@@ -1,4 +1,4 @@
-// News of the setup servers as the coordinator gives them, and the list that they add up to.
+// The setup servers as the coordinator reports them: updates, and the inventory they add up to.
 #pragma once
 
 #include <map>
@@ -9,28 +9,33 @@
 
 namespace quartzarch {
 
+// A host that runs a setup server, with its name at the coordinator.
 struct Host {
   std::string name{};
   ServerEntry entry{};
 };
 
+// One update of the coordinator.
 struct ServerListUpdate {
-  std::uint64_t index = 0;
-  bool full = false;
+  std::uint64_t index = 0;  // the coordinator's number of this update
+  bool full = false;        // replaces all hosts; otherwise only those that changed
   std::vector<Host> hosts{};
 };
 
-// The hosts by name. The controller knows servers by address only, and a new host may have the address of one
-// that has gone: for each address the host that runs there counts, before any that has gone.
+// All hosts by name. The controller knows servers by address only, and a new host may have the address of one
+// that is gone. For each address the inventory reports the host that runs there, in preference to any that is
+// gone.
 class ServerInventory {
  public:
   struct Change {
     ServerList list{};                 // for the controller
-    std::vector<ServerId> replaced{};  // whose process has gone or is another one now
+    std::vector<ServerId> replaced{};  // servers whose process is gone or is a different one now
   };
+  // Merges an update and returns what changed for each address it concerns.
   Change apply(const ServerListUpdate& update);
 
  private:
+  // The host that counts for an address: one that is not gone, else the one started last.
   const Host* at(const ServerId& address) const;
 
   std::map<std::string, Host> hosts_;
