--- a/src/net/server_lines.cpp
+++ b/src/net/server_lines.cpp
@@ -11,11 +11,13 @@
 namespace quartzarch {
 namespace {
 
-// A cursor over one line. Every step gives false or nothing once the line is not JSON.
+// A JSON parser that reads one line from left to right. Each function returns false or nothing if the input
+// is not valid JSON.
 class Scanner {
  public:
   explicit Scanner(std::string_view text) : text_(text) {}
 
+  // Skips white space, then consumes `wanted` if it is next.
   bool take(char wanted) {
     skip();
     if (at_ >= text_.size() || text_[at_] != wanted) return false;
@@ -31,20 +33,20 @@
     if (!take('"')) return std::nullopt;
     std::string out;
     while (at_ < text_.size()) {
-      std::size_t plain = at_;
-      while (plain < text_.size() && text_[plain] != '"' && text_[plain] != '\\') {
-        if (static_cast<unsigned char>(text_[plain++]) < ' ') return std::nullopt;  // noise
+      std::size_t end_of_plain = at_;
+      while (end_of_plain < text_.size() && text_[end_of_plain] != '"' && text_[end_of_plain] != '\\') {
+        if (static_cast<unsigned char>(text_[end_of_plain++]) < ' ') return std::nullopt;  // control
       }
-      if (plain == text_.size()) return std::nullopt;
-      out.append(text_.substr(at_, plain - at_));
-      at_ = plain + 1;
-      if (text_[plain] == '"') return out;
+      if (end_of_plain == text_.size()) return std::nullopt;
+      out.append(text_.substr(at_, end_of_plain - at_));
+      at_ = end_of_plain + 1;
+      if (text_[end_of_plain] == '"') return out;
       if (!escape(out)) return std::nullopt;
     }
     return std::nullopt;
   }
 
-  // A string's text, or a number, true, false or null as written.
+  // The decoded text of a string, or a number, true, false or null as written.
   std::optional<std::string> scalar() {
     skip();
     if (at_ < text_.size() && text_[at_] == '"') return string();
@@ -53,16 +55,16 @@
                                   std::string_view("+-.").find(text_[at_]) != std::string_view::npos)) {
       ++at_;
     }
-    const std::string_view word = text_.substr(from, at_ - from);
-    if (word != "true" && word != "false" && word != "null") {
+    const std::string_view token = text_.substr(from, at_ - from);
+    if (token != "true" && token != "false" && token != "null") {
       double value = 0;
-      const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value);
-      if (word.empty() || error != std::errc{} || end != word.data() + word.size()) return std::nullopt;
+      const auto [end, error] = std::from_chars(token.data(), token.data() + token.size(), value);
+      if (token.empty() || error != std::errc{} || end != token.data() + token.size()) return std::nullopt;
     }
-    return std::string(word);
+    return std::string(token);
   }
 
-  // Calls member(key) for each member; it must take the value and say whether it could.
+  // Calls member(key) for each member of an object; it must consume the value and return whether it could.
   template <typename Member>
   bool object(Member member) {
     if (!take('{')) return false;
@@ -75,8 +77,8 @@
   }
 
   bool skip_value(int depth = 0) {
-    constexpr int kDeepest = 16;  // no message nests; a deep one must not use up the stack
-    if (depth > kDeepest) return false;
+    constexpr int kMaxDepth = 16;  // no valid message nests deeper; limits the use of the stack
+    if (depth > kMaxDepth) return false;
     skip();
     if (at_ >= text_.size()) return false;
     if (text_[at_] == '{') {
@@ -109,10 +111,10 @@
 
   bool escape(std::string& out) {
     if (at_ >= text_.size()) return false;
-    static constexpr std::string_view kNames = "\"\\/bfnrt", kMeant = "\"\\/\b\f\n\r\t";
+    static constexpr std::string_view kNames = "\"\\/bfnrt", kValues = "\"\\/\b\f\n\r\t";
     const char name = text_[at_++];
     if (const auto found = kNames.find(name); found != std::string_view::npos) {
-      out += kMeant[found];
+      out += kValues[found];
       return true;
     }
     if (name != 'u') return false;
@@ -157,28 +159,28 @@
 std::optional<ServerLine> parse_server_line(std::string_view text) {
   if (!is_utf8(text)) return std::nullopt;
   ServerLine line;
-  Scanner in(text);
-  const auto keep = [&in](std::string& to) {
-    auto value = in.scalar();
+  Scanner scanner(text);
+  const auto read_into = [&scanner](std::string& to) {
+    auto value = scanner.scalar();
     if (value) to = std::move(*value);
     return value.has_value();
   };
   const auto field = [&](const std::string& key) {
-    if (key == "note") return keep(line.note);
-    if (key == "load") return keep(line.load);
-    return in.skip_value();
+    if (key == "note") return read_into(line.note);
+    if (key == "load") return read_into(line.load);
+    return scanner.skip_value();
   };
   std::string op, call, why;
   bool described = false;
-  const bool whole = in.object([&](const std::string& key) {
-    if (key == "op") return keep(op);
-    if (key == "call") return keep(call);
-    if (key == "why") return keep(why);
-    if (key == "desc") return described = keep(line.description);
-    if (key == "with") return in.object(field);
-    return in.skip_value();
+  const bool valid = scanner.object([&](const std::string& key) {
+    if (key == "op") return read_into(op);
+    if (key == "call") return read_into(call);
+    if (key == "why") return read_into(why);
+    if (key == "desc") return described = read_into(line.description);
+    if (key == "with") return scanner.object(field);
+    return scanner.skip_value();
   });
-  if (!whole || !in.done() || op.empty()) return std::nullopt;
+  if (!valid || !scanner.done() || op.empty()) return std::nullopt;
   line.op = op_of(op);
   const auto id = parse_call(call);
   if (!id && (line.op == ServerOp::accept || line.op == ServerOp::end)) return std::nullopt;
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -14,31 +14,35 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kMaxMessageBytes = 16 * 1024;
-constexpr std::size_t kMaxLeftDigits = 16;  // digits of the time that is left
-constexpr std::size_t kMaxQueued = 4096;
-// A line comes in one piece or is cut: the rest will not come, nor anything else on that connection.
+constexpr std::size_t kMaxLeftDigits = 16;  // digits of the field "left", the time until the deadline
+constexpr std::size_t kMaxQueued = 4096;    // messages for one server while no connection is up
+// Servers write a line in one piece. If its rest does not arrive within this time, nothing more will arrive
+// on that connection.
 constexpr Duration kPartialLineTimeout = milliseconds(300);
-// A connection that brings nothing while what was sent later on others is answered is of no more use, nor are
-// all of them if the server brings nothing at all for long: its machine may be cut off.
+// A connection is unusable if nothing has arrived on it for kOvertakenSilenceTimeout since a set-up was sent,
+// while set-ups sent later (by more than kOvertakenMargin) on other connections were answered. After
+// kSilenceTimeout it is unusable even if the server answers nothing at all: its machine may be cut off.
 constexpr Duration kOvertakenSilenceTimeout = milliseconds(150);
 constexpr Duration kOvertakenMargin = milliseconds(50);
 constexpr Duration kSilenceTimeout = milliseconds(3000);
-// Callers hear within 8 s of a call's end although its server could tell nobody. Where a connection that
-// would bring the end of a call has been silent for so long, a new one is opened; if none comes up, the call
-// is given up.
+// Callers must learn of a call's end within 8 s even if its server could not report it. When the connection
+// that would carry the end of a call has been silent for kLivenessTestAfter, a new one is opened as a
+// liveness test, at most one per kLivenessTestInterval. If none comes up, the call is given up after
+// kUnreachableAfter.
 constexpr Duration kLivenessTestAfter = milliseconds(4500);
 constexpr Duration kLivenessTestInterval = milliseconds(500);
 constexpr Duration kUnreachableAfter = milliseconds(6700);
-// By then the server knows that a connection was closed from here, and has written to it for the last time.
+// After this time the server has noticed that this process closed a connection and writes nothing more to it.
 constexpr Duration kCloseSettleTime = milliseconds(250);
+// How often all connections are checked for silence and incomplete lines.
 constexpr Duration kCheckInterval = milliseconds(50);
-// A release that was written this shortly before its connection broke may not have been read.
+// A release written this shortly before its connection broke may not have been read, and is sent again.
 constexpr Duration kReleaseRepeatWindow = milliseconds(1000);
 constexpr Duration kInitialBackoff = milliseconds(250);
 constexpr Duration kMaxBackoff = milliseconds(4000);
-// Without a socket of its own to be had, a connection is tried again after this.
+// Delay before the next try when this process could not get a socket.
 constexpr Duration kNoSocketBackoff = milliseconds(100);
-// A segment's tag: the call whose set-up it is; 0 for others.
+// The tag of a segment that is not a set-up; set-ups are tagged with their call id.
 constexpr std::uint64_t kNoSetUpTag = 0;
 
 sockaddr_in socket_address(const ServerId& server) {
@@ -110,14 +114,14 @@
   return {};
 }
 
-// It is in the middle of a line, or has owed an answer for a while.
+// A connection is suspect if it is in the middle of a line or has left a set-up unanswered for a while.
 bool Servers::is_suspect(const Connection& connection) const {
   return connection.partial_line_since ||
          loop_.now() - connection.unanswered_since().value_or(loop_.now()) > kOvertakenMargin;
 }
 
-// Of those that are up, the first with the fewest set-ups out; one that is in the middle of a line comes
-// last.
+// Of the connections that are up, the first with the fewest set-ups in flight; suspect ones come last. Null
+// if none is up.
 Servers::Connection* Servers::best_connection(ServerState& state) {
   Connection* best = nullptr;
   const auto rank = [this](const Connection& connection) {
@@ -129,8 +133,8 @@
   return best;
 }
 
-// The connection on which an earlier attempt of the call was released a short while ago. A retry on another
-// one could overtake that release, which would then end the retry.
+// The connection on which an earlier attempt of the call was released recently, or null. A retry on another
+// connection could overtake that release, which would then end the retry.
 Servers::Connection* Servers::connection_after_release(ServerState& state, CallId call) {
   for (Connection& connection : state.connections) {
     const bool released = std::any_of(connection.recent_releases.begin(), connection.recent_releases.end(),
@@ -171,12 +175,13 @@
   loop_.bury(std::exchange(connection.stream, nullptr));
 }
 
-// One more connection, if there is room. One that is due later takes its place, unless none is up.
+// Opens one more connection, if the limit allows and none is being opened. While a replacement is scheduled,
+// it is not opened early unless no connection is up.
 void Servers::connect(ServerState& state) {
   if (state.replacement_timer && best_connection(state)) return;
   for (Connection& connection : state.connections) {
     if (!connection.stream) return connect(state, connection);
-    if (!connection.up()) return;  // on its way already
+    if (!connection.up()) return;  // being opened already
   }
 }
 
@@ -211,7 +216,7 @@
   QueuedMessage what{true, std::move(offer), 0};
   Connection* const released_on = connection_after_release(to, what.offer.call);
   if (Connection* const connection = released_on ? released_on : best_connection(to)) {
-    if (!connection->in_flight.empty()) connect(to);  // the next need not share it
+    if (!connection->in_flight.empty()) connect(to);  // so that the next set-up need not share this one
     return write(to, *connection, what);
   }
   if (to.queued.size() >= kMaxQueued)
@@ -227,7 +232,7 @@
     return what.is_offer && what.offer.call == call;
   });
   if (waited > 0) return true;
-  // A server that takes nothing leaves it in the line of its connection.
+  // It may still wait in the output queue of its connection, if the server reads nothing.
   for (Connection& connection : found->second.connections) {
     const auto out = connection.in_flight.find(call);
     if (out == connection.in_flight.end() || !connection.up() || !connection.stream->take_back(call))
@@ -257,7 +262,7 @@
     const auto out = each.in_flight.find(call);
     if (out == each.in_flight.end()) continue;
     connection = &each;
-    // What is given up here is no sign of silence, unless others had overtaken it.
+    // An abandoned set-up does not count as unanswered, unless later ones had overtaken it.
     const Time sent = out->second.sent_at;
     const bool overtaken = sent > each.last_received && sent + kOvertakenMargin < to.latest_answered_sent_at;
     if (overtaken && !each.abandoned_since) each.abandoned_since = sent;
@@ -267,7 +272,7 @@
   QueuedMessage what{false, {}, cause};
   what.offer.call = call;
   if (connection) return write(to, *connection, what);
-  // A call that stands survives its connection, and so does what ends it.
+  // An established call outlives its connection, so its release is queued until another one is up.
   if (to.queued.size() < kMaxQueued) to.queued.push_back(std::move(what));
   connect(to);
 }
@@ -281,7 +286,7 @@
 
 void Servers::write(ServerState& state, Connection& connection, const QueuedMessage& what) {
   if (what.is_offer) {
-    // A release of its attempt before, said again from now on, would cut this one.
+    // If an earlier attempt's release were repeated from now on, it would end this attempt.
     for (Connection& each : state.connections) {
       std::erase_if(each.recent_releases,
                     [&](const auto& item) { return item.second.offer.call == what.offer.call; });
@@ -363,7 +368,7 @@
   }
 }
 
-// After what cannot be read nothing that comes on the connection can be trusted.
+// Closes a connection that cannot be used any more: after an unreadable line nothing on it can be trusted.
 void Servers::close_unusable(Stream& stream, const char* why) {
   const ConnectionRef at = find_connection(stream);
   if (!at.state) return;
@@ -373,8 +378,8 @@
   lost(stream, Lost::closed);
 }
 
-// A release that was on its way on a connection that is closed here comes again on the next one opened, but
-// only if that opens after the server has written it.
+// A release that the server was sending on a connection closed from here is repeated on the next one opened,
+// but only if that one opens after the server has written the release. So the next connection is delayed.
 void Servers::schedule_replacement(ServerState& state) {
   if (state.replacement_timer) loop_.cancel(*state.replacement_timer);
   state.replacement_timer = loop_.at(loop_.now() + kCloseSettleTime, [this, server = state.server] {
@@ -385,8 +390,8 @@
   });
 }
 
-// The end of a connection gives up the set-ups on it; the calls that stand there go on. Only if the process
-// refuses the next connection is it gone, and its calls with it.
+// When a connection ends, the set-ups in flight on it are lost, while its established calls go on. The
+// server's process, and its calls with it, count as gone only if the next connection is refused.
 void Servers::lost(Stream& stream, Lost how) {
   const ConnectionRef at = find_connection(stream);
   if (!at.state) return;
@@ -402,7 +407,8 @@
               how == Lost::reset ? "reset" : "closed", in_flight.size());
     at.state->connection_lost = true;
     connect(*at.state);
-    // What was to be released must not stay standing: said once more, which does no harm.
+    // Calls that were being released must not stay established: the releases are sent once more, which is
+    // harmless.
     Connection* const other = best_connection(*at.state);
     for (const auto& [when, what] : releases) {
       if (loop_.now() - when > kReleaseRepeatWindow) continue;
@@ -420,7 +426,7 @@
   }
   at.state->connect_timed_out |= how == Lost::timed_out;
   if (best_connection(*at.state)) return;
-  // What waits goes on waiting: it is this process that lacks something, not the server.
+  // Queued messages stay queued: the lack is in this process, not at the server.
   if (how == Lost::unmade) {
     log_.line("server %s: no socket to be had", server_text(server).c_str());
     return connect_after(*at.state, *at.connection, kNoSocketBackoff);
@@ -440,7 +446,7 @@
   }
 }
 
-// Looks for connections that are open and of no more use.
+// Closes open connections that are silent or stuck in the middle of a line, then runs the liveness tests.
 void Servers::check_connections() {
   std::vector<std::pair<std::shared_ptr<Stream>, const char*>> unusable;
   const Time now = loop_.now();
@@ -462,8 +468,8 @@
   check_timer_ = loop_.at(loop_.now() + kCheckInterval, [this] { check_connections(); });
 }
 
-// Up to then a release of any call that stands there without a connection of its own has been heard: the
-// server may say it on any connection that is open.
+// Up to this time, any release of an established call that has lost its connection has been received: the
+// server may send it on any open connection, so the one that was silent for longest counts.
 Time Servers::last_received_on_all(const ServerState& state) const {
   std::optional<Time> oldest;
   for (const Connection& connection : state.connections) {
@@ -473,8 +479,8 @@
   return std::max(oldest.value_or(state.last_connected_at), state.last_connected_at);
 }
 
-// Calls whose end may have been said, and not heard, for so long: nothing came on the connection that would
-// bring it, and none was opened, on which it would be said again.
+// Established calls whose end may have been sent and not received for `silence`: nothing arrived on the
+// connection that would carry it, and none was opened on which the server would repeat it.
 std::vector<CallId> Servers::calls_unheard_for(const ServerState& state, Duration silence) const {
   const Time since = loop_.now() - silence;
   std::vector<CallId> calls;
@@ -494,7 +500,8 @@
   return !on_its_way && !calls_unheard_for(state, kLivenessTestAfter).empty();
 }
 
-// The place of a connection that is not there, else of the quietest, best one without set-ups on it.
+// The connection to open for a liveness test: one that is not open, else the one silent for longest, if
+// possible without set-ups in flight.
 Servers::Connection* Servers::connection_for_liveness_test(ServerState& state) {
   const auto rank = [](const Connection& connection) {
     return std::tuple(connection.stream != nullptr, !connection.in_flight.empty(), connection.last_received);
@@ -503,8 +510,8 @@
                             [&](const Connection& a, const Connection& b) { return rank(a) < rank(b); });
 }
 
-// An open connection that is quiet tells nothing: its server may have nothing to say, or its machine be gone
-// or cut off. There no new connection comes up either.
+// A silent open connection alone tells nothing: the server may have nothing to send, or its machine may be
+// gone or cut off. In the latter case no new connection comes up either, so one is opened as a test.
 void Servers::check_liveness(ServerState& state) {
   if (loop_.now() - state.last_liveness_test < kLivenessTestInterval) return;
   if (state.connect_timed_out) {
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -1,4 +1,5 @@
-// The server side: a few connections to each setup server, JSON lines, and what is out on each.
+// The connections to setup servers: a few to each server, carrying JSON lines, with the set-ups in flight and
+// the established calls of each connection.
 #pragma once
 
 #include <array>
@@ -18,47 +19,50 @@
 
 namespace quartzarch {
 
-// A set-up as a setup server gets it.
+// A set-up to be sent to a setup server.
 struct Offer {
   CallId call = 0;
   std::string call_class{};
   std::string number{};
   std::string description{};
-  Time until{};          // when this side stops waiting
+  Time until{};          // when this process stops waiting for the answer
   unsigned attempt = 0;  // its number among the attempts of the call
 };
 
-// Whether a set-up of the call that a message names is out at the server, and on which connection.
+// Whether a set-up of the call that a message names is in flight at the server, and whether the message came
+// on the same connection.
 struct MessageOrigin {
   bool set_up_is_out = false;
   MessageConnection connection = MessageConnection::other;
 };
 
-// What a server's message meant for the set-up that is out.
+// What a server's message meant for the set-up in flight.
 enum class SetUpOutcome {
-  open,         // nothing: it is still out
-  settled,      // it is not waited for any more
-  established,  // settled, and the call stands
+  open,         // nothing: it is still in flight
+  settled,      // it has ended and is not awaited any more
+  established,  // it was answered, and the call is established
 };
 
-// How a set-up was lost: with a connection that broke before it left whole, or after (it may have run), or
-// for want of any connection.
+// How a set-up was lost: its connection broke before it was written completely (unsent) or afterwards (sent:
+// the server may have executed it), or no connection could be made (unreachable).
 enum class SetUpLoss { unsent, sent, unreachable };
 
+// Keeps connections to the setup servers, sends set-ups and releases, and reports the servers' messages and
+// lost connections to its owner.
 class Servers : private Stream::Owner {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
-    // An answer, refusal or release.
+    // A server sent an answer, refusal or release.
     virtual SetUpOutcome on_call_message(const ServerId& server, ServerLine line, MessageOrigin origin) = 0;
-    // The set-up of an attempt was lost on the way.
+    // The set-up of an attempt was lost in transit.
     virtual void on_set_up_lost(const ServerId& server, CallId call, unsigned attempt, SetUpLoss how) = 0;
     virtual void on_load_report(const ServerId& server, const LoadReport& report) = 0;
-    // Its process is gone, and with it every call there.
+    // The server's process is gone, and with it every call there.
     virtual void on_process_gone(const ServerId& server) = 0;
-    // Calls that stand there and whose end could not be heard any more: the connections that would bring it
-    // are silent and no new one comes up.
+    // The end of these established calls could not be received any more: the connections that would carry it
+    // are silent, and no new one can be made.
     virtual void on_calls_unreachable(const ServerId& server, const std::vector<CallId>& calls) = 0;
   };
 
@@ -68,74 +72,77 @@
   }
   ~Servers() override;
 
-  // False for a set-up at which a setup server would close the connection, with all that is out on it: no id,
-  // text that is no UTF-8, or a line longer than a message may be.
+  // False for a set-up on which a setup server would close the connection, losing all set-ups in flight on
+  // it: one without an id, with text that is not UTF-8, or longer than a message may be.
   static bool is_sendable(const Offer& offer);
 
-  // Keeps connections open to the server, so that its news arrives.
+  // Keeps connections open to the server, so that its load reports and releases arrive.
   void keep_connected(const ServerId& server);
-  // Closes them: whatever runs there now, it is not what was known.
+  // Closes all connections to the server, whose process is gone or has been replaced.
   void disconnect(const ServerId& server);
 
+  // Sends a set-up, or queues it until a connection is up.
   void offer(const ServerId& server, Offer offer);
-  // Gives a set-up up, or releases a call that stands. Of a set-up that has not begun to leave nothing does.
+  // Abandons a set-up or releases an established call. A set-up of which nothing was written yet is withdrawn
+  // without a message.
   void release(const ServerId& server, CallId call, int cause);
-  // Whether a set-up had not begun to leave; it does not any more.
+  // Withdraws a set-up of which nothing was written yet; false if there is none.
   bool withdraw_unsent(const ServerId& server, CallId call);
-  // A call that stood there is over: its end is not awaited any more.
+  // An established call has ended: its end is not awaited any more.
   void forget_call(const ServerId& server, CallId call);
-  // No release waits to be written.
+  // True when nothing is queued or waits to be written.
   bool idle() const;
-  // Releases a call that may stand anywhere.
+  // Releases a call that may be established at any server.
   void release_everywhere(CallId call, int cause);
-  // A connection was lost and none is up since: the process there may be gone.
+  // A connection was lost and none has come up since: the process there may be gone.
   bool unreachable(const ServerId& server) const {
     const auto found = servers_.find(server);
     return found != servers_.end() && found->second.connection_lost;
   }
 
  private:
-  static constexpr std::size_t kConnectionsPerServer = 4;  // a server tells its state on at most so many
+  static constexpr std::size_t kConnectionsPerServer = 4;  // a server reports its load on at most this many
 
+  // An offer, or the release of a call (then only offer.call and cause are set).
   struct QueuedMessage {
     bool is_offer = false;
     Offer offer{};
     int cause = 0;
   };
-  // A set-up that was written and is not settled.
+  // A set-up in flight: handed to a connection and not answered, refused or abandoned.
   struct SetUp {
     unsigned attempt = 0;
     Time sent_at{};
   };
-  // One connection. What breaks it takes only the set-ups on it along, so a server has a few.
+  // One connection. A server has a few, since a broken connection loses the set-ups in flight on it.
   struct Connection {
     std::shared_ptr<Stream> stream{};
     std::map<CallId, SetUp> in_flight{};
-    std::set<CallId> established_calls{};  // calls that were answered on it and are not over
-    std::deque<std::pair<Time, QueuedMessage>> recent_releases{};  // releases written a short while ago
-    Time last_received{};                                          // the last whole line
-    std::optional<Time>
-        abandoned_since{};  // since then: when a set-up was sent that was overtaken and given up
-    std::optional<Time> partial_line_since{};  // since when a line has been waiting for its rest
-    Duration backoff{};                        // before the next try
+    std::set<CallId> established_calls{};  // calls that were answered on it and have not ended
+    std::deque<std::pair<Time, QueuedMessage>> recent_releases{};  // releases sent recently, oldest first
+    Time last_received{};                   // when the last complete line arrived, or connecting began
+    std::optional<Time> abandoned_since{};  // when the first set-up was sent that was overtaken and abandoned
+    std::optional<Time> partial_line_since{};  // since when an incomplete line has been waiting for its rest
+    Duration backoff{};                        // delay before the next connection attempt
     std::optional<Loop::TimerId> retry{};
 
     bool up() const { return stream && stream->up(); }
-    // When the first set-up was sent on it that it has brought nothing since.
+    // When the oldest set-up was sent since which nothing has arrived on this connection; absent: none.
     std::optional<Time> unanswered_since() const;
   };
+  // What is known about one setup server.
   struct ServerState {
     ServerId server{};
-    Time latest_answered_sent_at{};     // when the latest of the set-ups that were answered had been sent
-    std::set<CallId> orphaned_calls{};  // calls that stand there and whose connection is gone
-    Time last_connected_at{};   // the last connection that came up: on it what was over by then is said again
-    Time last_liveness_test{};  // the last connection made because another was silent
-    bool connect_timed_out = false;  // since the last one came up one did not
+    Time latest_answered_sent_at{};     // send time of the latest answered set-up
+    std::set<CallId> orphaned_calls{};  // established calls whose connection is gone
+    Time last_connected_at{};   // when a connection last came up; the server repeats earlier releases on it
+    Time last_liveness_test{};  // when a connection was last opened because another was silent
+    bool connect_timed_out = false;  // a connection attempt has timed out since one last came up
     std::array<Connection, kConnectionsPerServer> connections{};
-    std::vector<QueuedMessage> queued{};  // until a connection is up
-    bool keep_connected = false;
-    bool connection_lost = false;  // a connection was lost and none is up since; the process may be gone
-    std::optional<Loop::TimerId> replacement_timer{};  // a new connection is due: see close_unusable()
+    std::vector<QueuedMessage> queued{};               // to be sent when a connection is up
+    bool keep_connected = false;                       // reconnect after a loss
+    bool connection_lost = false;                      // and none has come up since; the process may be gone
+    std::optional<Loop::TimerId> replacement_timer{};  // opens a new connection: see schedule_replacement()
   };
   struct ConnectionRef {
     ServerState* state = nullptr;
