--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -1,6 +1,5 @@
-// An attempt is identified by more than its call and its server: messages of an earlier attempt of the same
-// call at the same server come late, twice or on another connection, and must not end or answer a later
-// attempt.
+// Call id and server do not identify an attempt: messages for an earlier attempt of the same call at the same
+// server may arrive late, twice or on another connection, and must not end or answer a later attempt.
 #include <list>
 
 #include "loopback.hpp"
@@ -12,8 +11,10 @@
 const std::string kId = "00000000000000aa";
 const std::string kAnswered = binary(9, 0xaa, {{210, "s"}});
 
-// How the first attempt is lost; in each case the call may stand at the server.
+// How the first attempt is lost (spoilt: by a malformed line). In each case the call may be established at
+// the server.
 enum class Loss { spoilt, reset, closed };
+// The connection that the late release comes on: that of the retry, or one opened later.
 enum class On { own, fresh };
 
 struct LateRelease {
@@ -28,7 +29,8 @@
          (c.on == On::own ? "OnItsConnection" : "OnAFreshConnection");
 }
 
-// Two servers: attempts 0 and 1 go to the first, `other` hears of any that goes elsewhere.
+// A call with two servers: attempts 0 and 1 go to the first one, and `other` receives any attempt that goes
+// to the second one.
 class RetriedCall : public Program {
  protected:
   RetriedCall() : Program([](StartUp& start) { start.settings.release_guard = milliseconds(300); }) {}
@@ -45,42 +47,44 @@
     if (how == Loss::reset) server.reset();
     if (how == Loss::closed) server.close();
     if (how == Loss::spoilt) until([&] { return server.ended(); }, "the close of the spoilt connection");
-    lanes.clear();
+    connections.clear();
     until([&] { return offered() > 0; }, "the retry");
-    for (Peer& lane : lanes) retried = count(lane.heard(), "offer") > 0 ? &lane : retried;
+    for (Peer& connection : connections)
+      retried = count(connection.heard(), "offer") > 0 ? &connection : retried;
   }
-  // Set-ups that the first server has heard on the connections opened since the loss.
+  // Number of set-ups that the first server has received on connections opened since the loss.
   std::size_t offered() {
-    while (Peer more = listener.accept()) lanes.push_back(std::move(more));
+    while (Peer more = listener.accept()) connections.push_back(std::move(more));
     std::size_t found = 0;
-    for (Peer& lane : lanes) found += count(lane.heard(), "\"offer\"");
+    for (Peer& connection : connections) found += count(connection.heard(), "\"offer\"");
     return found;
   }
-  // The retry was given up by an `end` of this side on the connection that it went out on.
+  // The retry was released, or its connection closed, by this side.
   bool given_up() { return count(retried->heard(), line("end", kId, "\"why\":16")) > 0 || retried->ended(); }
 
   Listener second;
   Peer other, gateway;
-  std::list<Peer> lanes;
+  std::list<Peer> connections;
   Peer* retried = nullptr;
 };
 
 class LateReleaseOfAnEarlierAttempt : public RetriedCall,
                                       public ::testing::WithParamInterface<LateRelease> {};
 
-// No second attempt is made while the first is out, nor within the release guard after it was given up.
+// A late release of the first attempt must not start another attempt while the retry is in flight, nor within
+// the release guard after the retry was abandoned. It would leave two attempts of one call running.
 TEST_P(LateReleaseOfAnEarlierAttempt, StartsNoSecondAttemptBesideTheRetry) {
   lose_the_first_attempt(GetParam().loss);
   Peer* from = retried;
   if (GetParam().on == On::fresh) {
-    // A second call shares the server, so that one more connection opens.
-    Peer helper = caller();
-    for (CallId call = 0xb0; lanes.size() < 3 && call < 0xb8; ++call) {
+    // Further calls to the server make one more connection open.
+    Peer second_caller = caller();
+    for (CallId call = 0xb0; connections.size() < 3 && call < 0xb8; ++call) {
       gateway.say(setup(call, "d"));
       settle(10);
       offered();
     }
-    for (Peer& lane : lanes) from = &lane != retried ? &lane : from;
+    for (Peer& connection : connections) from = &connection != retried ? &connection : from;
     ASSERT_NE(from, retried);
   }
   const std::size_t before = count(other.heard(), kId);
@@ -108,9 +112,9 @@
                       LateRelease{Loss::spoilt, 16, On::fresh}, LateRelease{Loss::spoilt, 41, On::fresh}),
     [](const auto& each) { return text(each.param); });
 
-// The retry stands when the release of the first attempt comes: which of the two is over, nobody can tell, so
-// both are.
-TEST_F(RetriedCall, AReleaseThatMayBeAnEarlierAttemptsEndsTheCallOnBothSides) {
+// The retry is established when the release of the first attempt arrives. Which of the two it ends cannot be
+// told, so the call is ended on both sides.
+TEST_F(RetriedCall, AnAmbiguousReleaseEndsTheCallOnBothSides) {
   lose_the_first_attempt(Loss::spoilt);
   retried->say(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, kAnswered);
@@ -120,9 +124,9 @@
   hears(*retried, line("end", kId, "\"why\":16"));
 }
 
-// A call is answered and over before its answer was read: the release, said on another connection, comes
+// A call is answered and ended before its answer was read: the release, sent on another connection, arrives
 // first.
-TEST_F(RetriedCall, ACallWhoseReleaseOvertakesItsAnswerIsAnsweredAndThenOver) {
+TEST_F(RetriedCall, ACallWhoseReleaseOvertakesItsAnswerIsAnsweredAndThenEnded) {
   open_server();
   gateway = caller();
   gateway.say(setup(0xaa, "d"));
@@ -137,9 +141,9 @@
   hears(gateway, kAnswered + binary(12, 0xaa, {{208, "\x10"}}));
 }
 
-// Its answer does not come in time any more: the caller hears of the end within 1 s of it, and the call is
-// not sent again.
-TEST_F(RetriedCall, ACallThatIsOverBeforeItsAnswerIsToldWithinASecond) {
+// The answer of a call that has already ended does not arrive in time: the caller is told of the end within 1
+// s, and the call is not sent again.
+TEST_F(RetriedCall, ACallThatEndsBeforeItsAnswerIsReportedWithinASecond) {
   const HeldClock held;
   planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
@@ -163,9 +167,9 @@
   EXPECT_EQ(count(gateway.heard(), kAnswered.substr(2)), 0u);
 }
 
-// After so long a reset may be the cut of a call whose answer is still in the server's line: no attempt
-// elsewhere.
-TEST_F(RetriedCall, ALateResetOfASlowServerIsNotSentAgain) {
+// A late reset may mean that the call was established and cut while its answer is still queued at the server:
+// no attempt is made at another server.
+TEST_F(RetriedCall, ACallResetLateByASlowServerIsNotSentAgain) {
   const HeldClock held;
   planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
@@ -185,8 +189,9 @@
   EXPECT_EQ(other.heard(), "");
 }
 
-// The attempt ends otherwise while the answer is waited for: still told, and still not sent again.
-TEST_F(RetriedCall, ACallThatIsOverBeforeItsAnswerIsNotSentAgainWhenItsConnectionBreaks) {
+// The connection breaks while the answer of an ended call is awaited: the caller is still told, and the call
+// is still not sent again.
+TEST_F(RetriedCall, ACallThatEndsBeforeItsAnswerIsNotSentAgainWhenItsConnectionBreaks) {
   planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
@@ -203,8 +208,8 @@
   EXPECT_EQ(offered() + count(other.heard(), kId), 0u);
 }
 
-// The table itself, where a whole conversation would only repeat it.
-TEST(MessageRules, WhatAnEarlierAttemptMayHaveSentNeverSettlesALaterOneUnasked) {
+// Checks the decision table directly, for cases where a test over connections would only repeat it.
+TEST(MessageRules, AmbiguousMessagesNeverAnswerOrRefuseALaterAttempt) {
   const auto verdict = [](ServerMessage message, MessageConnection connection, EarlierOutcome earlier) {
     return find_rule(AttemptState::sent, message, connection, earlier, AttemptAge::recent_attempt)->verdict;
   };
@@ -225,9 +230,10 @@
             Verdict::refused);
 }
 
-// A release of the first attempt that is read after the retry would end the retry: both go on one connection.
+// If the server read the release of the first attempt after the retry, it would end the retry. So both are
+// sent on one connection, in this order.
 TEST_F(RetriedCall, ARetryFollowsTheReleaseOfTheAttemptBeforeOnItsConnection) {
-  const HeldClock held;  // a connection that owes answers for 50 ms gets no retry
+  const HeldClock held;  // a connection with answers outstanding for 50 ms gets no retry
   struct Nobody : Servers::Owner {
     SetUpOutcome on_call_message(const ServerId&, ServerLine, MessageOrigin) override {
       return SetUpOutcome::settled;
@@ -241,8 +247,8 @@
   const ServerId id = host(listener, 0).entry.id;
   servers.keep_connected(id);
   const auto accepted = [&] {
-    if (Peer more = listener.accept()) lanes.push_back(std::move(more));
-    return lanes.size();
+    if (Peer more = listener.accept()) connections.push_back(std::move(more));
+    return connections.size();
   };
   until([&] { return accepted() == 1; }, "the first connection");
   settle();
@@ -251,15 +257,16 @@
   servers.offer(id, {0xcc, "voice", "1", "d", far});
   until([&] { return accepted() == 2; }, "the second connection");
   settle();
-  servers.offer(id, {0xaa, "voice", "1", "d", far, 0});  // on the second: nothing is out there yet
+  servers.offer(
+      id, {0xaa, "voice", "1", "d", far, 0});  // on the second connection, which has nothing in flight yet
   servers.offer(id, {0xdd, "voice", "1", "d", far});
   servers.offer(id, {0xee, "voice", "1", "d", far});
   settle();
   servers.release(id, 0xaa, cause::kNormal);
   servers.offer(id, {0xaa, "voice", "1", "d", far, 1});
   settle();
-  for (Peer& lane : lanes) {
-    const std::string& heard = lane.heard();
+  for (Peer& connection : connections) {
+    const std::string& heard = connection.heard();
     const auto release = heard.find(line("end", kId, "\"why\":16"));
     EXPECT_EQ(release == std::string::npos, heard.find(kId) == std::string::npos);
     if (release == std::string::npos) continue;
@@ -267,9 +274,9 @@
   }
 }
 
-// The reproduction of the incident on a real process: its answer spoilt, a call is retried at the same
-// server, which then says that the call of the first attempt is over.
-TEST_F(Process, ALateReleaseOfASpoiltAttemptDoesNotSendTheCallElsewhere) {
+// The same failure on a real process: the answer of a call arrives as a malformed line, the call is retried
+// at the same server, and then the server releases the call of the first attempt.
+TEST_F(Process, ALateReleaseOfAMalformedAttemptDoesNotSendTheCallElsewhere) {
   Listener second;
   std::string text = config();
   const std::string host =
@@ -288,11 +295,12 @@
   gateway.say(setup(0xaa, "d"));
   hears(server, "offer");
   server.say("{\"op\":\"accept\",\x01\n");
-  std::list<Peer> lanes;
+  std::list<Peer> connections;
   Peer* retried = nullptr;
   const auto retry = [&] {
-    while (Peer more = listener.accept()) lanes.push_back(std::move(more));
-    for (Peer& lane : lanes) retried = count(lane.heard(), "offer") > 0 ? &lane : retried;
+    while (Peer more = listener.accept()) connections.push_back(std::move(more));
+    for (Peer& connection : connections)
+      retried = count(connection.heard(), "offer") > 0 ? &connection : retried;
     return retried != nullptr;
   };
   until(retry, "the retry");
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -1,5 +1,6 @@
-// What is owed when something ends, with the other side held at the very point where the two cross: a
-// closing, a time-out, an eviction, a broken connection, a stop. docs/endings.md has the table.
+// Races between something that ends (a closed or broken connection, a time-out, an eviction, a stop) and a
+// message that crosses it. Each test holds the other side at the very point where the two cross and checks
+// that every answer and release that is due is still sent. docs/endings.md has a table of the cases.
 #include <fcntl.h>
 #include <sys/resource.h>
 
@@ -17,7 +18,7 @@
 
 std::string answered(CallId call) { return binary(9, call, {{210, "s"}}); }
 
-// No descriptor beyond those that are in use now can be had while it lives.
+// While it lives, no file descriptor beyond those in use can be allocated.
 class NoDescriptorLeft {
  public:
   NoDescriptorLeft() {
@@ -37,7 +38,7 @@
   std::vector<Fd> fillers_;
 };
 
-// Connections that nobody accepts, until the kernel lets none come up any more.
+// Fills the listener's backlog with connections that nobody accepts, until the kernel lets no more come up.
 class FullBacklog {
  public:
   explicit FullBacklog(const sockaddr_in& at) {
@@ -52,9 +53,10 @@
   std::vector<Fd> line_;
 };
 
-// ---- A caller that leaves
+// ---- Callers that leave
 
-// The connection to the server comes up in the very pass in which the caller's closing is read.
+// The connection to the server comes up in the same pass of the event loop in which the caller's close is
+// read.
 TEST_F(Program, ASetupWhoseCallerLeftWhileItsConnectionWasMadeIsNotSent) {
   Peer gateway = caller_before_the_connection();
   gateway.close();
@@ -63,7 +65,8 @@
   EXPECT_EQ(listener.accept().heard(), "");
 }
 
-// Held for want of a server, and waiting behind the release guard: who left in either is not sent on.
+// A call may be held because no server is available or because its release guard has not expired. If its
+// caller leaves meanwhile, the call must not be sent.
 TEST_F(Program, NothingHeldOrGuardedIsSentForACallerThatLeft) {
   const HeldClock held;
   Peer early = caller(), late = caller();
@@ -77,7 +80,7 @@
   hears(server, kId);
   EXPECT_EQ(count(server.heard(), "offer"), 1u);
   server.reset();
-  settle(3);  // the guard holds: the clock stands still
+  settle(3);  // the release guard has not expired: the clock is held
   ASSERT_EQ(planner->pending_answers(), 1u);
   late.close();
   settle(3);
@@ -87,7 +90,7 @@
   EXPECT_EQ(server.heard(), "");
 }
 
-// The same crossing with its time-out: nothing goes out after it, and it fails once.
+// The same race with the time-out of the call: nothing is sent after it, and the call fails exactly once.
 TEST_F(Program, ASetupThatTimedOutWhileItsConnectionWasMadeIsNotSent) {
   const HeldClock held;
   Peer gateway = caller_before_the_connection("3000");
@@ -99,13 +102,13 @@
   EXPECT_EQ(listener.accept().heard(), "");
 }
 
-class NothingCalledOff : public Program {
+class CancelDisabled : public Program {
  protected:
-  NothingCalledOff() : Program([](StartUp& start) { start.settings.may_cancel = false; }) {}
+  CancelDisabled() : Program([](StartUp& start) { start.settings.may_cancel = false; }) {}
 };
 
-// Where attempts may not be called off, one that has not begun is none.
-TEST_F(NothingCalledOff, ASetupWhoseCallerLeftBeforeItWasSentIsNotSent) {
+// Where attempts may not be cancelled, a set-up of which nothing was sent is still dropped.
+TEST_F(CancelDisabled, ASetupWhoseCallerLeftBeforeItWasSentIsNotSent) {
   Peer gateway = caller_before_the_connection();
   gateway.close();
   settle();
@@ -117,9 +120,9 @@
   EXPECT_EQ(server.heard(), "");
 }
 
-// The first caller has left, its attempt is out and may not be called off: a second one may not be made
-// beside it, and who asks is told so.
-TEST_F(NothingCalledOff, ASetupThatComesAgainBesideItsFirstAttemptIsRefused) {
+// The first caller has left, and its attempt is in flight and may not be cancelled. A second attempt with the
+// same id must not be made beside it, and the caller that asks for it is refused.
+TEST_F(CancelDisabled, ASetupThatComesAgainBesideItsFirstAttemptIsRefused) {
   open_server();
   Peer gateway = caller(), again = caller();
   gateway.say(setup(0xaa, "d"));
@@ -134,6 +137,7 @@
   EXPECT_EQ(count(server.heard(), "offer"), 1u);
 }
 
+// Counts lost set-ups and servers reported as gone.
 struct Record : Servers::Owner {
   SetUpOutcome on_call_message(const ServerId&, ServerLine, MessageOrigin) override {
     return SetUpOutcome::settled;
@@ -145,8 +149,9 @@
   int broken = 0, dead = 0;
 };
 
-// A server reads nothing: what waits in the line of its connection is taken back whole and alone.
-TEST_F(Program, ASetupBehindAServerThatReadsNothingIsTakenBack) {
+// A server reads nothing. A set-up that waits in the output queue of its connection is withdrawn completely,
+// and nothing else is.
+TEST_F(Program, AnUnsentSetupToAServerThatReadsNothingIsWithdrawn) {
   Record owner;
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
@@ -161,23 +166,23 @@
     loop.pass(Duration{0});
     stuck = servers.withdraw_unsent(id, last);
   }
-  ASSERT_TRUE(stuck) << "nothing was taken back";
+  ASSERT_TRUE(stuck) << "nothing was withdrawn";
   servers.offer(id, {last + 1, "voice", "1", "last", far});
-  std::vector<Peer> lanes;
-  lanes.push_back(std::move(server));
-  while (Peer more = listener.accept()) lanes.push_back(std::move(more));
+  std::vector<Peer> connections;
+  connections.push_back(std::move(server));
+  while (Peer more = listener.accept()) connections.push_back(std::move(more));
   std::string all;
   const auto whole = [&] {
-    for (Peer& lane : lanes) all += lane.take();
-    return count(all, "}\n") == last;  // all but the one taken back
+    for (Peer& connection : connections) all += connection.take();
+    return count(all, "}\n") == last;  // all but the one withdrawn
   };
   until(whole, "what is left");
   EXPECT_EQ(count(all, call_text(last)), 0u);
   EXPECT_EQ(count(all, "\"desc\":\"last\""), 1u);
 }
 
-// Who takes no answers is not read; that it closes its side is seen all the same.
-TEST_F(Program, ACallerThatTakesNoAnswersIsSeenToLeave) {
+// A peer that does not take its output is not read either. Its close is detected nevertheless.
+TEST_F(Program, TheCloseOfACallerThatTakesNoAnswersIsDetected) {
   struct Ends : Stream::Owner {
     void arrived(Stream& stream) override { stream.consume(stream.input().size()); }
     void lost(Stream&, Lost) override { ended = true; }
@@ -196,10 +201,10 @@
   until([&] { return owner.ended; }, "the end");
 }
 
-// ---- Connections that are closed for others
+// ---- Connections that are closed to make room
 
-// At the limit the acceptor has its turn before the callers: a set-up that had arrived by then is not closed
-// upon.
+// At the limit of connections the acceptor runs before the callers are read. A connection on which a set-up
+// has arrived by then must not be evicted.
 TEST_F(Program, AnEvictionDoesNotLoseASetupThatHadArrived) {
   const HeldClock held;
   open_server();
@@ -218,8 +223,8 @@
   until([&] { return second.ended(); }, "room for the third");
 }
 
-// Out of descriptors an idle caller makes room for the next one at once, not after the acceptor's rest: the
-// clock stands still.
+// Without free descriptors an idle caller's connection is closed for the next one at once, not after the
+// acceptor's pause: the clock is held.
 TEST_F(Program, WithoutADescriptorAnIdleCallerMakesRoomAtOnce) {
   const HeldClock held;
   open_server();
@@ -246,14 +251,14 @@
     callers.push_back(caller());
     callers.back().say(setup(call, "d"));
   }
-  std::vector<Peer> lanes;
-  lanes.push_back(std::move(server));
+  std::vector<Peer> connections;
+  connections.push_back(std::move(server));
   const auto all_answered = [&] {
-    while (Peer more = listener.accept()) lanes.push_back(std::move(more));
-    for (Peer& lane : lanes) {
-      const std::string said = lane.take();
+    while (Peer more = listener.accept()) connections.push_back(std::move(more));
+    for (Peer& connection : connections) {
+      const std::string said = connection.take();
       for (auto at = said.find("\"offer\""); at != std::string::npos; at = said.find("\"offer\"", at + 1)) {
-        lane.say(line("accept", said.substr(at + 16, 16), "\"desc\":\"s\""));
+        connection.say(line("accept", said.substr(at + 16, 16), "\"desc\":\"s\""));
       }
     }
     CallId call = 0;
@@ -267,7 +272,7 @@
   until(all_answered, "an answer for each");
 }
 
-// The same for one that has been quiet for too long: its set-up arrives after the poll and before the sweep.
+// A connection has been idle for too long, and a set-up arrives on it after the poll and before the sweep.
 TEST_F(Program, ASweepDoesNotLoseASetupThatHadArrived) {
   const HeldClock held;
   open_server();
@@ -282,9 +287,9 @@
   hears(gateway, answered(0xaa));
 }
 
-// A set-up of which half has come is taken when the rest comes: neither a drain that empties connections nor
-// a stop may end before it.
-TEST_F(Program, HalfASetupHoldsItsConnectionInADrainAndTheStop) {
+// A set-up of which half has arrived is served when the rest arrives. Neither a drain that closes idle
+// connections nor a stop may finish before.
+TEST_F(Program, HalfASetupKeepsItsConnectionOpenInADrainAndAStop) {
   const HeldClock held;
   open_server();
   Drain drain;
@@ -308,13 +313,15 @@
 
 // ---- Setup servers
 
-// A connection that is reset as it comes up is no refusal: the process there lives, and so do its calls.
+// A connection that is reset as it comes up is not a refused one: the process there lives, and so do its
+// calls.
 TEST_F(Program, AConnectionResetAsItComesUpCutsNoCall) {
   open_server();
   Peer gateway = caller();
   stand(gateway);
   server.reset();
-  // The loss is seen, and in the same pass a new one set out, which the kernel has up before the next.
+  // The loss is noticed, and in the same pass a new connection is started, which the kernel has established
+  // before the next pass.
   until([this] { return planner->targets_disabled() == 1; }, "the loss");
   Peer fresh = listener.accept_next();
   fresh.reset();
@@ -327,9 +334,9 @@
   hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
-// Without a socket of its own to be had nothing is known of the server: nobody is dead, and what waits for a
-// connection waits on.
-TEST_F(Program, WithoutADescriptorNoServerIsTakenForDead) {
+// If this process cannot get a socket, that tells nothing about the server: it must not count as gone, and
+// queued set-ups stay queued.
+TEST_F(Program, WithoutADescriptorNoServerCountsAsGone) {
   Record owner;
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
@@ -343,8 +350,8 @@
   hears(server, kId);
 }
 
-// What is to be released at a server is said before a stop ends, although its connection has just broken.
-TEST_F(Program, AReleaseThatWaitsForAConnectionHoldsTheStop) {
+// A release is sent to its server before a stop ends, although the connection has just broken.
+TEST_F(Program, AReleaseThatWaitsForAConnectionDelaysTheStop) {
   open_server();
   Peer gateway = caller();
   stand(gateway);
@@ -358,10 +365,10 @@
   EXPECT_TRUE(planner->idle());
 }
 
-// A server's machine falls silent: its connection stays open and quiet, and new ones never come up. A call
-// that stood there may have ended in the first instant, and no release could be sent: its caller hears within
-// 8 s.
-TEST_F(Program, ACallAtAServerThatFallsSilentIsToldOverInTime) {
+// A server's machine falls silent: its connection stays open without traffic, and new ones never come up. An
+// established call may have ended right away without a release that could be sent, so its caller is told of
+// the end within 8 s.
+TEST_F(Program, ACallAtAServerThatFallsSilentIsReportedEndedInTime) {
   const HeldClock held;
   open_server();
   Peer gateway = caller();
@@ -374,9 +381,9 @@
   EXPECT_EQ(count(gateway.heard(), binary(12, 0xaa).substr(2)), 1u);
 }
 
-// One connection is silent, another to the same server brings reports: what ended on the silent one is said
-// again on the next connection that is opened, so one has to be.
-TEST_F(Program, ACallOnASilentConnectionIsToldOverAlthoughAnotherBringsReports) {
+// One connection is silent while another to the same server carries load reports. The server repeats the
+// release of a call of the silent connection on the next one opened, so one must be opened.
+TEST_F(Program, ACallOnASilentConnectionIsReportedEndedAlthoughAnotherCarriesReports) {
   const HeldClock held;
   open_server();
   Peer gateway = caller(), other;
@@ -398,8 +405,8 @@
   hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
-// The same where new connections do not come up: the caller hears within 8 s.
-TEST_F(Program, ACallOnASilentConnectionIsToldOverAlthoughNoNewOneComesUp) {
+// The same where new connections do not come up: the caller is told within 8 s.
+TEST_F(Program, ACallOnASilentConnectionIsReportedEndedAlthoughNoNewOneComesUp) {
   const HeldClock held;
   open_server();
   Peer gateway = caller(), other;
@@ -418,9 +425,9 @@
   EXPECT_EQ(count(gateway.heard(), binary(12, 0xaa).substr(2)), 1u);
 }
 
-// The same silence of a server that has nothing to say: connections come up there, so no call is cut, and it
-// is not asked often.
-TEST_F(Program, ACallAtAQuietServerStands) {
+// A server that has nothing to send is silent as well. Connections to it come up, so no call is cut, and it
+// is not tested often.
+TEST_F(Program, ACallAtAnIdleServerStaysEstablished) {
   const HeldClock held;
   open_server();
   Peer gateway = caller();
@@ -437,7 +444,8 @@
   hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
-// The answer and the time-out fall due in one pass: what had come by then counts, and there is one answer.
+// The answer and the time-out of a call fall into the same pass: the answer that had arrived counts, and the
+// caller gets one answer.
 TEST_F(Program, AnAnswerInThePassOfItsTimeOutCounts) {
   const HeldClock held;
   open_server();
@@ -451,11 +459,11 @@
   EXPECT_EQ(count(server.heard(), "\"op\":\"end\""), 0u);
 }
 
-// ---- The list
+// ---- The list of setup servers and the coordinator
 
-// A whole list after a gap no longer names a server with a call that stands and a set-up that is out: the one
-// is over, the other goes on elsewhere, and nothing of it is told twice.
-TEST_F(Program, AWholeListWithoutAServerEndsWhatIsThere) {
+// A full list no longer names a server that has an established call and a set-up in flight. The call ends,
+// the set-up is retried at another server, and the caller is told nothing twice.
+TEST_F(Program, AFullListWithoutAServerEndsItsCallsAndMovesItsSetups) {
   Listener second;
   open_server();
   Peer gateway = caller();
@@ -472,8 +480,9 @@
   EXPECT_EQ(gateway.heard(), binary(12, 0xaa, {{208, std::string(1, 41)}}) + answered(0xbb));
 }
 
-// A watch that dies without closing, once before its first byte and once after an event, is asked for again.
-TEST_F(Program, AWatchThatFallsSilentIsAskedForAgain) {
+// An event stream that dies without being closed, once before its first byte and once after an event, is
+// requested again.
+TEST_F(Program, AnEventStreamThatFallsSilentIsRequestedAgain) {
   Listener at;
   std::uint64_t told = 4;
   const Coordinator coordinator(loop, log, at.address(), 4,
@@ -491,8 +500,8 @@
   hears(third, "Last-Event-ID: 5\r\n");
 }
 
-// A response that comes a byte a second, its head or an event of its body, is given up in time: what
-// discovery has to tell counts as told 6 s after it could be reached.
+// A response that arrives at a byte a second, in its head or in an event of its body, is abandoned in time:
+// updates must be applied within 6 s after the discovery service was reachable.
 TEST_F(Program, AResponseOfDiscoveryThatTricklesIsGivenUpWithinSixSeconds) {
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
   const std::string event = "data: {\"index\":5,\"endpoints\":{\"hosts\":[]}}\n\n";
@@ -519,7 +528,7 @@
   }
 }
 
-// A large list that takes its time, a comment between, is no such response.
+// A large list that arrives slowly but steadily, with a comment in between, is not abandoned.
 TEST_F(Program, ASlowResponseOfDiscoveryThatGoesOnIsReadOn) {
   const HeldClock held;
   Listener at;
@@ -539,8 +548,8 @@
   EXPECT_FALSE(stream.ended());
 }
 
-// Idle callers hold all descriptors while discovery is down: the watch gets one of theirs.
-TEST_F(Program, IdleCallersGiveADescriptorToTheWatch) {
+// Idle callers hold all descriptors while discovery is down: the event stream gets one of theirs.
+TEST_F(Program, IdleCallersGiveADescriptorToTheEventStream) {
   const HeldClock held;
   open_server();
   Listener at;
@@ -550,12 +559,12 @@
     idle.back().say(kTest);
     hears(idle.back(), kPassed);
   }
-  struct Nobody : Stream::Owner {
+  struct UnusedOwner : Stream::Owner {
     void arrived(Stream&) override {}
     void lost(Stream&, Lost) override {}
-  } nobody;
+  } unused_owner;
   NoDescriptorLeft none;
-  const Stream watch(loop, at.address(), milliseconds(1000), nobody, Rank::news);
+  const Stream watch(loop, at.address(), milliseconds(1000), unused_owner, Rank::news);
   none.give_back();
   EXPECT_GE(watch.descriptor(), 0);
   const auto gave = [](Peer& each) { return each.ended(); };
--- a/tests/stop_test.cpp
+++ b/tests/stop_test.cpp
@@ -1,5 +1,5 @@
-// A planned stop while clients go on sending on their open connections: nothing that was taken is lost, and
-// the process has ended by the earliest SIGKILL, whatever the deadlines of the deployment are.
+// A planned stop while clients go on sending on their open connections: no accepted request is lost, and the
+// process has exited before the earliest SIGKILL, whatever the deadlines of the deployment are.
 #include "core/stop.hpp"
 
 #include <list>
@@ -29,7 +29,7 @@
   bool servers_hang;
 };
 
-// A client that sends the next set-up as soon as it has read what has come.
+// A client that in every step reads what has arrived and sends the next set-up, if `in_pieces` in two halves.
 class BusyClient {
  public:
   BusyClient(const sockaddr_in& to, CallId first, bool in_pieces)
@@ -64,11 +64,11 @@
     }
     if (peer_.ended() && !ended_) ended_ = Clock::now();
   }
-  // Set-ups without an answer that did not cross the end of the connection.
+  // Number of unanswered set-ups that were sent too early to have crossed the close of the connection.
   std::size_t lost() const {
     std::size_t found = 0;
     for (const auto& [call, at] : sent_) {
-      const bool last = call == last_whole_;  // nothing was read between it and the end
+      const bool last = call == last_whole_;  // the server may have closed before reading it
       found += !ended_ || (!last && *ended_ - at > milliseconds(50));
     }
     return found;
@@ -81,7 +81,7 @@
   int peer_fd() const { return peer_.descriptor(); }
   void send(const std::string& bytes) {
     const ssize_t written = ::send(peer_fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
-    if (written != static_cast<ssize_t>(bytes.size())) return;  // not taken
+    if (written != static_cast<ssize_t>(bytes.size())) return;  // the socket did not take all of it
     sent_[pending_] = Clock::now();
     last_whole_ = pending_;
   }
@@ -105,21 +105,25 @@
   text.replace(text.find(before), before.size(),
                "\"aim\":" + std::to_string(deadline / 2) + ",\"deadline\":" + std::to_string(deadline));
   start(text);
-  std::list<Peer> lanes;
-  until([&] { return static_cast<bool>(lanes.emplace_back(listener.accept())) || (lanes.pop_back(), false); },
-        "its connection");
+  std::list<Peer> connections;
+  until(
+      [&] {
+        return static_cast<bool>(connections.emplace_back(listener.accept())) ||
+               (connections.pop_back(), false);
+      },
+      "its connection");
   serves();
   std::list<BusyClient> clients;
   for (CallId i = 0; i < 6; ++i) clients.emplace_back(address, (i + 1) << 32, i >= 4);
   const auto step = [&] {
-    while (Peer more = listener.accept()) lanes.push_back(std::move(more));
-    for (Peer& lane : lanes) {
-      const std::string said = lane.take();
+    while (Peer more = listener.accept()) connections.push_back(std::move(more));
+    for (Peer& connection : connections) {
+      const std::string said = connection.take();
       if (GetParam().servers_hang) continue;
       for (auto at = said.find("\"offer\""); at != std::string::npos; at = said.find("\"offer\"", at + 1)) {
         const std::string id = said.substr(at + 16, 16);
         if (id.size() == 16)
-          lane.say_if_open("{\"op\":\"accept\",\"call\":\"" + id + "\",\"with\":{},\"desc\":\"s\"}\n");
+          connection.say_if_open("{\"op\":\"accept\",\"call\":\"" + id + "\",\"with\":{},\"desc\":\"s\"}\n");
       }
     }
     for (BusyClient& client : clients) client.step(deadline);
