--- a/src/core/server_inventory.hpp
+++ b/src/core/server_inventory.hpp
@@ -15,10 +15,11 @@
   ServerEntry entry{};
 };
 
-// One update of the coordinator.
+// Update number `index` of the coordinator. If `full`, it replaces all hosts, otherwise it has those that
+// changed.
 struct ServerListUpdate {
-  std::uint64_t index = 0;  // the coordinator's number of this update
-  bool full = false;        // replaces all hosts; otherwise only those that changed
+  std::uint64_t index = 0;
+  bool full = false;
   std::vector<Host> hosts{};
 };
 
@@ -29,7 +30,7 @@
  public:
   struct Change {
     ServerList list{};                 // for the controller
-    std::vector<ServerId> replaced{};  // servers whose process is gone or is a different one now
+    std::vector<ServerId> replaced{};  // whose process has gone or is another one now
   };
   // Merges an update and returns what changed for each address it concerns.
   Change apply(const ServerListUpdate& update);
