--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -150,14 +150,14 @@
 
 // A new machine may have the address of one that has gone, in one event and in either order.
 TEST_F(Program, ANewHostAtAnOldAddressIsAnotherServer) {
-  Fleet fleet;
+  ServerInventory inventory;
   Host old = host(listener, 0), fresh = old;
   fresh.name = "s-new";
   fresh.entry.started = Time{5};
-  fleet.apply({1, true, {old}});
+  inventory.apply({1, true, {old}});
   old.entry.availability = Availability::gone;
   for (const auto& hosts : {std::vector{old, fresh}, std::vector{fresh, old}}) {
-    Fleet each = fleet;
+    ServerInventory each = inventory;
     const auto change = each.apply({2, false, hosts});
     ASSERT_EQ(change.list.entries.size(), 1u);
     EXPECT_EQ(change.list.entries[0].availability, Availability::ready);
