--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -141,8 +141,8 @@
   hears(gateway, kAnswered + binary(12, 0xaa, {{208, "\x10"}}));
 }
 
-// The answer of a call that has already ended does not arrive in time: the caller is told of the end within 1
-// s, and the call is not sent again.
+// The answer of a call that has already ended does not arrive in time: the caller is told of the end
+// within 1 s, and the call is not sent again.
 TEST_F(RetriedCall, ACallThatEndsBeforeItsAnswerIsReportedWithinASecond) {
   const HeldClock held;
   planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
