--- /dev/null
+++ b/src/core/server_inventory.hpp
@@ -0,0 +1,45 @@
+// The setup servers as the coordinator reports them: updates, and the inventory they add up to.
+#pragma once
+
+#include <map>
+#include <string>
+#include <vector>
+
+#include "quartzarch/controller.hpp"
+
+namespace quartzarch {
+
+// A host that runs a setup server, with its name at the coordinator.
+struct Host {
+  std::string name{};
+  ServerEntry entry{};
+};
+
+// Update number `index` of the coordinator. If `full`, it replaces all hosts, otherwise it has those that
+// changed.
+struct ServerListUpdate {
+  std::uint64_t index = 0;
+  bool full = false;
+  std::vector<Host> hosts{};
+};
+
+// All hosts by name. The controller knows servers by address only, and a new host may have the address of one
+// that is gone. For each address the inventory reports the host that runs there, in preference to any that is
+// gone.
+class ServerInventory {
+ public:
+  struct Change {
+    ServerList list{};                 // for the controller
+    std::vector<ServerId> replaced{};  // whose process has gone or is another one now
+  };
+  // Merges an update and returns what changed for each address it concerns.
+  Change apply(const ServerListUpdate& update);
+
+ private:
+  // The host that counts for an address: one that is not gone, else the one started last.
+  const Host* at(const ServerId& address) const;
+
+  std::map<std::string, Host> hosts_;
+};
+
+}  // namespace quartzarch
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -151,7 +151,7 @@
 
 }  // namespace
 
-BinaryFront::BinaryFront(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen,
+BinaryFront::BinaryFront(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen,
                          std::size_t most_connections, std::size_t longest_output)
     : loop_(loop),
       log_(log),
@@ -281,7 +281,7 @@
   }
   if (!connection.open.empty() || connection.cut_short) return Stay::may;
   // Its calls that stand are told when they are over on it: it stays while any does.
-  if (const auto quiet = drain_ ? drain_->quiet_allowed(now) : std::nullopt) {
+  if (const auto quiet = drain_ ? drain_->idle_timeout(now) : std::nullopt) {
     if (now - connection.stream->last_used() >= *quiet && carrying_.count(connection.stream.get()) == 0)
       return Stay::drained;
   }
@@ -315,13 +315,13 @@
   }
   tell_held();
   send_homeless();
-  const Duration every = drain_ ? drain_->sweep_every(loop_.now(), kSweep) : kSweep;
+  const Duration every = drain_ ? drain_->sweep_interval(loop_.now(), kSweep) : kSweep;
   sweep_timer_ = loop_.at(loop_.now() + every, [this] { sweep(); });
 }
 
 // What a drain has not emptied by the time it is looked at: a line for each connection, once.
 void BinaryFront::tell_held() {
-  const bool now_told = drain_ && drain_->looked_at(loop_.now());
+  const bool now_told = drain_ && drain_->is_inspectable(loop_.now());
   if (std::exchange(held_told_, now_told) || !now_told) return;
   for (const auto& [stream, connection] : connections_) {
     const auto standing = std::count_if(calls_.begin(), calls_.end(), [&, of = stream](const auto& call) {
@@ -359,7 +359,7 @@
       core_.release(call, cause::kTemporary);
     } else if (segment.tag == tag(Kind::over)) {
       const auto cause = static_cast<std::uint8_t>(segment.head.back());
-      over(call, cause);
+      call_ended(call, cause);
     }
   }
 }
@@ -407,7 +407,7 @@
       return true;
     case Type::test: {
       // Passed by a drained process it tells the front that it takes work, whatever the second address says.
-      const bool passed = core_.ready() && (!drain_ || drain_->passes_tests());
+      const bool passed = core_.ready() && (!drain_ || drain_->passes_health_checks());
       from.standing = std::max(from.standing, Standing::tested);
       from.stream->send(Message(Type::tested, call).put_cause(passed ? 1 : 0).finish(tag(Kind::other)));
       return true;
@@ -421,7 +421,7 @@
   Request request;
   request.call = call;
   request.caller = from.peer;
-  request.came = loop_.now();
+  request.received_at = loop_.now();
   bool sound = true;
   std::string_view value;
   for (Code code{}; !parameters.empty() && next_parameter(parameters, code, value);) {
@@ -433,7 +433,7 @@
     if (code == Code::patience) {
       const auto ms = number(value);
       sound &= ms && *ms >= 0;
-      if (sound) request.patience = from_ms(*ms);
+      if (sound) request.caller_timeout = from_ms(*ms);
     }
   }
   if (const auto known = calls_.find(call); known != calls_.end()) {
@@ -536,7 +536,7 @@
 }
 
 // On the call's own connection, on that of the best known caller, or on the next that shows itself to be one.
-void BinaryFront::over(CallId call, int cause) {
+void BinaryFront::call_ended(CallId call, int cause) {
   Connection* to = owner_of(call);
   calls_.erase(call);
   if (!to) to = best_known();
--- a/src/gap/gate.cpp
+++ b/src/gap/gate.cpp
@@ -5,12 +5,12 @@
 
 Call call_of(const Request& request) {
   return {request.number, request.call_class, boost::asio::ip::address_v4(request.caller),
-          request.way == Way::sip ? Entrance::sip : Entrance::binary, request.retry};
+          request.protocol == FrontProtocol::sip ? Entrance::sip : Entrance::binary, request.retry};
 }
 
 }  // namespace
 
-std::optional<Duration> GapGate::turns_away(const Request& request, Time now) {
+std::optional<Duration> GapGate::rejected_for(const Request& request, Time now) {
   hitters_.offered(now, request.number);
   const Verdict verdict = table_.offer(now, call_of(request));
   if (verdict.pass) return std::nullopt;
--- a/src/link/planners.cpp
+++ b/src/link/planners.cpp
@@ -75,7 +75,7 @@
 void Planners::request(Request request, Front& front) {
   const CallId call = request.call;
   if (calls_.count(call) > 0) return;  // a second set-up with the id of a call
-  if (const auto away = drain_ ? drain_->refuses(loop_.now()) : std::nullopt)
+  if (const auto away = drain_ ? drain_->refusal_retry_after(loop_.now()) : std::nullopt)
     return front.refuse(call, *away);
   const auto planner = choose(call);
   // With no planner there is nobody to decide: the caller is told at once.
@@ -182,7 +182,7 @@
     Front* const front = known ? found->second.front : strays_;
     if (known && found->second.open) return false;
     if (known) calls_.erase(found);
-    if (front) front->over(message.call, static_cast<int>(message.number(0)));
+    if (front) front->call_ended(message.call, static_cast<int>(message.number(0)));
     return true;
   }
   if (message.type != Type::answer && message.type != Type::refuse && message.type != Type::fail)
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-Port::Port(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen)
+Port::Port(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen)
     : loop_(loop), log_(log), core_(core), acceptor_(loop, listen_on(listen)), told_ready_(core.ready()) {
   loop_.watch(*this, Rank::callers);
 }
@@ -137,7 +137,7 @@
 }
 
 // To the forwarder of the call; if that is gone to all, since any may have the caller.
-void Port::over(CallId call, int cause) {
+void Port::call_ended(CallId call, int cause) {
   Segment segment = encode(Type::over, call, {std::to_string(cause)});
   if (owner_of(call)) return settle(call, std::move(segment), false);
   calls_.erase(call);
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -1,4 +1,5 @@
-// The server side: a few connections to each setup server, JSON lines, and what is out on each.
+// The connections to setup servers: a few to each server, carrying JSON lines, with the set-ups in flight and
+// the established calls of each connection.
 #pragma once
 
 #include <array>
@@ -18,161 +19,168 @@
 
 namespace quartzarch {
 
-// A set-up as a setup server gets it.
+// A set-up to be sent to a setup server.
 struct Offer {
   CallId call = 0;
   std::string call_class{};
   std::string number{};
   std::string description{};
-  Time until{};          // when this side stops waiting
+  Time until{};          // when this process stops waiting for the answer
   unsigned attempt = 0;  // its number among the attempts of the call
 };
 
-// Whether a set-up of the call that a message names is out at the server, and on which connection.
+// Whether a set-up of the call that a message names is in flight at the server, and whether the message came
+// on the same connection.
 struct MessageOrigin {
   bool set_up_is_out = false;
-  Connection connection = Connection::other;
+  MessageConnection connection = MessageConnection::other;
 };
 
-// What a server's message meant for the set-up that is out.
+// What a server's message meant for the set-up in flight.
 enum class SetUpOutcome {
-  open,         // nothing: it is still out
-  settled,      // it is not waited for any more
-  established,  // settled, and the call stands
+  open,         // nothing: it is still in flight
+  settled,      // it has ended and is not awaited any more
+  established,  // it was answered, and the call is established
 };
 
-// How a set-up was lost: with a connection that broke before it left whole, or after (it may have run), or
-// for want of any connection.
-enum class Break { unsent, sent, unreachable };
+// How a set-up was lost: its connection broke before it was written completely (unsent) or afterwards (sent:
+// the server may have executed it), or no connection could be made (unreachable).
+enum class SetUpLoss { unsent, sent, unreachable };
 
+// Keeps connections to the setup servers, sends set-ups and releases, and reports the servers' messages and
+// lost connections to its owner.
 class Servers : private Stream::Owner {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
-    // An answer, refusal or release.
-    virtual SetUpOutcome told_of_call(const ServerId& server, ServerLine line, MessageOrigin origin) = 0;
-    // The set-up of an attempt was lost on the way.
-    virtual void broke(const ServerId& server, CallId call, unsigned attempt, Break how) = 0;
-    virtual void told(const ServerId& server, const LoadReport& report) = 0;
-    // Its process is gone, and with it every call there.
-    virtual void died(const ServerId& server) = 0;
-    // Calls that stand there and whose end could not be heard any more: the connections that would bring it
-    // are silent and no new one comes up.
-    virtual void cut_off(const ServerId& server, const std::vector<CallId>& calls) = 0;
+    // A server sent an answer, refusal or release.
+    virtual SetUpOutcome on_call_message(const ServerId& server, ServerLine line, MessageOrigin origin) = 0;
+    // The set-up of an attempt was lost in transit.
+    virtual void on_set_up_lost(const ServerId& server, CallId call, unsigned attempt, SetUpLoss how) = 0;
+    virtual void on_load_report(const ServerId& server, const LoadReport& report) = 0;
+    // The server's process is gone, and with it every call there.
+    virtual void on_process_gone(const ServerId& server) = 0;
+    // The end of these established calls could not be received any more: the connections that would carry it
+    // are silent, and no new one can be made.
+    virtual void on_calls_unreachable(const ServerId& server, const std::vector<CallId>& calls) = 0;
   };
 
   Servers(Loop& loop, Logger& log, Owner& owner, Duration connect_timeout)
       : loop_(loop), log_(log), owner_(owner), connect_timeout_(connect_timeout) {
-    watch();
+    check_connections();
   }
   ~Servers() override;
 
-  // False for a set-up at which a setup server would close the connection, with all that is out on it: no id,
-  // text that is no UTF-8, or a line longer than a message may be.
-  static bool can_carry(const Offer& offer);
+  // False for a set-up on which a setup server would close the connection, losing all set-ups in flight on
+  // it: one without an id, with text that is not UTF-8, or longer than a message may be.
+  static bool is_sendable(const Offer& offer);
 
-  // Keeps connections open to the server, so that its news arrives.
-  void keep(const ServerId& server);
-  // Closes them: whatever runs there now, it is not what was known.
-  void drop(const ServerId& server);
+  // Keeps connections open to the server, so that its load reports and releases arrive.
+  void keep_connected(const ServerId& server);
+  // Closes all connections to the server, whose process is gone or has been replaced.
+  void disconnect(const ServerId& server);
 
+  // Sends a set-up, or queues it until a connection is up.
   void offer(const ServerId& server, Offer offer);
-  // Gives a set-up up, or releases a call that stands. Of a set-up that has not begun to leave nothing does.
-  void end(const ServerId& server, CallId call, int cause);
-  // Whether a set-up had not begun to leave; it does not any more.
-  bool take_back(const ServerId& server, CallId call);
-  // A call that stood there is over: its end is not awaited any more.
-  void call_over(const ServerId& server, CallId call);
-  // No release waits to be written.
+  // Abandons a set-up or releases an established call. A set-up of which nothing was written yet is withdrawn
+  // without a message.
+  void release(const ServerId& server, CallId call, int cause);
+  // Withdraws a set-up of which nothing was written yet; false if there is none.
+  bool withdraw_unsent(const ServerId& server, CallId call);
+  // An established call has ended: its end is not awaited any more.
+  void forget_call(const ServerId& server, CallId call);
+  // True when nothing is queued or waits to be written.
   bool idle() const;
-  // Releases a call that may stand anywhere.
-  void end_everywhere(CallId call, int cause);
-  // A connection was lost and none is up since: the process there may be gone.
+  // Releases a call that may be established at any server.
+  void release_everywhere(CallId call, int cause);
+  // A connection was lost and none has come up since: the process there may be gone.
   bool unreachable(const ServerId& server) const {
-    const auto found = links_.find(server);
-    return found != links_.end() && found->second.broken;
+    const auto found = servers_.find(server);
+    return found != servers_.end() && found->second.connection_lost;
   }
 
  private:
-  static constexpr std::size_t kLanes = 4;  // a server tells its state on at most so many
+  static constexpr std::size_t kConnectionsPerServer = 4;  // a server reports its load on at most this many
 
-  struct Waiting {
+  // An offer, or the release of a call (then only offer.call and cause are set).
+  struct QueuedMessage {
     bool is_offer = false;
     Offer offer{};
     int cause = 0;
   };
-  // A set-up that was written and is not settled.
+  // A set-up in flight: handed to a connection and not answered, refused or abandoned.
   struct SetUp {
     unsigned attempt = 0;
-    Time sent{};
+    Time sent_at{};
   };
-  // One connection. What breaks it takes only the set-ups on it along, so a server has a few.
-  struct Lane {
+  // One connection. A server has a few, since a broken connection loses the set-ups in flight on it.
+  struct Connection {
     std::shared_ptr<Stream> stream{};
-    std::map<CallId, SetUp> out{};
-    std::set<CallId> standing{};                   // calls that were answered on it and are not over
-    std::deque<std::pair<Time, Waiting>> ended{};  // releases written a short while ago
-    Time heard{};                                  // the last whole line
-    std::optional<Time> given_up{};   // since then: when a set-up was sent that was overtaken and given up
-    std::optional<Time> cut_short{};  // since when a line has been waiting for its rest
-    Duration backoff{};               // before the next try
+    std::map<CallId, SetUp> in_flight{};
+    std::set<CallId> established_calls{};  // calls that were answered on it and have not ended
+    std::deque<std::pair<Time, QueuedMessage>> recent_releases{};  // releases sent recently, oldest first
+    Time last_received{};                   // when the last complete line arrived, or connecting began
+    std::optional<Time> abandoned_since{};  // when the first set-up was sent that was overtaken and abandoned
+    std::optional<Time> partial_line_since{};  // since when an incomplete line has been waiting for its rest
+    Duration backoff{};                        // delay before the next connection attempt
     std::optional<Loop::TimerId> retry{};
 
     bool up() const { return stream && stream->up(); }
-    // When the first set-up was sent on it that it has brought nothing since.
-    std::optional<Time> owes() const;
+    // When the oldest set-up was sent since which nothing has arrived on this connection; absent: none.
+    std::optional<Time> unanswered_since() const;
   };
-  struct Link {
+  // What is known about one setup server.
+  struct ServerState {
     ServerId server{};
-    Time answered_to{};           // when the latest of the set-ups that were answered had been sent
-    std::set<CallId> standing{};  // calls that stand there and whose connection is gone
-    Time opened{};         // the last connection that came up: on it what was over by then is said again
-    Time tested{};         // the last connection made because another was silent
-    bool doubted = false;  // since the last one came up one did not
-    std::array<Lane, kLanes> lanes{};
-    std::vector<Waiting> waiting{};  // until a connection is up
-    bool kept = false;
-    bool broken = false;  // a connection was lost and none is up since; the process may be gone
-    std::optional<Loop::TimerId> refresh{};  // a new connection is due: see lose()
+    Time latest_answered_sent_at{};     // send time of the latest answered set-up
+    std::set<CallId> orphaned_calls{};  // established calls whose connection is gone
+    Time last_connected_at{};   // when a connection last came up; the server repeats earlier releases on it
+    Time last_liveness_test{};  // when a connection was last opened because another was silent
+    bool connect_timed_out = false;  // a connection attempt has timed out since one last came up
+    std::array<Connection, kConnectionsPerServer> connections{};
+    std::vector<QueuedMessage> queued{};               // to be sent when a connection is up
+    bool keep_connected = false;                       // reconnect after a loss
+    bool connection_lost = false;                      // and none has come up since; the process may be gone
+    std::optional<Loop::TimerId> replacement_timer{};  // opens a new connection: see schedule_replacement()
   };
-  struct Place {
-    Link* link = nullptr;
-    Lane* lane = nullptr;
+  struct ConnectionRef {
+    ServerState* state = nullptr;
+    Connection* connection = nullptr;
   };
 
   void connected(Stream& stream) override;
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost how) override;
 
-  Link& link(const ServerId& server);
-  Place place_of(const Stream& stream);
-  Lane* best_lane(Link& link);
-  Lane* lane_after_release(Link& link, CallId call);
-  bool doubtful(const Lane& lane) const;
-  void settle(const ServerId& server, CallId call);
-  void connect(Link& link);
-  void connect(Link& link, Lane& lane);
-  void reconnect_after_backoff(Link& link, Lane& lane);
-  void connect_after(Link& link, Lane& lane, Duration backoff);
-  void write(Link& link, Lane& lane, const Waiting& what);
-  void handle(const Place& at, ServerLine line);
-  void lose(Stream& stream, const char* why);
-  void refresh_soon(Link& link);
-  void close_lane(Link& link, Lane& lane);
-  void watch();
-  bool test_is_due(const Link& link) const;
-  std::vector<CallId> silent_for(const Link& link, Duration silence) const;
-  Time latest_sign_for_all(const Link& link) const;
-  void look_for_life(Link& link);
-  Lane* lane_for_test(Link& link);
+  ServerState& state_of(const ServerId& server);
+  ConnectionRef find_connection(const Stream& stream);
+  Connection* best_connection(ServerState& state);
+  Connection* connection_after_release(ServerState& state, CallId call);
+  bool is_suspect(const Connection& connection) const;
+  void finish_set_up(const ServerId& server, CallId call);
+  void connect(ServerState& state);
+  void connect(ServerState& state, Connection& connection);
+  void reconnect_after_backoff(ServerState& state, Connection& connection);
+  void connect_after(ServerState& state, Connection& connection, Duration backoff);
+  void write(ServerState& state, Connection& connection, const QueuedMessage& what);
+  void handle(const ConnectionRef& at, ServerLine line);
+  void close_unusable(Stream& stream, const char* why);
+  void schedule_replacement(ServerState& state);
+  void close_connection(ServerState& state, Connection& connection);
+  void check_connections();
+  bool liveness_test_is_due(const ServerState& state) const;
+  std::vector<CallId> calls_unheard_for(const ServerState& state, Duration silence) const;
+  Time last_received_on_all(const ServerState& state) const;
+  void check_liveness(ServerState& state);
+  Connection* connection_for_liveness_test(ServerState& state);
 
   Loop& loop_;
   Logger& log_;
   Owner& owner_;
   Duration connect_timeout_;
-  std::map<ServerId, Link> links_;
-  std::optional<Loop::TimerId> watch_timer_{};
+  std::map<ServerId, ServerState> servers_;
+  std::optional<Loop::TimerId> check_timer_{};
 };
 
 std::string server_text(const ServerId& server);
--- a/src/operation.cpp
+++ b/src/operation.cpp
@@ -95,7 +95,7 @@
       sharing_(std::move(sharing)) {
   auto known = restore();
   if (sharing_) share(std::move(known));
-  planner_.guard(&gate_);
+  planner_.set_admission_filter(&gate_);
   control_.on("gap.add", [this](Element request) { return add(request); });
   control_.on("gap.lift", [this](Element request) { return lift(request); });
   control_.on("gap.list", [this](Element request) { return list(request); });
@@ -108,7 +108,7 @@
 
 Operation::~Operation() {
   loop_.cancel(sweep_timer_);
-  planner_.guard(nullptr);
+  planner_.set_admission_filter(nullptr);
 }
 
 void Operation::sweep() {
@@ -209,7 +209,7 @@
 void Operation::reconsider(const std::vector<std::string>& fresh) {
   if (fresh.empty()) return;
   const Time now = loop_.now();
-  planner_.reconsider([&](const Request& held) {
+  planner_.recheck_held_calls([&](const Request& held) {
     std::optional<Duration> away;
     for (const std::string& id : fresh) {
       if (!away) away = gate_.turned_away_by(id, held, now);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -138,26 +138,26 @@
   open_server();
   Peer gateway = caller();
   stand(gateway);
-  planner->news({2, false, {host(listener, 0, Availability::draining)}});
+  planner->update_servers({2, false, {host(listener, 0, Availability::draining)}});
   gateway.take();
   gateway.say(setup(0xbb, "d", "60"));
   // No server is left, so its caller is told to stay away for as long as callers heed.
   hears(gateway, binary(12, 0xbb, {{208, std::string(1, 42)}, {192, "2000"}}));
   EXPECT_EQ(count(server.heard(), "offer"), 0u);
-  planner->news({3, false, {host(listener, 0, Availability::gone)}});
+  planner->update_servers({3, false, {host(listener, 0, Availability::gone)}});
   hears(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
 }
 
 // A new machine may have the address of one that has gone, in one event and in either order.
 TEST_F(Program, ANewHostAtAnOldAddressIsAnotherServer) {
-  Fleet fleet;
+  ServerInventory inventory;
   Host old = host(listener, 0), fresh = old;
   fresh.name = "s-new";
   fresh.entry.started = Time{5};
-  fleet.apply({1, true, {old}});
+  inventory.apply({1, true, {old}});
   old.entry.availability = Availability::gone;
   for (const auto& hosts : {std::vector{old, fresh}, std::vector{fresh, old}}) {
-    Fleet each = fleet;
+    ServerInventory each = inventory;
     const auto change = each.apply({2, false, hosts});
     ASSERT_EQ(change.list.entries.size(), 1u);
     EXPECT_EQ(change.list.entries[0].availability, Availability::ready);
@@ -184,7 +184,7 @@
   Listener at;
   std::vector<std::uint64_t> told;
   const Coordinator coordinator(loop, log, at.address(), 4,
-                                [&](const FleetNews& news) { told.push_back(news.index); });
+                                [&](const ServerListUpdate& news) { told.push_back(news.index); });
   const std::string event =
       R"(data: {"index":5,"endpoints":{"hosts":[{"host":"a","dial":"127.0.0.1:9","health":"in_service"}]}})";
   settle(3);
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -85,7 +85,7 @@
 // Set-ups that wait hold what their callers sent: more than the memory is meant for is refused unseen, until
 // some have their answer.
 TEST_F(Program, SetupsThatWaitAreBoundedByTheMemory) {
-  planner->limit({10, 100});
+  planner->set_capacity({10, 100});
   open_server();
   Peer gateway = caller();
   gateway.say(setup(0xaa, std::string(60, 'd')));
@@ -248,24 +248,24 @@
 // breaks: the release of the first, said again, would cut it behind its caller's back.
 TEST_F(Program, AReleaseOfAnEarlierAttemptDoesNotCutTheNext) {
   struct Ignores : Servers::Owner {
-    SetUpOutcome told_of_call(const ServerId&, ServerLine, MessageOrigin) override {
+    SetUpOutcome on_call_message(const ServerId&, ServerLine, MessageOrigin) override {
       return SetUpOutcome::settled;
     }
-    void broke(const ServerId&, CallId, unsigned, Break) override {}
-    void told(const ServerId&, const LoadReport&) override {}
-    void died(const ServerId&) override {}
-    void cut_off(const ServerId&, const std::vector<CallId>&) override {}
+    void on_set_up_lost(const ServerId&, CallId, unsigned, SetUpLoss) override {}
+    void on_load_report(const ServerId&, const LoadReport&) override {}
+    void on_process_gone(const ServerId&) override {}
+    void on_calls_unreachable(const ServerId&, const std::vector<CallId>&) override {}
   } owner;
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
-  servers.keep(id);
+  servers.keep_connected(id);
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
   settle();
   const Offer offer{0xaa, "voice", "1", "d", loop.now() + milliseconds(5000)};
   servers.offer(id, offer);
   until([&] { return count(server.heard(), "offer") == 1; }, "the first attempt");
-  servers.end(id, 0xaa, cause::kNormal);
-  servers.end(id, 0xbb, cause::kNormal);
+  servers.release(id, 0xaa, cause::kNormal);
+  servers.release(id, 0xbb, cause::kNormal);
   servers.offer(id, offer);
   until([&] { return count(server.heard(), "offer") == 2; }, "both attempts");
   server.reset();
