--- a/src/duty/steward.cpp
+++ b/src/duty/lease_manager.cpp
@@ -1,4 +1,4 @@
-#include "duty/steward.hpp"
+#include "duty/lease_manager.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/duty/member.hpp
+++ b/src/duty/member.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "duty/steward.hpp"
+#include "duty/lease_manager.hpp"
 #include "log.hpp"
 #include "net/loop.hpp"
 #include "register/client.hpp"
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "duty/steward.hpp"
+#include "duty/lease_manager.hpp"
 
 namespace quartzarch::fleet {
 
--- a/standin/faults/world.hpp
+++ b/standin/faults/world.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "duty/steward.hpp"
+#include "duty/lease_manager.hpp"
 #include "register/node.hpp"
 
 namespace quartzarch::faults {
