--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -319,7 +319,7 @@
   }
   Loop loop(steady_time);
   const Signals signals(loop);
-  duty::Member member(loop, log, fleet::addresses(settings), fleet::steward_settings(settings, name_),
+  duty::Member member(loop, log, fleet::addresses(settings), fleet::lease_settings(settings, name_),
                       {fleet::duty_settings(settings, duty_name_, name_)},
                       seed() ^ static_cast<std::uint64_t>(::getpid()));
   duty::Runner runner(loop, log, member, duty_name_, command_, settings.ending);
--- a/src/duty/lease_manager.cpp
+++ b/src/duty/lease_manager.cpp
@@ -56,7 +56,7 @@
   return "unknown";
 }
 
-Steward::Steward(Settings settings, std::vector<DutySettings> duties, std::uint64_t seed)
+LeaseManager::LeaseManager(Settings settings, std::vector<DutySettings> duties, std::uint64_t seed)
     : settings_(std::move(settings)), random_(seed) {
   for (DutySettings& each : duties) {
     Duty& duty = duties_[each.name];
@@ -65,7 +65,7 @@
   }
 }
 
-std::vector<Request> Steward::due(Time now) {
+std::vector<Request> LeaseManager::due(Time now) {
   std::vector<Request> out;
   look_at_session(now, out);
   for (auto& [name, duty] : duties_) look_at_duty(now, duty, out);
@@ -83,7 +83,7 @@
   return out;
 }
 
-Request Steward::request(Time now, reg::Command command, const std::string& duty, Token token) {
+Request LeaseManager::request(Time now, reg::Command command, const std::string& duty, Token token) {
   if (command.op != reg::Op::open) command.session = session_;
   pending_[++last_id_] = {command.op, duty, now, token};
   return {last_id_, std::move(command)};
@@ -91,7 +91,7 @@
 
 // ---- The session
 
-void Steward::look_at_session(Time now, std::vector<Request>& out) {
+void LeaseManager::look_at_session(Time now, std::vector<Request>& out) {
   if (session_ != 0 && now >= valid_until_) session_lost(now);
   if (session_ == 0) {
     if (leaving_ || opening_ || now < open_at_) return;
@@ -117,7 +117,7 @@
   }
 }
 
-void Steward::session_lost(Time now) {
+void LeaseManager::session_lost(Time now) {
   session_ = 0;
   closing_ = false;
   counted_on_way_ = false;
@@ -140,7 +140,7 @@
 
 // ---- Duties
 
-void Steward::look_at_duty(Time now, Duty& duty, std::vector<Request>& out) {
+void LeaseManager::look_at_duty(Time now, Duty& duty, std::vector<Request>& out) {
   if (duty.stage == Stage::holding) {
     const Duration limit = duty.settings.progress;
     if (now >= work_must_end()) {
@@ -184,7 +184,7 @@
   counted_again_ = std::move(acquire);
 }
 
-bool Steward::free_for_us(const Duty& duty) const {
+bool LeaseManager::free_for_us(const Duty& duty) const {
   if (!duty.known) return true;  // nobody has told: ask
   const reg::Duty& seen = duty.seen;
   if (seen.holder != 0 || seen.paused) return false;
@@ -192,7 +192,7 @@
 }
 
 // When to ask for it: sooner if it is kept for us or we are preferred, later the more duties we have.
-void Steward::consider(Time now, Duty& duty) {
+void LeaseManager::consider(Time now, Duty& duty) {
   if (duty.ask_at) return;
   const auto chance = milliseconds(std::uniform_int_distribution<int>(0, kJitterMs)(random_));
   if (!free_for_us(duty)) {
@@ -211,20 +211,20 @@
   duty.ask_at = std::max(now + wait, duty.not_before);
 }
 
-std::size_t Steward::held() const {
+std::size_t LeaseManager::held() const {
   return static_cast<std::size_t>(std::count_if(duties_.begin(), duties_.end(), [](const auto& each) {
     return each.second.stage == Stage::holding || each.second.stage == Stage::taking_up;
   }));
 }
 
-void Steward::give_up(Time now, Duty& duty, Why why) {
+void LeaseManager::give_up(Time now, Duty& duty, Why why) {
   duty.stage = Stage::giving_up;
   duty.why = why;
   orders_.push_back({Order::Kind::end, duty.settings.name, duty.token, why});
   if (why == Why::no_progress || why == Why::failed) failed_in_office(now, duty);
 }
 
-void Steward::failed_in_office(Time now, Duty& duty) {
+void LeaseManager::failed_in_office(Time now, Duty& duty) {
   if (now - duty.began >= duty.back_off * kProven) {
     duty.back_off = std::max(duty.back_off / 2, settings_.first_back_off);
   }
@@ -232,7 +232,7 @@
   duty.back_off = std::min(duty.back_off * 2, settings_.longest_back_off);
 }
 
-void Steward::ended(Time now, const std::string& name, Token token, bool failed) {
+void LeaseManager::ended(Time now, const std::string& name, Token token, bool failed) {
   const auto found = duties_.find(name);
   if (found == duties_.end() || found->second.token != token || !found->second.work_runs) return;
   Duty& duty = found->second;
@@ -248,12 +248,12 @@
   if (!duty.release_due) duty.stage = Stage::standing_by;
 }
 
-void Steward::progressed(Time now, const std::string& name, Token token) {
+void LeaseManager::progressed(Time now, const std::string& name, Token token) {
   const auto found = duties_.find(name);
   if (found != duties_.end() && found->second.token == token) found->second.progressed_at = now;
 }
 
-void Steward::leave(Time now, const std::string& successor) {
+void LeaseManager::leave(Time now, const std::string& successor) {
   leaving_ = true;
   successor_ = successor;
   for (auto& [name, duty] : duties_) {
@@ -264,7 +264,7 @@
 
 // ---- What comes back
 
-void Steward::shown(Time now, const std::string& name, reg::Revision revision, const reg::Duty& state) {
+void LeaseManager::shown(Time now, const std::string& name, reg::Revision revision, const reg::Duty& state) {
   const auto found = duties_.find(name);
   if (found == duties_.end() || (found->second.known && revision < found->second.seen_at)) return;
   Duty& duty = found->second;
@@ -280,7 +280,7 @@
   }
 }
 
-void Steward::answered(Time now, std::uint64_t id, const reg::Reply& reply) {
+void LeaseManager::answered(Time now, std::uint64_t id, const reg::Reply& reply) {
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;  // of a session that is over
   const Pending pending = std::move(found->second);
@@ -354,7 +354,7 @@
   }
 }
 
-void Steward::lost(Time now, std::uint64_t id) {
+void LeaseManager::lost(Time now, std::uint64_t id) {
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;
   const Pending pending = std::move(found->second);
@@ -377,9 +377,9 @@
   }
 }
 
-std::vector<Order> Steward::orders() { return std::exchange(orders_, {}); }
+std::vector<Order> LeaseManager::orders() { return std::exchange(orders_, {}); }
 
-std::optional<Token> Steward::holds(Time now, const std::string& name) const {
+std::optional<Token> LeaseManager::holds(Time now, const std::string& name) const {
   const auto found = duties_.find(name);
   if (found == duties_.end() || !found->second.work_runs || now >= valid_until_) return std::nullopt;
   if (found->second.stage != Stage::holding && found->second.stage != Stage::giving_up) return std::nullopt;
@@ -387,12 +387,12 @@
   return found->second.token;
 }
 
-Stage Steward::stage(const std::string& name) const {
+Stage LeaseManager::stage(const std::string& name) const {
   const auto found = duties_.find(name);
   return found == duties_.end() ? Stage::standing_by : found->second.stage;
 }
 
-Time Steward::next(Time now) const {
+Time LeaseManager::next(Time now) const {
   Time at = now + milliseconds(500);
   const auto want = [&at](Time when) { at = std::min(at, when); };
   if (session_ == 0) {
--- a/src/duty/lease_manager.hpp
+++ b/src/duty/lease_manager.hpp
@@ -72,9 +72,9 @@
   reg::Command command{};
 };
 
-class Steward {
+class LeaseManager {
  public:
-  Steward(Settings settings, std::vector<DutySettings> duties, std::uint64_t seed);
+  LeaseManager(Settings settings, std::vector<DutySettings> duties, std::uint64_t seed);
 
   // Commands to be sent now. Each is answered or lost exactly once.
   std::vector<Request> due(Time now);
--- a/src/duty/member.cpp
+++ b/src/duty/member.cpp
@@ -4,14 +4,14 @@
 
 Member::Member(Loop& loop, Logger& log, std::map<std::string, sockaddr_in> voters, Settings settings,
                std::vector<DutySettings> duties, std::uint64_t seed)
-    : loop_(loop), log_(log), client_(loop, std::move(voters), seed), steward_(settings, duties, seed) {
+    : loop_(loop), log_(log), client_(loop, std::move(voters), seed), leases_(settings, duties, seed) {
   for (const DutySettings& duty : duties) names_.push_back(duty.name);
   client_.watch(std::string(reg::kDutyPrefix),
                 [this](reg::Revision, const std::vector<reg::Change>& changes, bool) {
                   for (const reg::Change& change : changes) {
                     if (!change.value) continue;
-                    steward_.shown(loop_.now(), change.key.substr(reg::kDutyPrefix.size()), change.revision,
-                                   reg::parse_duty(*change.value));
+                    leases_.shown(loop_.now(), change.key.substr(reg::kDutyPrefix.size()), change.revision,
+                                  reg::parse_duty(*change.value));
                   }
                   drive();
                 });
@@ -26,12 +26,12 @@
 void Member::ended(const std::string& duty, Token token, bool failed) {
   log_.line("duty=%s event=ended token=%llu failed=%d", duty.c_str(), static_cast<unsigned long long>(token),
             failed);
-  steward_.ended(loop_.now(), duty, token, failed);
+  leases_.ended(loop_.now(), duty, token, failed);
   drive();
 }
 
 void Member::leave(const std::string& successor) {
-  steward_.leave(loop_.now(), successor);
+  leases_.leave(loop_.now(), successor);
   drive();
 }
 
@@ -41,45 +41,45 @@
   if (driving_) return;
   driving_ = true;
   while (std::exchange(again_, false)) {
-    for (Request& request : steward_.due(loop_.now())) {
+    for (Request& request : leases_.due(loop_.now())) {
       client_.ask(std::move(request.command),
                   [this, id = request.id](const std::optional<reg::Reply>& reply) {
                     if (reply) {
-                      steward_.answered(loop_.now(), id, *reply);
+                      leases_.answered(loop_.now(), id, *reply);
                     } else {
-                      steward_.lost(loop_.now(), id);
+                      leases_.lost(loop_.now(), id);
                     }
                     drive();
                   });
     }
     client_.pump();
-    for (const Order& order : steward_.orders()) {
+    for (const Order& order : leases_.orders()) {
       const auto work = works_.find(order.duty);
       if (order.kind == Order::Kind::begin) {
         log_.line("duty=%s event=begin token=%llu", order.duty.c_str(),
                   static_cast<unsigned long long>(order.token));
         if (work != works_.end()) {
           work->second->begin(order.token);
-          work->second->extended(order.token, steward_.valid_until());
+          work->second->extended(order.token, leases_.valid_until());
         } else {
-          steward_.ended(loop_.now(), order.duty, order.token, true);
+          leases_.ended(loop_.now(), order.duty, order.token, true);
         }
       } else {
         log_.line("duty=%s event=end token=%llu why=\"%s\"", order.duty.c_str(),
                   static_cast<unsigned long long>(order.token), why_text(order.why));
-        if (work != works_.end()) work->second->end(order.token, order.why, steward_.valid_until());
+        if (work != works_.end()) work->second->end(order.token, order.why, leases_.valid_until());
       }
     }
-    if (told_until_ != steward_.valid_until()) {
-      told_until_ = steward_.valid_until();
+    if (told_until_ != leases_.valid_until()) {
+      told_until_ = leases_.valid_until();
       for (const auto& [name, work] : works_) {
-        if (const auto token = steward_.holds(loop_.now(), name)) work->extended(*token, told_until_);
+        if (const auto token = leases_.holds(loop_.now(), name)) work->extended(*token, told_until_);
       }
     }
   }
   driving_ = false;
   if (timer_) loop_.cancel(*timer_);
-  timer_ = loop_.at(steward_.next(loop_.now()), [this] {
+  timer_ = loop_.at(leases_.next(loop_.now()), [this] {
     timer_.reset();
     drive();
   });
--- a/src/duty/member.hpp
+++ b/src/duty/member.hpp
@@ -1,4 +1,4 @@
-// A controller's steward on a loop: its commands go to the register, its orders to whoever does the work.
+// A controller's leases on a loop: its commands go to the register, its orders to whoever does the work.
 #pragma once
 
 #include <map>
@@ -33,14 +33,14 @@
   void does(const std::string& duty, Work& work) { works_[duty] = &work; }
   void start();
 
-  std::optional<Token> holds(const std::string& duty) const { return steward_.holds(loop_.now(), duty); }
-  Time valid_until() const { return steward_.valid_until(); }
+  std::optional<Token> holds(const std::string& duty) const { return leases_.holds(loop_.now(), duty); }
+  Time valid_until() const { return leases_.valid_until(); }
   void ended(const std::string& duty, Token token, bool failed);
-  void progressed(const std::string& duty, Token token) { steward_.progressed(loop_.now(), duty, token); }
+  void progressed(const std::string& duty, Token token) { leases_.progressed(loop_.now(), duty, token); }
   // In order: all is handed on, then the session closed.
   void leave(const std::string& successor = {});
-  bool left() const { return steward_.left(); }
-  const Steward& steward() const { return steward_; }
+  bool left() const { return leases_.left(); }
+  const LeaseManager& leases() const { return leases_; }
   reg::Client& client() { return client_; }
 
  private:
@@ -49,7 +49,7 @@
   Loop& loop_;
   Logger& log_;
   reg::Client client_;
-  Steward steward_;
+  LeaseManager leases_;
   std::vector<std::string> names_;
   std::map<std::string, Work*> works_;
   std::optional<Loop::TimerId> timer_;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -31,15 +31,15 @@
   return by_name;
 }
 
-duty::Settings steward_settings(const FleetSettings& settings, const std::string& name) {
-  duty::Settings steward;
-  steward.name = name;
+duty::Settings lease_settings(const FleetSettings& settings, const std::string& name) {
+  duty::Settings leases;
+  leases.name = name;
   // Later starts have a higher one; two within a microsecond are one process.
-  steward.incarnation = static_cast<std::uint64_t>(unix_time().count());
-  steward.ttl = settings.ttl;
-  steward.drift = settings.drift;
-  steward.ending = settings.ending;
-  return steward;
+  leases.incarnation = static_cast<std::uint64_t>(unix_time().count());
+  leases.ttl = settings.ttl;
+  leases.drift = settings.drift;
+  leases.ending = settings.ending;
+  return leases;
 }
 
 duty::DutySettings duty_settings(const FleetSettings& settings, const std::string& name,
@@ -77,7 +77,7 @@
       does.push_back(duty_settings(settings, duty, name));
       if (does.back().progress == Duration{0}) does.back().progress = kOwnProgress;
     }
-    member = std::make_unique<duty::Member>(loop, log, addresses(settings), steward_settings(settings, name),
+    member = std::make_unique<duty::Member>(loop, log, addresses(settings), lease_settings(settings, name),
                                             std::move(does), seed);
   }
   Loop loop;
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -90,7 +90,7 @@
 
 // The register's voters and the duty settings as the layers below take them.
 std::map<std::string, sockaddr_in> addresses(const FleetSettings& settings);
-duty::Settings steward_settings(const FleetSettings& settings, const std::string& name);
+duty::Settings lease_settings(const FleetSettings& settings, const std::string& name);
 duty::DutySettings duty_settings(const FleetSettings& settings, const std::string& duty,
                                  const std::string& name);
 
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -113,7 +113,7 @@
     unsigned connection = 0;
     int connected_to = -1;
     Time stopped_until{};
-    std::unique_ptr<duty::Steward> steward;
+    std::unique_ptr<duty::LeaseManager> leases;
     std::unique_ptr<reg::Access> access;
     std::map<std::string, Work> works;
     Time next_count{};
@@ -318,7 +318,7 @@
     settings.counts_from_answer = settings_.counts_from_answer;
     std::vector<duty::DutySettings> duties;
     for (unsigned i = 0; i < settings_.duties; ++i) duties.push_back({duty_name(i), true, {}});
-    controller.steward = std::make_unique<duty::Steward>(settings, duties, random_());
+    controller.leases = std::make_unique<duty::LeaseManager>(settings, duties, random_());
     reg::Access::Settings access;
     for (unsigned i = 0; i < settings_.voters; ++i) access.voters.push_back(address(i));
     controller.access = std::make_unique<reg::Access>(access, random_());
@@ -326,14 +326,14 @@
         std::string(reg::kDutyPrefix), [this, &controller](reg::Revision, const auto& changes, bool) {
           for (const reg::Change& change : changes) {
             if (!change.value) continue;
-            controller.steward->shown(controller.clock.at(now_), change.key.substr(reg::kDutyPrefix.size()),
-                                      change.revision, reg::parse_duty(*change.value));
+            controller.leases->shown(controller.clock.at(now_), change.key.substr(reg::kDutyPrefix.size()),
+                                     change.revision, reg::parse_duty(*change.value));
           }
         });
   }
 
   void step(Controller& controller) {
-    if (controller.steward && now_ >= controller.stopped_until) {
+    if (controller.leases && now_ >= controller.stopped_until) {
       for (auto& held : std::exchange(controller.held_up, {})) held();
       drive(controller);
     }
@@ -343,7 +343,7 @@
   void drive(Controller& controller) {
     const Time local = controller.clock.at(now_);
     const unsigned life = controller.life;
-    for (auto& request : controller.steward->due(local)) {
+    for (auto& request : controller.leases->due(local)) {
       ++seen_.duty_messages;
       controller.access->ask(
           local, std::move(request.command),
@@ -351,13 +351,13 @@
             if (controller.life != life) return;
             const Time then = controller.clock.at(now_);
             if (reply) {
-              controller.steward->answered(then, id, *reply);
+              controller.leases->answered(then, id, *reply);
             } else {
-              controller.steward->lost(then, id);
+              controller.leases->lost(then, id);
             }
           });
     }
-    for (const duty::Order& order : controller.steward->orders()) {
+    for (const duty::Order& order : controller.leases->orders()) {
       tell(name(controller) + " " + order.duty +
            (order.kind == duty::Order::Kind::begin ? " begins"
                                                    : std::string(" ends: ") + duty::why_text(order.why)) +
@@ -372,7 +372,7 @@
     for (auto each = controller.works.begin(); each != controller.works.end();) {
       auto& [duty, work] = *each;
       if (work.ends_at && now_ >= *work.ends_at) {
-        controller.steward->ended(local, duty, work.token, false);
+        controller.leases->ended(local, duty, work.token, false);
         each = controller.works.erase(each);
         continue;
       }
@@ -391,7 +391,7 @@
   // A duty's work acts on something outside, and may be held up between its look at the lease and the write.
   void effect(Controller& controller, const std::string& duty, Work& work) {
     work.next_effect = now_ + kEffectEvery;
-    const auto token = controller.steward->holds(controller.clock.at(now_), duty);
+    const auto token = controller.leases->holds(controller.clock.at(now_), duty);
     if (!token) return;
     const Duration on_way = chance(0.02) ? milliseconds(draw(4000)) : Duration{500 + draw(3000)};
     at(now_ + on_way, [this, duty, written = *token] {
@@ -621,18 +621,18 @@
         break;
       case 6:  // is killed and starts again
         close_if_connected(controller);
-        controller.steward.reset();
+        controller.leases.reset();
         ++controller.life;
         at(until, [this, &controller] {
-          if (!controller.steward) start(controller);
+          if (!controller.leases) start(controller);
         });
         break;
       case 7:
-        if (controller.steward) {
-          controller.steward->leave(controller.clock.at(now_),
-                                    "c" + std::to_string(draw(static_cast<int>(settings_.controllers))));
+        if (controller.leases) {
+          controller.leases->leave(controller.clock.at(now_),
+                                   "c" + std::to_string(draw(static_cast<int>(settings_.controllers))));
           at(until, [&controller] {
-            if (controller.steward) controller.steward->come_back();
+            if (controller.leases) controller.leases->come_back();
           });
         }
         break;
@@ -732,8 +732,8 @@
     }
     for (auto& controller : controllers_) {
       controller->stopped_until = now_;
-      if (!controller->steward) start(*controller);
-      controller->steward->come_back();
+      if (!controller->leases) start(*controller);
+      controller->leases->come_back();
     }
     for (unsigned i = 0; i < settings_.duties; ++i) unpause(duty_name(i));
   }
@@ -765,8 +765,8 @@
       const std::string duty = duty_name(i);
       int holders = 0;
       for (auto& controller : controllers_) {
-        if (!controller->steward || now_ < controller->stopped_until) continue;
-        if (controller->steward->holds(controller->clock.at(now_), duty)) ++holders;
+        if (!controller->leases || now_ < controller->stopped_until) continue;
+        if (controller->leases->holds(controller->clock.at(now_), duty)) ++holders;
       }
       if (holders > 1) fault("two hold " + duty + " at once");
       Time& free_since = free_since_[duty];
--- a/standin/faults/world.hpp
+++ b/standin/faults/world.hpp
@@ -1,6 +1,6 @@
-// A fleet in virtual time: the real voters, clients and stewards on a network and clocks of the world's own.
-// A walk draws losses, delays, cuts, stops, deaths, disk losses and operators' wishes from its seed; what is
-// seen is judged as it happens, and a fault is told with the seed that shows it again.
+// A fleet in virtual time: the real voters, clients and lease managers on a network and clocks of the world's
+// own. A walk draws losses, delays, cuts, stops, deaths, disk losses and operators' wishes from its seed;
+// what is seen is judged as it happens, and a fault is told with the seed that shows it again.
 #pragma once
 
 #include <cstdint>
@@ -52,7 +52,7 @@
   std::uint64_t hand_overs = 0;  // of the leadership, begun
   std::uint64_t messages = 0, bytes = 0;
   std::uint64_t leader_messages = 0, leader_bytes = 0;  // sent by it
-  std::uint64_t duty_messages = 0;  // of those the stewards': sessions, renewals, acquiring, handing on
+  std::uint64_t duty_messages = 0;  // of those the lease managers': sessions, renewals, acquiring, handing on
   std::uint64_t client_messages = 0, client_bytes = 0;  // sent by controllers
   std::vector<Duration> gaps{};                         // without a holder, duty by duty, each time
   Duration settled_after{};                             // all duties held again, from the healing on
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -1,5 +1,5 @@
-// Duties: the register and the stewards in virtual time under random faults, and the checkers by defects that
-// are switched on here only.
+// Duties: the register and the lease managers in virtual time under random faults, and the checkers by
+// defects that are switched on here only.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
