--- a/src/duty/lease_manager.cpp
+++ b/src/duty/lease_manager.cpp
@@ -220,7 +220,7 @@
 void LeaseManager::give_up(Time now, Duty& duty, Why why) {
   duty.stage = Stage::giving_up;
   duty.why = why;
-  orders_.push_back({Order::Kind::end, duty.settings.name, duty.token, why});
+  actions_.push_back({Action::Kind::end, duty.settings.name, duty.token, why});
   if (why == Why::no_progress || why == Why::failed) failed_in_office(now, duty);
 }
 
@@ -340,7 +340,7 @@
     duty.session = session_;
     duty.work_runs = true;
     duty.began = duty.progressed_at = now;
-    orders_.push_back({Order::Kind::begin, duty.settings.name, duty.token, {}});
+    actions_.push_back({Action::Kind::begin, duty.settings.name, duty.token, {}});
     return;
   }
   // What it told is as good as a watch; without one the duty is looked at again after a while.
@@ -377,7 +377,7 @@
   }
 }
 
-std::vector<Order> LeaseManager::orders() { return std::exchange(orders_, {}); }
+std::vector<Action> LeaseManager::take_actions() { return std::exchange(actions_, {}); }
 
 std::optional<Token> LeaseManager::holds(Time now, const std::string& name) const {
   const auto found = duties_.find(name);
--- a/src/duty/lease_manager.hpp
+++ b/src/duty/lease_manager.hpp
@@ -60,7 +60,7 @@
 const char* why_text(Why why);
 
 // What the owner of the work is to do.
-struct Order {
+struct Action {
   enum class Kind { begin, end } kind{};
   std::string duty{};
   Token token = 0;
@@ -85,12 +85,12 @@
   void shown(Time now, const std::string& duty, reg::Revision revision, const reg::Duty& state);
 
   // Orders since the last call. An `end` must be obeyed by the time holds() is false, without an answer.
-  std::vector<Order> orders();
+  std::vector<Action> take_actions();
   // The work of that holding has ended, told to or by itself. `failed`: it could not do its work.
   void ended(Time now, const std::string& duty, Token token, bool failed);
   // The work gets on.
   void progressed(Time now, const std::string& duty, Token token);
-  // Drain or stop: everything is handed on in order, to `successor` if it is there; nothing is taken up.
+  // Drain or stop: everything is handed on in action, to `successor` if it is there; nothing is taken up.
   void leave(Time now, const std::string& successor = {});
   void come_back() { leaving_ = false; }
 
@@ -161,7 +161,7 @@
   Time counted_again_at_{};
   std::uint64_t last_id_ = 0;
   std::map<std::uint64_t, Pending> pending_;
-  std::vector<Order> orders_;
+  std::vector<Action> actions_;
 };
 
 }  // namespace quartzarch::duty
--- a/src/duty/member.cpp
+++ b/src/duty/member.cpp
@@ -35,7 +35,7 @@
   drive();
 }
 
-// Not from inside itself: an order may be obeyed at once, and an answer come while others are asked for.
+// Not from inside itself: an action may be obeyed at once, and an answer come while others are asked for.
 void Member::drive() {
   again_ = true;
   if (driving_) return;
@@ -53,21 +53,21 @@
                   });
     }
     client_.pump();
-    for (const Order& order : leases_.orders()) {
-      const auto work = works_.find(order.duty);
-      if (order.kind == Order::Kind::begin) {
-        log_.line("duty=%s event=begin token=%llu", order.duty.c_str(),
-                  static_cast<unsigned long long>(order.token));
+    for (const Action& action : leases_.take_actions()) {
+      const auto work = works_.find(action.duty);
+      if (action.kind == Action::Kind::begin) {
+        log_.line("duty=%s event=begin token=%llu", action.duty.c_str(),
+                  static_cast<unsigned long long>(action.token));
         if (work != works_.end()) {
-          work->second->begin(order.token);
-          work->second->extended(order.token, leases_.valid_until());
+          work->second->begin(action.token);
+          work->second->extended(action.token, leases_.valid_until());
         } else {
-          leases_.ended(loop_.now(), order.duty, order.token, true);
+          leases_.ended(loop_.now(), action.duty, action.token, true);
         }
       } else {
-        log_.line("duty=%s event=end token=%llu why=\"%s\"", order.duty.c_str(),
-                  static_cast<unsigned long long>(order.token), why_text(order.why));
-        if (work != works_.end()) work->second->end(order.token, order.why, leases_.valid_until());
+        log_.line("duty=%s event=end token=%llu why=\"%s\"", action.duty.c_str(),
+                  static_cast<unsigned long long>(action.token), why_text(action.why));
+        if (work != works_.end()) work->second->end(action.token, action.why, leases_.valid_until());
       }
     }
     if (told_until_ != leases_.valid_until()) {
--- a/src/duty/member.hpp
+++ b/src/duty/member.hpp
@@ -37,7 +37,7 @@
   Time valid_until() const { return leases_.valid_until(); }
   void ended(const std::string& duty, Token token, bool failed);
   void progressed(const std::string& duty, Token token) { leases_.progressed(loop_.now(), duty, token); }
-  // In order: all is handed on, then the session closed.
+  // In action: all is handed on, then the session closed.
   void leave(const std::string& successor = {});
   bool left() const { return leases_.left(); }
   const LeaseManager& leases() const { return leases_; }
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -357,15 +357,15 @@
             }
           });
     }
-    for (const duty::Order& order : controller.leases->orders()) {
-      tell(name(controller) + " " + order.duty +
-           (order.kind == duty::Order::Kind::begin ? " begins"
-                                                   : std::string(" ends: ") + duty::why_text(order.why)) +
-           " token " + std::to_string(order.token));
-      if (order.kind == duty::Order::Kind::begin) {
+    for (const duty::Action& action : controller.leases->take_actions()) {
+      tell(name(controller) + " " + action.duty +
+           (action.kind == duty::Action::Kind::begin ? " begins"
+                                                     : std::string(" ends: ") + duty::why_text(action.why)) +
+           " token " + std::to_string(action.token));
+      if (action.kind == duty::Action::Kind::begin) {
         ++seen_.holdings;
-        controller.works[order.duty] = {order.token, now_, std::nullopt};
-      } else if (const auto work = controller.works.find(order.duty); work != controller.works.end()) {
+        controller.works[action.duty] = {action.token, now_, std::nullopt};
+      } else if (const auto work = controller.works.find(action.duty); work != controller.works.end()) {
         work->second.ends_at = now_ + milliseconds(draw(100));
       }
     }
