--- a/src/duty/lease_manager.cpp
+++ b/src/duty/lease_manager.cpp
@@ -36,21 +36,21 @@
   return "unknown";
 }
 
-const char* why_text(Why why) {
-  switch (why) {
-    case Why::lease_over:
+const char* end_reason_text(EndReason reason) {
+  switch (reason) {
+    case EndReason::lease_expiring:
       return "the lease runs out, nothing was renewed";
-    case Why::handed_on:
+    case EndReason::handed_over:
       return "handed on in order";
-    case Why::no_progress:
+    case EndReason::no_progress:
       return "no progress";
-    case Why::failed:
+    case EndReason::failed:
       return "failed in office";
-    case Why::moved:
+    case EndReason::moved:
       return "moved by an operator";
-    case Why::paused:
+    case EndReason::paused:
       return "paused by an operator";
-    case Why::session_lost:
+    case EndReason::session_lost:
       return "the session is over";
   }
   return "unknown";
@@ -129,7 +129,7 @@
   pending_.clear();
   opening_ = false;
   for (auto& [name, duty] : duties_) {
-    if (duty.stage == Stage::holding) give_up(now, duty, Why::session_lost);
+    if (duty.stage == Stage::holding) give_up(now, duty, EndReason::session_lost);
     duty.asked = false;
     duty.release_due = false;
     duty.known = false;
@@ -144,11 +144,11 @@
   if (duty.stage == Stage::holding) {
     const Duration limit = duty.settings.progress;
     if (now >= work_must_end()) {
-      give_up(now, duty, Why::lease_over);
+      give_up(now, duty, EndReason::lease_expiring);
     } else if (leaving_) {
-      give_up(now, duty, Why::handed_on);
+      give_up(now, duty, EndReason::handed_over);
     } else if (limit > Duration{0} && now - duty.progressed_at >= limit) {
-      give_up(now, duty, Why::no_progress);
+      give_up(now, duty, EndReason::no_progress);
     }
   }
   if (session_ == 0 || counted_on_way_ || counted_again_ || closing_) return;
@@ -161,8 +161,8 @@
     release.sequence = ++sequence_;
     release.name = duty.settings.name;
     release.number = duty.token;
-    if (duty.why == Why::handed_on) release.value = successor_;
-    if (duty.why == Why::moved) release.value = duty.seen.wanted;
+    if (duty.reason == EndReason::handed_over) release.value = successor_;
+    if (duty.reason == EndReason::moved) release.value = duty.seen.wanted;
     counted_duty_ = duty.settings.name;
     out.push_back(request(now, release, duty.settings.name, duty.token));
     counted_again_ = std::move(release);
@@ -217,11 +217,11 @@
   }));
 }
 
-void LeaseManager::give_up(Time now, Duty& duty, Why why) {
+void LeaseManager::give_up(Time now, Duty& duty, EndReason reason) {
   duty.stage = Stage::giving_up;
-  duty.why = why;
-  actions_.push_back({Action::Kind::end, duty.settings.name, duty.token, why});
-  if (why == Why::no_progress || why == Why::failed) failed_in_office(now, duty);
+  duty.reason = reason;
+  actions_.push_back({Action::Kind::end, duty.settings.name, duty.token, reason});
+  if (reason == EndReason::no_progress || reason == EndReason::failed) failed_in_office(now, duty);
 }
 
 void LeaseManager::failed_in_office(Time now, Duty& duty) {
@@ -239,9 +239,9 @@
   duty.work_runs = false;
   if (duty.stage == Stage::holding) {  // by itself
     duty.stage = Stage::giving_up;
-    duty.why = failed ? Why::failed : Why::handed_on;
+    duty.reason = failed ? EndReason::failed : EndReason::handed_over;
     failed_in_office(now, duty);
-  } else if (failed && duty.why != Why::no_progress) {
+  } else if (failed && duty.reason != EndReason::no_progress) {
     failed_in_office(now, duty);
   }
   duty.release_due = session_ != 0;
@@ -258,7 +258,7 @@
   successor_ = successor;
   for (auto& [name, duty] : duties_) {
     duty.ask_at.reset();
-    if (duty.stage == Stage::holding) give_up(now, duty, Why::handed_on);
+    if (duty.stage == Stage::holding) give_up(now, duty, EndReason::handed_over);
   }
 }
 
@@ -274,9 +274,9 @@
   duty.known = true;
   if (duty.stage == Stage::standing_by && !duty.asked && free_for_us(duty) != was_free) duty.ask_at.reset();
   if (duty.stage != Stage::holding) return;
-  if (state.paused) return give_up(now, duty, Why::paused);
+  if (state.paused) return give_up(now, duty, EndReason::paused);
   if (!state.wanted.empty() && state.wanted != settings_.name && state.token == duty.token) {
-    give_up(now, duty, Why::moved);
+    give_up(now, duty, EndReason::moved);
   }
 }
 
@@ -321,7 +321,8 @@
   if (pending.op == reg::Op::release) {
     duty.stage = Stage::standing_by;
     duty.known = false;
-    if (duty.why == Why::handed_on || duty.why == Why::moved || duty.why == Why::paused) {
+    if (duty.reason == EndReason::handed_over || duty.reason == EndReason::moved ||
+        duty.reason == EndReason::paused) {
       duty.not_before = std::max(duty.not_before, now + settings_.not_preferred);
     }
     return;
@@ -331,7 +332,7 @@
     if (now >= work_must_end()) {  // answered too late to begin
       duty.token = reply.token;
       duty.stage = Stage::giving_up;
-      duty.why = Why::lease_over;
+      duty.reason = EndReason::lease_expiring;
       duty.release_due = true;
       return;
     }
--- a/src/duty/lease_manager.hpp
+++ b/src/duty/lease_manager.hpp
@@ -55,16 +55,16 @@
 };
 const char* stage_text(Stage stage);
 
-// Why the work is to end.
-enum class Why { lease_over, handed_on, no_progress, failed, moved, paused, session_lost };
-const char* why_text(Why why);
+// EndReason the work is to end.
+enum class EndReason { lease_expiring, handed_over, no_progress, failed, moved, paused, session_lost };
+const char* end_reason_text(EndReason reason);
 
 // What the owner of the work is to do.
 struct Action {
   enum class Kind { begin, end } kind{};
   std::string duty{};
   Token token = 0;
-  Why why{};  // end
+  EndReason reason{};  // end
 };
 
 struct Request {
@@ -118,7 +118,7 @@
     bool asked = false;  // an acquire or a release is on its way
     bool work_runs = false;
     bool release_due = false;
-    Why why{};
+    EndReason reason{};
     Time began{};
     Time progressed_at{};
     Duration back_off{};
@@ -135,7 +135,7 @@
   void look_at_session(Time now, std::vector<Request>& out);
   void look_at_duty(Time now, Duty& duty, std::vector<Request>& out);
   void session_lost(Time now);
-  void give_up(Time now, Duty& duty, Why why);
+  void give_up(Time now, Duty& duty, EndReason reason);
   void failed_in_office(Time now, Duty& duty);
   void consider(Time now, Duty& duty);
   bool free_for_us(const Duty& duty) const;
--- a/src/duty/member.cpp
+++ b/src/duty/member.cpp
@@ -66,8 +66,8 @@
         }
       } else {
         log_.line("duty=%s event=end token=%llu why=\"%s\"", action.duty.c_str(),
-                  static_cast<unsigned long long>(action.token), why_text(action.why));
-        if (work != works_.end()) work->second->end(action.token, action.why, leases_.valid_until());
+                  static_cast<unsigned long long>(action.token), end_reason_text(action.reason));
+        if (work != works_.end()) work->second->end(action.token, action.reason, leases_.valid_until());
       }
     }
     if (told_until_ != leases_.valid_until()) {
--- a/src/duty/member.hpp
+++ b/src/duty/member.hpp
@@ -19,7 +19,7 @@
   virtual void begin(Token token) = 0;
   // To have ended by `until` (of the loop's clock), then Member::ended is called; after it nothing may be
   // done.
-  virtual void end(Token token, Why why, Time until) = 0;
+  virtual void end(Token token, EndReason reason, Time until) = 0;
   // The lease runs until then now.
   virtual void extended(Token, Time until) { (void)until; }
 };
--- a/src/duty/runner.cpp
+++ b/src/duty/runner.cpp
@@ -121,7 +121,7 @@
   if (token == token_ && guardian_ > 0 && !told_to_end_) tell('l', until);
 }
 
-void Runner::end(Token token, Why, Time until) {
+void Runner::end(Token token, EndReason, Time until) {
   if (token != token_ || guardian_ <= 0) return;
   told_to_end_ = true;
   tell('e', until);
--- a/src/duty/runner.hpp
+++ b/src/duty/runner.hpp
@@ -20,7 +20,7 @@
   ~Runner() override;
 
   void begin(Token token) override;
-  void end(Token token, Why why, Time until) override;
+  void end(Token token, EndReason reason, Time until) override;
   void extended(Token token, Time until) override;
   // The program's exit code when it ended by itself with 0: the work is done.
   bool done() const { return done_; }
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -40,7 +40,7 @@
   friend class Membership;
   void attach(Loop& loop, Mailbox& mailbox, duty::Member& member);
   void begin(duty::Token token) override;
-  void end(duty::Token token, duty::Why why, Time until) override;
+  void end(duty::Token token, duty::EndReason why, Time until) override;
   void extended(duty::Token token, Time until) override;
   void told_to_end();
 
--- a/src/fleet/office.cpp
+++ b/src/fleet/office.cpp
@@ -51,7 +51,7 @@
   if (token_ == token) until_ = until;
 }
 
-void Office::end(duty::Token token, duty::Why, Time until) {
+void Office::end(duty::Token token, duty::EndReason, Time until) {
   bool at_work = false;
   {
     const std::lock_guard lock(mutex_);
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -359,8 +359,9 @@
     }
     for (const duty::Action& action : controller.leases->take_actions()) {
       tell(name(controller) + " " + action.duty +
-           (action.kind == duty::Action::Kind::begin ? " begins"
-                                                     : std::string(" ends: ") + duty::why_text(action.why)) +
+           (action.kind == duty::Action::Kind::begin
+                ? " begins"
+                : std::string(" ends: ") + duty::end_reason_text(action.reason)) +
            " token " + std::to_string(action.token));
       if (action.kind == duty::Action::Kind::begin) {
         ++seen_.holdings;
