--- a/src/duty/lease_manager.cpp
+++ b/src/duty/lease_manager.cpp
@@ -24,13 +24,13 @@
 
 const char* stage_text(Stage stage) {
   switch (stage) {
-    case Stage::standing_by:
+    case Stage::standby:
       return "standing by";
-    case Stage::taking_up:
+    case Stage::acquiring:
       return "taking up";
     case Stage::holding:
       return "holding";
-    case Stage::giving_up:
+    case Stage::releasing:
       return "giving up";
   }
   return "unknown";
@@ -71,7 +71,7 @@
   for (auto& [name, duty] : duties_) look_at_duty(now, duty, out);
   if (leaving_ && session_ != 0 && !closing_ && !counted_on_way_ && !counted_again_) {
     const bool done = std::all_of(duties_.begin(), duties_.end(), [](const auto& each) {
-      return each.second.stage == Stage::standing_by && !each.second.asked;
+      return each.second.stage == Stage::standby && !each.second.asked;
     });
     if (done) {
       closing_ = true;
@@ -134,7 +134,7 @@
     duty.release_due = false;
     duty.known = false;
     duty.ask_at.reset();
-    if (duty.stage == Stage::taking_up || !duty.work_runs) duty.stage = Stage::standing_by;
+    if (duty.stage == Stage::acquiring || !duty.work_runs) duty.stage = Stage::standby;
   }
 }
 
@@ -168,11 +168,11 @@
     counted_again_ = std::move(release);
     return;
   }
-  if (duty.stage != Stage::standing_by || leaving_ || duty.asked || duty.work_runs) return;
+  if (duty.stage != Stage::standby || leaving_ || duty.asked || duty.work_runs) return;
   consider(now, duty);
   if (!duty.ask_at || now < *duty.ask_at) return;
   duty.ask_at.reset();
-  duty.stage = Stage::taking_up;
+  duty.stage = Stage::acquiring;
   duty.asked = true;
   counted_on_way_ = true;
   reg::Command acquire;
@@ -213,12 +213,12 @@
 
 std::size_t LeaseManager::held() const {
   return static_cast<std::size_t>(std::count_if(duties_.begin(), duties_.end(), [](const auto& each) {
-    return each.second.stage == Stage::holding || each.second.stage == Stage::taking_up;
+    return each.second.stage == Stage::holding || each.second.stage == Stage::acquiring;
   }));
 }
 
 void LeaseManager::give_up(Time now, Duty& duty, EndReason reason) {
-  duty.stage = Stage::giving_up;
+  duty.stage = Stage::releasing;
   duty.reason = reason;
   actions_.push_back({Action::Kind::end, duty.settings.name, duty.token, reason});
   if (reason == EndReason::no_progress || reason == EndReason::failed) failed_in_office(now, duty);
@@ -238,14 +238,14 @@
   Duty& duty = found->second;
   duty.work_runs = false;
   if (duty.stage == Stage::holding) {  // by itself
-    duty.stage = Stage::giving_up;
+    duty.stage = Stage::releasing;
     duty.reason = failed ? EndReason::failed : EndReason::handed_over;
     failed_in_office(now, duty);
   } else if (failed && duty.reason != EndReason::no_progress) {
     failed_in_office(now, duty);
   }
   duty.release_due = session_ != 0;
-  if (!duty.release_due) duty.stage = Stage::standing_by;
+  if (!duty.release_due) duty.stage = Stage::standby;
 }
 
 void LeaseManager::progressed(Time now, const std::string& name, Token token) {
@@ -272,7 +272,7 @@
   duty.seen = state;
   duty.seen_at = revision;
   duty.known = true;
-  if (duty.stage == Stage::standing_by && !duty.asked && free_for_us(duty) != was_free) duty.ask_at.reset();
+  if (duty.stage == Stage::standby && !duty.asked && free_for_us(duty) != was_free) duty.ask_at.reset();
   if (duty.stage != Stage::holding) return;
   if (state.paused) return give_up(now, duty, EndReason::paused);
   if (!state.wanted.empty() && state.wanted != settings_.name && state.token == duty.token) {
@@ -319,7 +319,7 @@
   Duty& duty = duties_.at(pending.duty);
   duty.asked = false;
   if (pending.op == reg::Op::release) {
-    duty.stage = Stage::standing_by;
+    duty.stage = Stage::standby;
     duty.known = false;
     if (duty.reason == EndReason::handed_over || duty.reason == EndReason::moved ||
         duty.reason == EndReason::paused) {
@@ -327,11 +327,11 @@
     }
     return;
   }
-  duty.stage = Stage::standing_by;
+  duty.stage = Stage::standby;
   if (reply.code == reg::Code::ok) {
     if (now >= work_must_end()) {  // answered too late to begin
       duty.token = reply.token;
-      duty.stage = Stage::giving_up;
+      duty.stage = Stage::releasing;
       duty.reason = EndReason::lease_expiring;
       duty.release_due = true;
       return;
@@ -383,14 +383,14 @@
 std::optional<Token> LeaseManager::holds(Time now, const std::string& name) const {
   const auto found = duties_.find(name);
   if (found == duties_.end() || !found->second.work_runs || now >= valid_until_) return std::nullopt;
-  if (found->second.stage != Stage::holding && found->second.stage != Stage::giving_up) return std::nullopt;
+  if (found->second.stage != Stage::holding && found->second.stage != Stage::releasing) return std::nullopt;
   if (session_ == 0 || found->second.session != session_) return std::nullopt;
   return found->second.token;
 }
 
 Stage LeaseManager::stage(const std::string& name) const {
   const auto found = duties_.find(name);
-  return found == duties_.end() ? Stage::standing_by : found->second.stage;
+  return found == duties_.end() ? Stage::standby : found->second.stage;
 }
 
 Time LeaseManager::next(Time now) const {
@@ -409,8 +409,8 @@
       if (duty.settings.progress > Duration{0}) want(duty.progressed_at + duty.settings.progress);
     }
     if (duty.release_due) want(now);
-    if (duty.stage == Stage::standing_by && duty.ask_at) want(*duty.ask_at);
-    if (duty.stage == Stage::standing_by && !duty.ask_at && !duty.asked) want(now);
+    if (duty.stage == Stage::standby && duty.ask_at) want(*duty.ask_at);
+    if (duty.stage == Stage::standby && !duty.ask_at && !duty.asked) want(now);
   }
   return std::max(at, now + milliseconds(1));
 }
--- a/src/duty/lease_manager.hpp
+++ b/src/duty/lease_manager.hpp
@@ -48,10 +48,10 @@
 };
 
 enum class Stage {
-  standing_by,
-  taking_up,  // asked for
+  standby,
+  acquiring,  // asked for
   holding,
-  giving_up,  // the work was told to end
+  releasing,  // the work was told to end
 };
 const char* stage_text(Stage stage);
 
@@ -108,7 +108,7 @@
  private:
   struct Duty {
     DutySettings settings{};
-    Stage stage = Stage::standing_by;
+    Stage stage = Stage::standby;
     Token token = 0;
     reg::SessionId session = 0;  // under which it is held: another's lease says nothing of it
     reg::Revision seen_at = 0;
