--- a/src/duty/lease_manager.cpp
+++ b/src/duty/lease_manager.cpp
@@ -9,16 +9,17 @@
 using std::chrono::milliseconds;
 
 // A renewal is sent this many times in a time to live.
-constexpr int kRenewals = 4;
-// A counted command whose answer was lost is asked again after this.
-constexpr Duration kAskAgain = milliseconds(100);
-constexpr Duration kOpenAgain = milliseconds(200);
-// Of controllers that see a duty fall free in the same moment, each waits by chance up to this.
-constexpr int kJitterMs = 40;
-// A duty that is held is asked for again without news after so many times to live: a change may go untold.
-constexpr int kLookAgain = 20;
+constexpr int kRenewalsPerLease = 4;
+// A sequenced command whose answer was lost is request_pending again after this.
+constexpr Duration kRetryInterval = milliseconds(100);
+constexpr Duration kOpenRetryInterval = milliseconds(200);
+// Of controllers that see a duty fall free in the same moment, each waits by jitter up to this.
+constexpr int kMaxJitterMs = 40;
+// A duty that is held is request_pending for again without news after so many times to live: a change may go
+// untold.
+constexpr int kRecheckLeases = 20;
 // A holding that lasted this many back-offs halves it.
-constexpr int kProven = 10;
+constexpr int kProvenBackOffs = 10;
 
 }  // namespace
 
@@ -61,17 +62,17 @@
   for (DutySettings& each : duties) {
     Duty& duty = duties_[each.name];
     duty.settings = std::move(each);
-    duty.back_off = settings_.first_back_off;
+    duty.back_off = settings_.min_back_off;
   }
 }
 
 std::vector<Request> LeaseManager::due(Time now) {
   std::vector<Request> out;
-  look_at_session(now, out);
-  for (auto& [name, duty] : duties_) look_at_duty(now, duty, out);
-  if (leaving_ && session_ != 0 && !closing_ && !counted_on_way_ && !counted_again_) {
+  update_session(now, out);
+  for (auto& [name, duty] : duties_) update_duty(now, duty, out);
+  if (leaving_ && session_ != 0 && !closing_ && !sequenced_in_flight_ && !sequenced_retry_) {
     const bool done = std::all_of(duties_.begin(), duties_.end(), [](const auto& each) {
-      return each.second.stage == Stage::standby && !each.second.asked;
+      return each.second.stage == Stage::standby && !each.second.request_pending;
     });
     if (done) {
       closing_ = true;
@@ -91,7 +92,7 @@
 
 // ---- The session
 
-void LeaseManager::look_at_session(Time now, std::vector<Request>& out) {
+void LeaseManager::update_session(Time now, std::vector<Request>& out) {
   if (session_ != 0 && now >= valid_until_) session_lost(now);
   if (session_ == 0) {
     if (leaving_ || opening_ || now < open_at_) return;
@@ -106,109 +107,109 @@
   }
   if (now >= renew_at_) {
     // Not awaited: a later one may overtake one that got lost.
-    renew_at_ = now + settings_.ttl / kRenewals;
+    renew_at_ = now + settings_.ttl / kRenewalsPerLease;
     reg::Command renew;
     renew.op = reg::Op::renew;
     out.push_back(request(now, std::move(renew), {}));
   }
-  if (counted_again_ && !counted_on_way_ && now >= counted_again_at_) {
-    counted_on_way_ = true;
-    out.push_back(request(now, *counted_again_, counted_duty_, counted_again_->number));
+  if (sequenced_retry_ && !sequenced_in_flight_ && now >= sequenced_retry_at_) {
+    sequenced_in_flight_ = true;
+    out.push_back(request(now, *sequenced_retry_, sequenced_duty_, sequenced_retry_->number));
   }
 }
 
 void LeaseManager::session_lost(Time now) {
   session_ = 0;
   closing_ = false;
-  counted_on_way_ = false;
-  counted_again_.reset();
+  sequenced_in_flight_ = false;
+  sequenced_retry_.reset();
   sequence_ = 0;
   // The next session is another incarnation: the register may still have the old one.
   ++settings_.incarnation;
-  open_at_ = now + kOpenAgain;
+  open_at_ = now + kOpenRetryInterval;
   pending_.clear();
   opening_ = false;
   for (auto& [name, duty] : duties_) {
-    if (duty.stage == Stage::holding) give_up(now, duty, EndReason::session_lost);
-    duty.asked = false;
+    if (duty.stage == Stage::holding) begin_release(now, duty, EndReason::session_lost);
+    duty.request_pending = false;
     duty.release_due = false;
     duty.known = false;
-    duty.ask_at.reset();
-    if (duty.stage == Stage::acquiring || !duty.work_runs) duty.stage = Stage::standby;
+    duty.acquire_at.reset();
+    if (duty.stage == Stage::acquiring || !duty.work_running) duty.stage = Stage::standby;
   }
 }
 
 // ---- Duties
 
-void LeaseManager::look_at_duty(Time now, Duty& duty, std::vector<Request>& out) {
+void LeaseManager::update_duty(Time now, Duty& duty, std::vector<Request>& out) {
   if (duty.stage == Stage::holding) {
     const Duration limit = duty.settings.progress;
-    if (now >= work_must_end()) {
-      give_up(now, duty, EndReason::lease_expiring);
+    if (now >= work_deadline()) {
+      begin_release(now, duty, EndReason::lease_expiring);
     } else if (leaving_) {
-      give_up(now, duty, EndReason::handed_over);
+      begin_release(now, duty, EndReason::handed_over);
     } else if (limit > Duration{0} && now - duty.progressed_at >= limit) {
-      give_up(now, duty, EndReason::no_progress);
+      begin_release(now, duty, EndReason::no_progress);
     }
   }
-  if (session_ == 0 || counted_on_way_ || counted_again_ || closing_) return;
+  if (session_ == 0 || sequenced_in_flight_ || sequenced_retry_ || closing_) return;
   if (duty.release_due) {
     duty.release_due = false;
-    duty.asked = true;
-    counted_on_way_ = true;
+    duty.request_pending = true;
+    sequenced_in_flight_ = true;
     reg::Command release;
     release.op = reg::Op::release;
     release.sequence = ++sequence_;
     release.name = duty.settings.name;
     release.number = duty.token;
     if (duty.reason == EndReason::handed_over) release.value = successor_;
-    if (duty.reason == EndReason::moved) release.value = duty.seen.wanted;
-    counted_duty_ = duty.settings.name;
+    if (duty.reason == EndReason::moved) release.value = duty.known_state.wanted;
+    sequenced_duty_ = duty.settings.name;
     out.push_back(request(now, release, duty.settings.name, duty.token));
-    counted_again_ = std::move(release);
+    sequenced_retry_ = std::move(release);
     return;
   }
-  if (duty.stage != Stage::standby || leaving_ || duty.asked || duty.work_runs) return;
-  consider(now, duty);
-  if (!duty.ask_at || now < *duty.ask_at) return;
-  duty.ask_at.reset();
+  if (duty.stage != Stage::standby || leaving_ || duty.request_pending || duty.work_running) return;
+  schedule_acquire(now, duty);
+  if (!duty.acquire_at || now < *duty.acquire_at) return;
+  duty.acquire_at.reset();
   duty.stage = Stage::acquiring;
-  duty.asked = true;
-  counted_on_way_ = true;
+  duty.request_pending = true;
+  sequenced_in_flight_ = true;
   reg::Command acquire;
   acquire.op = reg::Op::acquire;
   acquire.sequence = ++sequence_;
   acquire.name = duty.settings.name;
-  counted_duty_ = duty.settings.name;
+  sequenced_duty_ = duty.settings.name;
   out.push_back(request(now, acquire, duty.settings.name));
-  counted_again_ = std::move(acquire);
+  sequenced_retry_ = std::move(acquire);
 }
 
-bool LeaseManager::free_for_us(const Duty& duty) const {
+bool LeaseManager::may_acquire(const Duty& duty) const {
   if (!duty.known) return true;  // nobody has told: ask
-  const reg::Duty& seen = duty.seen;
-  if (seen.holder != 0 || seen.paused) return false;
-  return seen.reserved.empty() || seen.reserved == settings_.name;
+  const reg::Duty& known_state = duty.known_state;
+  if (known_state.holder != 0 || known_state.paused) return false;
+  return known_state.reserved.empty() || known_state.reserved == settings_.name;
 }
 
 // When to ask for it: sooner if it is kept for us or we are preferred, later the more duties we have.
-void LeaseManager::consider(Time now, Duty& duty) {
-  if (duty.ask_at) return;
-  const auto chance = milliseconds(std::uniform_int_distribution<int>(0, kJitterMs)(random_));
-  if (!free_for_us(duty)) {
-    duty.ask_at = now + kLookAgain * settings_.ttl + chance * 20;
+void LeaseManager::schedule_acquire(Time now, Duty& duty) {
+  if (duty.acquire_at) return;
+  const auto jitter = milliseconds(std::uniform_int_distribution<int>(0, kMaxJitterMs)(random_));
+  if (!may_acquire(duty)) {
+    duty.acquire_at = now + kRecheckLeases * settings_.ttl + jitter * 20;
     return;
   }
-  const bool ours =
-      duty.known && (duty.seen.reserved == settings_.name || duty.seen.wanted == settings_.name);
+  const bool designated = duty.known && (duty.known_state.reserved == settings_.name ||
+                                         duty.known_state.wanted == settings_.name);
   Duration wait{0};
-  if (!ours) {
-    wait = settings_.spread * static_cast<int>(held()) + chance;
-    if (!duty.settings.preferred) wait += settings_.not_preferred;
-    if (duty.known && !duty.seen.wanted.empty())
-      wait += settings_.not_preferred;  // somebody else should have it
+  if (!designated) {
+    wait = settings_.load_delay * static_cast<int>(held()) + jitter;
+    if (!duty.settings.preferred) wait += settings_.non_preferred_delay;
+    if (duty.known && !duty.known_state.wanted.empty())
+      wait += settings_.non_preferred_delay;  // somebody else should have it
   }
-  duty.ask_at = std::max(now + wait, duty.not_before);
+  duty.acquire_at = std::max(now + wait, duty.back_off_until);
 }
 
 std::size_t LeaseManager::held() const {
@@ -217,32 +218,32 @@
   }));
 }
 
-void LeaseManager::give_up(Time now, Duty& duty, EndReason reason) {
+void LeaseManager::begin_release(Time now, Duty& duty, EndReason reason) {
   duty.stage = Stage::releasing;
   duty.reason = reason;
   actions_.push_back({Action::Kind::end, duty.settings.name, duty.token, reason});
-  if (reason == EndReason::no_progress || reason == EndReason::failed) failed_in_office(now, duty);
+  if (reason == EndReason::no_progress || reason == EndReason::failed) apply_back_off(now, duty);
 }
 
-void LeaseManager::failed_in_office(Time now, Duty& duty) {
-  if (now - duty.began >= duty.back_off * kProven) {
-    duty.back_off = std::max(duty.back_off / 2, settings_.first_back_off);
+void LeaseManager::apply_back_off(Time now, Duty& duty) {
+  if (now - duty.began_at >= duty.back_off * kProvenBackOffs) {
+    duty.back_off = std::max(duty.back_off / 2, settings_.min_back_off);
   }
-  duty.not_before = now + duty.back_off;
-  duty.back_off = std::min(duty.back_off * 2, settings_.longest_back_off);
+  duty.back_off_until = now + duty.back_off;
+  duty.back_off = std::min(duty.back_off * 2, settings_.max_back_off);
 }
 
 void LeaseManager::ended(Time now, const std::string& name, Token token, bool failed) {
   const auto found = duties_.find(name);
-  if (found == duties_.end() || found->second.token != token || !found->second.work_runs) return;
+  if (found == duties_.end() || found->second.token != token || !found->second.work_running) return;
   Duty& duty = found->second;
-  duty.work_runs = false;
+  duty.work_running = false;
   if (duty.stage == Stage::holding) {  // by itself
     duty.stage = Stage::releasing;
     duty.reason = failed ? EndReason::failed : EndReason::handed_over;
-    failed_in_office(now, duty);
+    apply_back_off(now, duty);
   } else if (failed && duty.reason != EndReason::no_progress) {
-    failed_in_office(now, duty);
+    apply_back_off(now, duty);
   }
   duty.release_due = session_ != 0;
   if (!duty.release_due) duty.stage = Stage::standby;
@@ -257,8 +258,8 @@
   leaving_ = true;
   successor_ = successor;
   for (auto& [name, duty] : duties_) {
-    duty.ask_at.reset();
-    if (duty.stage == Stage::holding) give_up(now, duty, EndReason::handed_over);
+    duty.acquire_at.reset();
+    if (duty.stage == Stage::holding) begin_release(now, duty, EndReason::handed_over);
   }
 }
 
@@ -266,17 +267,18 @@
 
 void LeaseManager::shown(Time now, const std::string& name, reg::Revision revision, const reg::Duty& state) {
   const auto found = duties_.find(name);
-  if (found == duties_.end() || (found->second.known && revision < found->second.seen_at)) return;
+  if (found == duties_.end() || (found->second.known && revision < found->second.known_revision)) return;
   Duty& duty = found->second;
-  const bool was_free = free_for_us(duty);
-  duty.seen = state;
-  duty.seen_at = revision;
+  const bool was_free = may_acquire(duty);
+  duty.known_state = state;
+  duty.known_revision = revision;
   duty.known = true;
-  if (duty.stage == Stage::standby && !duty.asked && free_for_us(duty) != was_free) duty.ask_at.reset();
+  if (duty.stage == Stage::standby && !duty.request_pending && may_acquire(duty) != was_free)
+    duty.acquire_at.reset();
   if (duty.stage != Stage::holding) return;
-  if (state.paused) return give_up(now, duty, EndReason::paused);
+  if (state.paused) return begin_release(now, duty, EndReason::paused);
   if (!state.wanted.empty() && state.wanted != settings_.name && state.token == duty.token) {
-    give_up(now, duty, EndReason::moved);
+    begin_release(now, duty, EndReason::moved);
   }
 }
 
@@ -285,27 +287,28 @@
   if (found == pending_.end()) return;  // of a session that is over
   const Pending pending = std::move(found->second);
   pending_.erase(found);
-  const bool counted = pending.op == reg::Op::acquire || pending.op == reg::Op::release;
-  if (counted) {
-    counted_on_way_ = false;
-    counted_again_.reset();
+  const bool sequenced = pending.op == reg::Op::acquire || pending.op == reg::Op::release;
+  if (sequenced) {
+    sequenced_in_flight_ = false;
+    sequenced_retry_.reset();
   }
   if (reply.code == reg::Code::no_session && pending.op != reg::Op::open) return session_lost(now);
-  const double share = settings_.counts_from_answer ? 1 : 1 - settings_.drift;
-  const Time lease = (settings_.counts_from_answer ? now : pending.sent) +
-                     Duration{static_cast<Duration::rep>(static_cast<double>(settings_.ttl.count()) * share)};
+  const double lease_share = settings_.counts_from_answer ? 1 : 1 - settings_.drift;
+  const Time lease =
+      (settings_.counts_from_answer ? now : pending.sent) +
+      Duration{static_cast<Duration::rep>(static_cast<double>(settings_.ttl.count()) * lease_share)};
   switch (pending.op) {
     case reg::Op::open:
       opening_ = false;
       if (reply.code != reg::Code::ok || lease <= now) {
-        open_at_ = now + kOpenAgain;
+        open_at_ = now + kOpenRetryInterval;
         if (reply.code == reg::Code::ok) ++settings_.incarnation;  // that session is too old to be used
         return;
       }
       session_ = reply.token;
       sequence_ = 0;
       valid_until_ = lease;
-      renew_at_ = pending.sent + settings_.ttl / kRenewals;
+      renew_at_ = pending.sent + settings_.ttl / kRenewalsPerLease;
       return;
     case reg::Op::renew:
       if (reply.code == reg::Code::ok) valid_until_ = std::max(valid_until_, lease);
@@ -317,19 +320,19 @@
       break;
   }
   Duty& duty = duties_.at(pending.duty);
-  duty.asked = false;
+  duty.request_pending = false;
   if (pending.op == reg::Op::release) {
     duty.stage = Stage::standby;
     duty.known = false;
     if (duty.reason == EndReason::handed_over || duty.reason == EndReason::moved ||
         duty.reason == EndReason::paused) {
-      duty.not_before = std::max(duty.not_before, now + settings_.not_preferred);
+      duty.back_off_until = std::max(duty.back_off_until, now + settings_.non_preferred_delay);
     }
     return;
   }
   duty.stage = Stage::standby;
   if (reply.code == reg::Code::ok) {
-    if (now >= work_must_end()) {  // answered too late to begin
+    if (now >= work_deadline()) {  // answered too late to begin
       duty.token = reply.token;
       duty.stage = Stage::releasing;
       duty.reason = EndReason::lease_expiring;
@@ -339,19 +342,19 @@
     duty.stage = Stage::holding;
     duty.token = reply.token;
     duty.session = session_;
-    duty.work_runs = true;
-    duty.began = duty.progressed_at = now;
+    duty.work_running = true;
+    duty.began_at = duty.progressed_at = now;
     actions_.push_back({Action::Kind::begin, duty.settings.name, duty.token, {}});
     return;
   }
   // What it told is as good as a watch; without one the duty is looked at again after a while.
-  if (reply.revision >= duty.seen_at) {
+  if (reply.revision >= duty.known_revision) {
     duty.known = true;
-    duty.seen_at = reply.revision;
-    duty.seen.token = reply.token;
-    duty.seen.holder = reply.code == reg::Code::held ? 1 : 0;
-    duty.seen.paused = reply.code == reg::Code::paused;
-    duty.seen.reserved = reply.code == reg::Code::reserved ? reply.holder : std::string{};
+    duty.known_revision = reply.revision;
+    duty.known_state.token = reply.token;
+    duty.known_state.holder = reply.code == reg::Code::held ? 1 : 0;
+    duty.known_state.paused = reply.code == reg::Code::paused;
+    duty.known_state.reserved = reply.code == reg::Code::reserved ? reply.holder : std::string{};
   }
 }
 
@@ -363,18 +366,18 @@
   switch (pending.op) {
     case reg::Op::open:
       opening_ = false;
-      open_at_ = now + kOpenAgain;
+      open_at_ = now + kOpenRetryInterval;
       return;
     case reg::Op::renew:
       // Sooner than the next in turn: there may be only this one left in time.
-      renew_at_ = std::min(renew_at_, now + settings_.ttl / (kRenewals * 4));
+      renew_at_ = std::min(renew_at_, now + settings_.ttl / (kRenewalsPerLease * 4));
       return;
     case reg::Op::close:
       closing_ = false;
       return;
     default:
-      counted_on_way_ = false;
-      counted_again_at_ = now + kAskAgain;
+      sequenced_in_flight_ = false;
+      sequenced_retry_at_ = now + kRetryInterval;
   }
 }
 
@@ -382,7 +385,7 @@
 
 std::optional<Token> LeaseManager::holds(Time now, const std::string& name) const {
   const auto found = duties_.find(name);
-  if (found == duties_.end() || !found->second.work_runs || now >= valid_until_) return std::nullopt;
+  if (found == duties_.end() || !found->second.work_running || now >= valid_until_) return std::nullopt;
   if (found->second.stage != Stage::holding && found->second.stage != Stage::releasing) return std::nullopt;
   if (session_ == 0 || found->second.session != session_) return std::nullopt;
   return found->second.token;
@@ -395,22 +398,22 @@
 
 Time LeaseManager::next(Time now) const {
   Time at = now + milliseconds(500);
-  const auto want = [&at](Time when) { at = std::min(at, when); };
+  const auto wake_by = [&at](Time when) { at = std::min(at, when); };
   if (session_ == 0) {
-    if (!opening_ && !leaving_) want(open_at_);
+    if (!opening_ && !leaving_) wake_by(open_at_);
     return std::max(at, now + milliseconds(1));
   }
-  want(renew_at_);
-  want(valid_until_);
-  if (counted_again_ && !counted_on_way_) want(counted_again_at_);
+  wake_by(renew_at_);
+  wake_by(valid_until_);
+  if (sequenced_retry_ && !sequenced_in_flight_) wake_by(sequenced_retry_at_);
   for (const auto& [name, duty] : duties_) {
     if (duty.stage == Stage::holding) {
-      want(work_must_end());
-      if (duty.settings.progress > Duration{0}) want(duty.progressed_at + duty.settings.progress);
+      wake_by(work_deadline());
+      if (duty.settings.progress > Duration{0}) wake_by(duty.progressed_at + duty.settings.progress);
     }
-    if (duty.release_due) want(now);
-    if (duty.stage == Stage::standby && duty.ask_at) want(*duty.ask_at);
-    if (duty.stage == Stage::standby && !duty.ask_at && !duty.asked) want(now);
+    if (duty.release_due) wake_by(now);
+    if (duty.stage == Stage::standby && duty.acquire_at) wake_by(*duty.acquire_at);
+    if (duty.stage == Stage::standby && !duty.acquire_at && !duty.request_pending) wake_by(now);
   }
   return std::max(at, now + milliseconds(1));
 }
--- a/src/duty/lease_manager.hpp
+++ b/src/duty/lease_manager.hpp
@@ -3,9 +3,9 @@
 // passed in; what is to be sent comes out of due(), what came back goes into answered() and lost().
 //
 // The lease: a holding counts from before the last answered renewal was SENT, for the session's time to live
-// less the share by which clocks may differ. The register's leader counts from when it APPLIED that renewal,
-// later, for the whole time. So the holder has ended before anybody else may begin, whatever is lost or late;
-// no two clocks are ever compared (docs/duties.md).
+// less the lease_share by which clocks may differ. The register's leader counts from when it APPLIED that
+// renewal, later, for the whole time. So the holder has ended before anybody else may begin, whatever is lost
+// or late; no two clocks are ever compared (docs/duties.md).
 #pragma once
 
 #include <map>
@@ -25,17 +25,17 @@
   std::string name{};             // the controller's, the same after a restart
   std::uint64_t incarnation = 1;  // of this process: higher than that of any earlier one
   Duration ttl = std::chrono::milliseconds(3000);
-  double drift = 0.05;  // no two steady clocks of the fleet differ by more than this share
+  double drift = 0.05;  // no two steady clocks of the fleet differ by more than this lease_share
   // What ending a duty's work takes at most: it is told to end so long before the lease is over.
   Duration ending = std::chrono::milliseconds(300);
   // A controller that has duties already lets others be first, by so much for each.
-  Duration spread = std::chrono::milliseconds(60);
+  Duration load_delay = std::chrono::milliseconds(60);
   // One that is not preferred waits so much longer.
-  Duration not_preferred = std::chrono::milliseconds(200);
+  Duration non_preferred_delay = std::chrono::milliseconds(200);
   // After a holding that failed, before this controller takes that duty up again; doubled with each, halved
   // by each holding that lasted ten times as long.
-  Duration first_back_off = std::chrono::milliseconds(1000);
-  Duration longest_back_off = std::chrono::milliseconds(60000);
+  Duration min_back_off = std::chrono::milliseconds(1000);
+  Duration max_back_off = std::chrono::milliseconds(60000);
   // Tests only: the lease counts from the answer, and clocks are taken to agree.
   bool counts_from_answer = false;
 };
@@ -49,7 +49,7 @@
 
 enum class Stage {
   standby,
-  acquiring,  // asked for
+  acquiring,  // request_pending for
   holding,
   releasing,  // the work was told to end
 };
@@ -111,18 +111,18 @@
     Stage stage = Stage::standby;
     Token token = 0;
     reg::SessionId session = 0;  // under which it is held: another's lease says nothing of it
-    reg::Revision seen_at = 0;
-    reg::Duty seen{};  // as the register showed it last
+    reg::Revision known_revision = 0;
+    reg::Duty known_state{};  // as the register showed it last
     bool known = false;
-    std::optional<Time> ask_at{};
-    bool asked = false;  // an acquire or a release is on its way
-    bool work_runs = false;
+    std::optional<Time> acquire_at{};
+    bool request_pending = false;  // an acquire or a release is on its way
+    bool work_running = false;
     bool release_due = false;
     EndReason reason{};
-    Time began{};
+    Time began_at{};
     Time progressed_at{};
     Duration back_off{};
-    Time not_before{};
+    Time back_off_until{};
   };
   struct Pending {
     reg::Op op{};
@@ -132,15 +132,15 @@
   };
 
   Request request(Time now, reg::Command command, const std::string& duty, Token token = 0);
-  void look_at_session(Time now, std::vector<Request>& out);
-  void look_at_duty(Time now, Duty& duty, std::vector<Request>& out);
+  void update_session(Time now, std::vector<Request>& out);
+  void update_duty(Time now, Duty& duty, std::vector<Request>& out);
   void session_lost(Time now);
-  void give_up(Time now, Duty& duty, EndReason reason);
-  void failed_in_office(Time now, Duty& duty);
-  void consider(Time now, Duty& duty);
-  bool free_for_us(const Duty& duty) const;
+  void begin_release(Time now, Duty& duty, EndReason reason);
+  void apply_back_off(Time now, Duty& duty);
+  void schedule_acquire(Time now, Duty& duty);
+  bool may_acquire(const Duty& duty) const;
   std::size_t held() const;
-  Time work_must_end() const { return valid_until_ - settings_.ending; }
+  Time work_deadline() const { return valid_until_ - settings_.ending; }
 
   Settings settings_;
   std::map<std::string, Duty> duties_;
@@ -154,11 +154,12 @@
   Time renew_at_{};
   Time open_at_{};
   std::uint64_t sequence_ = 0;
-  bool counted_on_way_ =
-      false;  // one counted command at a time: the register remembers the last one's answer
-  std::optional<reg::Command> counted_again_{};  // one whose answer was lost is asked again, the same
-  std::string counted_duty_;
-  Time counted_again_at_{};
+  bool sequenced_in_flight_ =
+      false;  // one sequenced command at a time: the register remembers the last one's answer
+  std::optional<reg::Command>
+      sequenced_retry_{};  // one whose answer was lost is request_pending again, the same
+  std::string sequenced_duty_;
+  Time sequenced_retry_at_{};
   std::uint64_t last_id_ = 0;
   std::map<std::uint64_t, Pending> pending_;
   std::vector<Action> actions_;
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -313,8 +313,8 @@
     settings.incarnation = (std::uint64_t{controller.life} << 32) + 1;
     settings.ttl = settings_.ttl;
     settings.drift = settings_.drift;
-    settings.first_back_off = milliseconds(300);
-    settings.longest_back_off = milliseconds(2000);
+    settings.min_back_off = milliseconds(300);
+    settings.max_back_off = milliseconds(2000);
     settings.counts_from_answer = settings_.counts_from_answer;
     std::vector<duty::DutySettings> duties;
     for (unsigned i = 0; i < settings_.duties; ++i) duties.push_back({duty_name(i), true, {}});
