--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -323,7 +323,7 @@
                       {fleet::duty_settings(settings, duty_name_, name_)},
                       seed() ^ static_cast<std::uint64_t>(::getpid()));
   duty::Runner runner(loop, log, member, duty_name_, command_, settings.ending);
-  member.does(duty_name_, runner);
+  member.set_work(duty_name_, runner);
   member.start();
   while (!signals.stop_came() && !(once_ && runner.done())) loop.pass(milliseconds(200));
   member.leave();
--- a/src/duty/lease_manager.cpp
+++ b/src/duty/lease_manager.cpp
@@ -249,7 +249,7 @@
   if (!duty.release_due) duty.stage = Stage::standby;
 }
 
-void LeaseManager::progressed(Time now, const std::string& name, Token token) {
+void LeaseManager::report_progress(Time now, const std::string& name, Token token) {
   const auto found = duties_.find(name);
   if (found != duties_.end() && found->second.token == token) found->second.progressed_at = now;
 }
@@ -265,7 +265,8 @@
 
 // ---- What comes back
 
-void LeaseManager::shown(Time now, const std::string& name, reg::Revision revision, const reg::Duty& state) {
+void LeaseManager::on_duty_changed(Time now, const std::string& name, reg::Revision revision,
+                                   const reg::Duty& state) {
   const auto found = duties_.find(name);
   if (found == duties_.end() || (found->second.known && revision < found->second.known_revision)) return;
   Duty& duty = found->second;
@@ -282,7 +283,7 @@
   }
 }
 
-void LeaseManager::answered(Time now, std::uint64_t id, const reg::Reply& reply) {
+void LeaseManager::on_reply(Time now, std::uint64_t id, const reg::Reply& reply) {
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;  // of a session that is over
   const Pending pending = std::move(found->second);
@@ -358,7 +359,7 @@
   }
 }
 
-void LeaseManager::lost(Time now, std::uint64_t id) {
+void LeaseManager::on_no_reply(Time now, std::uint64_t id) {
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;
   const Pending pending = std::move(found->second);
@@ -396,7 +397,7 @@
   return found == duties_.end() ? Stage::standby : found->second.stage;
 }
 
-Time LeaseManager::next(Time now) const {
+Time LeaseManager::next_wakeup(Time now) const {
   Time at = now + milliseconds(500);
   const auto wake_by = [&at](Time when) { at = std::min(at, when); };
   if (session_ == 0) {
--- a/src/duty/lease_manager.hpp
+++ b/src/duty/lease_manager.hpp
@@ -78,21 +78,21 @@
 
   // Commands to be sent now. Each is answered or lost exactly once.
   std::vector<Request> due(Time now);
-  void answered(Time now, std::uint64_t id, const reg::Reply& reply);
+  void on_reply(Time now, std::uint64_t id, const reg::Reply& reply);
   // No answer will come, or none can be believed: it may have been done or not.
-  void lost(Time now, std::uint64_t id);
+  void on_no_reply(Time now, std::uint64_t id);
   // The register shows a duty so; `revision` orders what watch and list tell.
-  void shown(Time now, const std::string& duty, reg::Revision revision, const reg::Duty& state);
+  void on_duty_changed(Time now, const std::string& duty, reg::Revision revision, const reg::Duty& state);
 
   // Orders since the last call. An `end` must be obeyed by the time holds() is false, without an answer.
   std::vector<Action> take_actions();
   // The work of that holding has ended, told to or by itself. `failed`: it could not do its work.
   void ended(Time now, const std::string& duty, Token token, bool failed);
   // The work gets on.
-  void progressed(Time now, const std::string& duty, Token token);
+  void report_progress(Time now, const std::string& duty, Token token);
   // Drain or stop: everything is handed on in action, to `successor` if it is there; nothing is taken up.
   void leave(Time now, const std::string& successor = {});
-  void come_back() { leaving_ = false; }
+  void rejoin() { leaving_ = false; }
 
   // The token under which the work may act at this moment; none: it must not.
   std::optional<Token> holds(Time now, const std::string& duty) const;
@@ -103,7 +103,7 @@
   // Until when the lease runs by this controller's clock, were nothing renewed.
   Time valid_until() const { return valid_until_; }
   // When due() has something to do, at the latest.
-  Time next(Time now) const;
+  Time next_wakeup(Time now) const;
 
  private:
   struct Duty {
--- a/src/duty/member.cpp
+++ b/src/duty/member.cpp
@@ -10,8 +10,8 @@
                 [this](reg::Revision, const std::vector<reg::Change>& changes, bool) {
                   for (const reg::Change& change : changes) {
                     if (!change.value) continue;
-                    leases_.shown(loop_.now(), change.key.substr(reg::kDutyPrefix.size()), change.revision,
-                                  reg::parse_duty(*change.value));
+                    leases_.on_duty_changed(loop_.now(), change.key.substr(reg::kDutyPrefix.size()),
+                                            change.revision, reg::parse_duty(*change.value));
                   }
                   drive();
                 });
@@ -37,17 +37,17 @@
 
 // Not from inside itself: an action may be obeyed at once, and an answer come while others are asked for.
 void Member::drive() {
-  again_ = true;
+  drive_again_ = true;
   if (driving_) return;
   driving_ = true;
-  while (std::exchange(again_, false)) {
+  while (std::exchange(drive_again_, false)) {
     for (Request& request : leases_.due(loop_.now())) {
       client_.ask(std::move(request.command),
                   [this, id = request.id](const std::optional<reg::Reply>& reply) {
                     if (reply) {
-                      leases_.answered(loop_.now(), id, *reply);
+                      leases_.on_reply(loop_.now(), id, *reply);
                     } else {
-                      leases_.lost(loop_.now(), id);
+                      leases_.on_no_reply(loop_.now(), id);
                     }
                     drive();
                   });
@@ -60,7 +60,7 @@
                   static_cast<unsigned long long>(action.token));
         if (work != works_.end()) {
           work->second->begin(action.token);
-          work->second->extended(action.token, leases_.valid_until());
+          work->second->lease_extended(action.token, leases_.valid_until());
         } else {
           leases_.ended(loop_.now(), action.duty, action.token, true);
         }
@@ -70,16 +70,17 @@
         if (work != works_.end()) work->second->end(action.token, action.reason, leases_.valid_until());
       }
     }
-    if (told_until_ != leases_.valid_until()) {
-      told_until_ = leases_.valid_until();
+    if (announced_until_ != leases_.valid_until()) {
+      announced_until_ = leases_.valid_until();
       for (const auto& [name, work] : works_) {
-        if (const auto token = leases_.holds(loop_.now(), name)) work->extended(*token, told_until_);
+        if (const auto token = leases_.holds(loop_.now(), name))
+          work->lease_extended(*token, announced_until_);
       }
     }
   }
   driving_ = false;
   if (timer_) loop_.cancel(*timer_);
-  timer_ = loop_.at(leases_.next(loop_.now()), [this] {
+  timer_ = loop_.at(leases_.next_wakeup(loop_.now()), [this] {
     timer_.reset();
     drive();
   });
--- a/src/duty/member.hpp
+++ b/src/duty/member.hpp
@@ -21,7 +21,7 @@
   // done.
   virtual void end(Token token, EndReason reason, Time until) = 0;
   // The lease runs until then now.
-  virtual void extended(Token, Time until) { (void)until; }
+  virtual void lease_extended(Token, Time until) { (void)until; }
 };
 
 class Member {
@@ -30,13 +30,15 @@
          std::vector<DutySettings> duties, std::uint64_t seed);
   ~Member();
 
-  void does(const std::string& duty, Work& work) { works_[duty] = &work; }
+  void set_work(const std::string& duty, Work& work) { works_[duty] = &work; }
   void start();
 
   std::optional<Token> holds(const std::string& duty) const { return leases_.holds(loop_.now(), duty); }
   Time valid_until() const { return leases_.valid_until(); }
   void ended(const std::string& duty, Token token, bool failed);
-  void progressed(const std::string& duty, Token token) { leases_.progressed(loop_.now(), duty, token); }
+  void report_progress(const std::string& duty, Token token) {
+    leases_.report_progress(loop_.now(), duty, token);
+  }
   // In action: all is handed on, then the session closed.
   void leave(const std::string& successor = {});
   bool left() const { return leases_.left(); }
@@ -54,8 +56,8 @@
   std::map<std::string, Work*> works_;
   std::optional<Loop::TimerId> timer_;
   bool driving_ = false;
-  bool again_ = false;
-  Time told_until_{};
+  bool drive_again_ = false;
+  Time announced_until_{};
 };
 
 }  // namespace quartzarch::duty
--- a/src/duty/runner.cpp
+++ b/src/duty/runner.cpp
@@ -117,7 +117,7 @@
   if (to_guardian_) (void)!::write(to_guardian_.get(), &word, sizeof word);
 }
 
-void Runner::extended(Token token, Time until) {
+void Runner::lease_extended(Token token, Time until) {
   if (token == token_ && guardian_ > 0 && !told_to_end_) tell('l', until);
 }
 
--- a/src/duty/runner.hpp
+++ b/src/duty/runner.hpp
@@ -21,7 +21,7 @@
 
   void begin(Token token) override;
   void end(Token token, EndReason reason, Time until) override;
-  void extended(Token token, Time until) override;
+  void lease_extended(Token token, Time until) override;
   // The program's exit code when it ended by itself with 0: the work is done.
   bool done() const { return done_; }
 
--- a/src/fleet/certificate_store.cpp
+++ b/src/fleet/certificate_store.cpp
@@ -52,7 +52,7 @@
 // ---- What others have changed
 
 void CertificateStore::look() {
-  office_.progressed();
+  office_.report_progress();
   std::vector<Told> told;
   {
     const std::lock_guard lock(inbox_->mutex);
@@ -272,7 +272,7 @@
 }
 
 bool DutyTurn::keep(acme::Instant) {
-  office_.progressed();
+  office_.report_progress();
   const auto token = office_.holds();
   return token && *token == store_.token();
 }
--- a/src/fleet/gap_list.cpp
+++ b/src/fleet/gap_list.cpp
@@ -119,7 +119,7 @@
 // The list-keeper's work.
 void GapList::sweep() {
   Office& office = fleet_.office(kGapsDuty);
-  office.progressed();
+  office.report_progress();
   if (const auto token = office.holds()) {
     for (const auto& each : ledger_.sweep(loop_->now())) {
       log_.line("gap=%s event=taken_out token=%llu", each.id.c_str(),
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -33,7 +33,7 @@
   void busy(bool at_work);
   // The work gets on. Without a word for the duty's time of progress it goes to another controller. Any
   // thread.
-  void progressed();
+  void report_progress();
   const std::string& name() const { return name_; }
 
  private:
@@ -41,7 +41,7 @@
   void attach(Loop& loop, Mailbox& mailbox, duty::Member& member);
   void begin(duty::Token token) override;
   void end(duty::Token token, duty::EndReason why, Time until) override;
-  void extended(duty::Token token, Time until) override;
+  void lease_extended(duty::Token token, Time until) override;
   void told_to_end();
 
   const std::string name_;
--- a/src/fleet/office.cpp
+++ b/src/fleet/office.cpp
@@ -21,7 +21,7 @@
   if (!at_work && mailbox_) mailbox_->post([this] { told_to_end(); });
 }
 
-void Office::progressed() {
+void Office::report_progress() {
   duty::Token token = 0;
   {
     const std::lock_guard lock(mutex_);
@@ -30,14 +30,14 @@
     told_progress_ = now;
     token = token_;
   }
-  mailbox_->post([this, token] { member_->progressed(name_, token); });
+  mailbox_->post([this, token] { member_->report_progress(name_, token); });
 }
 
 void Office::attach(Loop& loop, Mailbox& mailbox, duty::Member& member) {
   loop_ = &loop;
   mailbox_ = &mailbox;
   member_ = &member;
-  member.does(name_, *this);
+  member.set_work(name_, *this);
 }
 
 void Office::begin(duty::Token token) {
@@ -46,7 +46,7 @@
   until_ = Time{};
 }
 
-void Office::extended(duty::Token token, Time until) {
+void Office::lease_extended(duty::Token token, Time until) {
   const std::lock_guard lock(mutex_);
   if (token_ == token) until_ = until;
 }
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -326,8 +326,9 @@
         std::string(reg::kDutyPrefix), [this, &controller](reg::Revision, const auto& changes, bool) {
           for (const reg::Change& change : changes) {
             if (!change.value) continue;
-            controller.leases->shown(controller.clock.at(now_), change.key.substr(reg::kDutyPrefix.size()),
-                                     change.revision, reg::parse_duty(*change.value));
+            controller.leases->on_duty_changed(controller.clock.at(now_),
+                                               change.key.substr(reg::kDutyPrefix.size()), change.revision,
+                                               reg::parse_duty(*change.value));
           }
         });
   }
@@ -351,9 +352,9 @@
             if (controller.life != life) return;
             const Time then = controller.clock.at(now_);
             if (reply) {
-              controller.leases->answered(then, id, *reply);
+              controller.leases->on_reply(then, id, *reply);
             } else {
-              controller.leases->lost(then, id);
+              controller.leases->on_no_reply(then, id);
             }
           });
     }
@@ -633,7 +634,7 @@
           controller.leases->leave(controller.clock.at(now_),
                                    "c" + std::to_string(draw(static_cast<int>(settings_.controllers))));
           at(until, [&controller] {
-            if (controller.leases) controller.leases->come_back();
+            if (controller.leases) controller.leases->rejoin();
           });
         }
         break;
@@ -734,7 +735,7 @@
     for (auto& controller : controllers_) {
       controller->stopped_until = now_;
       if (!controller->leases) start(*controller);
-      controller->leases->come_back();
+      controller->leases->rejoin();
     }
     for (unsigned i = 0; i < settings_.duties; ++i) unpause(duty_name(i));
   }
