--- a/src/duty/runner.cpp
+++ b/src/duty/runner.cpp
@@ -11,16 +11,17 @@
 namespace quartzarch::duty {
 namespace {
 
-constexpr Duration kLook = std::chrono::milliseconds(10);
+constexpr Duration kPollInterval = std::chrono::milliseconds(10);
 
-// What the guardian is told: end the program (TERM, and KILL at the time), or the lease goes on until then.
-struct Word {
-  char what;  // 'e' or 'l'
+// What the supervisor is told: end the program (TERM, and KILL at the time), or the lease goes on until then.
+struct SupervisorCommand {
+  char type;  // 'e' or 'l'
   std::int64_t until_us;
 };
 
-// The guardian's life. Nothing of the parent's is used but the pipe: it may be stopped or gone.
-[[noreturn]] void guard(int words, char* const* arguments, std::int64_t until_us, std::int64_t ending_us) {
+// The supervisor's life. Nothing of the parent's is used but the pipe: it may be stopped or gone.
+[[noreturn]] void supervise(int commands_fd, char* const* arguments, std::int64_t until_us,
+                            std::int64_t ending_us) {
   ::setpgid(0, 0);
   const pid_t program = ::fork();
   if (program == 0) {
@@ -44,13 +45,13 @@
       term_sent = true;
     }
     if (now >= until_us - ending_us / 4) ::kill(-program, SIGKILL);
-    pollfd polled{words, POLLIN, 0};
-    if (::poll(&polled, 1, static_cast<int>(kLook / std::chrono::milliseconds(1))) > 0) {
-      Word word{};
-      const ssize_t size = ::read(words, &word, sizeof word);
-      if (size == sizeof word) {
-        if (!term_sent || word.what == 'e') until_us = word.until_us;
-        if (word.what == 'e' && !term_sent) {
+    pollfd polled{commands_fd, POLLIN, 0};
+    if (::poll(&polled, 1, static_cast<int>(kPollInterval / std::chrono::milliseconds(1))) > 0) {
+      SupervisorCommand message{};
+      const ssize_t size = ::read(commands_fd, &message, sizeof message);
+      if (size == sizeof message) {
+        if (!term_sent || message.type == 'e') until_us = message.until_us;
+        if (message.type == 'e' && !term_sent) {
           ::kill(-program, SIGTERM);
           term_sent = true;
         }
@@ -75,11 +76,11 @@
       command_(std::move(command)),
       ending_(ending) {}
 
-Runner::~Runner() { to_guardian_.reset(); }
+Runner::~Runner() { to_supervisor_.reset(); }
 
 void Runner::begin(Token token) {
   token_ = token;
-  told_to_end_ = false;
+  end_requested_ = false;
   int ends[2];
   if (::pipe2(ends, O_CLOEXEC) != 0) {
     log_.line("duty=%s event=error what=\"no pipe: %s\"", duty_.c_str(), std::strerror(errno));
@@ -87,14 +88,14 @@
     return;
   }
   Fd read_end(ends[0]);
-  to_guardian_ = Fd(ends[1]);
+  to_supervisor_ = Fd(ends[1]);
   ::fcntl(ends[1], F_SETFL, O_NONBLOCK);
   std::vector<char*> arguments;
   for (std::string& each : command_) arguments.push_back(each.data());
   arguments.push_back(nullptr);
   const std::int64_t until = member_.valid_until().count();
-  guardian_ = ::fork();
-  if (guardian_ == 0) {
+  supervisor_ = ::fork();
+  if (supervisor_ == 0) {
     ::close(ends[1]);
     // The loop's signals are blocked here; the program gets them as it should.
     sigset_t none;
@@ -102,43 +103,43 @@
     sigprocmask(SIG_SETMASK, &none, nullptr);
     ::setenv("QUARTZARCH_DUTY", duty_.c_str(), 1);
     ::setenv("QUARTZARCH_TOKEN", std::to_string(token).c_str(), 1);
-    guard(ends[0], arguments.data(), until, ending_.count());
+    supervise(ends[0], arguments.data(), until, ending_.count());
   }
-  if (guardian_ < 0) {
+  if (supervisor_ < 0) {
     log_.line("duty=%s event=error what=\"no process: %s\"", duty_.c_str(), std::strerror(errno));
     loop_.at_end([this, token] { member_.ended(duty_, token, true); });
     return;
   }
-  look();
+  poll_exit();
 }
 
-void Runner::tell(char what, Time until) {
-  const Word word{what, until.count()};
-  if (to_guardian_) (void)!::write(to_guardian_.get(), &word, sizeof word);
+void Runner::send_command(char type, Time until) {
+  const SupervisorCommand message{type, until.count()};
+  if (to_supervisor_) (void)!::write(to_supervisor_.get(), &message, sizeof message);
 }
 
 void Runner::lease_extended(Token token, Time until) {
-  if (token == token_ && guardian_ > 0 && !told_to_end_) tell('l', until);
+  if (token == token_ && supervisor_ > 0 && !end_requested_) send_command('l', until);
 }
 
 void Runner::end(Token token, EndReason, Time until) {
-  if (token != token_ || guardian_ <= 0) return;
-  told_to_end_ = true;
-  tell('e', until);
+  if (token != token_ || supervisor_ <= 0) return;
+  end_requested_ = true;
+  send_command('e', until);
 }
 
-void Runner::look() {
+void Runner::poll_exit() {
   int status = 0;
-  if (guardian_ > 0 && ::waitpid(guardian_, &status, WNOHANG) == guardian_) {
-    guardian_ = 0;
-    to_guardian_.reset();
+  if (supervisor_ > 0 && ::waitpid(supervisor_, &status, WNOHANG) == supervisor_) {
+    supervisor_ = 0;
+    to_supervisor_.reset();
     const int code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-    if (!told_to_end_) log_.line("duty=%s event=program-ended code=%d", duty_.c_str(), code);
-    done_ = done_ || (!told_to_end_ && code == 0);
-    member_.ended(duty_, token_, !told_to_end_ && code != 0);
+    if (!end_requested_) log_.line("duty=%s event=program-ended code=%d", duty_.c_str(), code);
+    done_ = done_ || (!end_requested_ && code == 0);
+    member_.ended(duty_, token_, !end_requested_ && code != 0);
     return;
   }
-  loop_.at(loop_.now() + kLook, [this] { look(); });
+  loop_.at(loop_.now() + kPollInterval, [this] { poll_exit(); });
 }
 
 }  // namespace quartzarch::duty
--- a/src/duty/runner.hpp
+++ b/src/duty/runner.hpp
@@ -1,5 +1,6 @@
-// An operator's program that runs while a duty is held. A guardian process stands between: it has the lease's
-// end by its own steady clock and ends the program then, also while this process stands still or is killed.
+// An operator's program that runs while a duty is held. A supervisor process stands between: it has the
+// lease's end by its own steady clock and ends the program then, also while this process stands still or is
+// killed.
 #pragma once
 
 #include <sys/types.h>
@@ -26,8 +27,8 @@
   bool done() const { return done_; }
 
  private:
-  void look();
-  void tell(char what, Time until);
+  void poll_exit();
+  void send_command(char type, Time until);
 
   Loop& loop_;
   Logger& log_;
@@ -36,9 +37,9 @@
   std::vector<std::string> command_;
   Duration ending_;
   Token token_ = 0;
-  pid_t guardian_ = 0;
-  Fd to_guardian_;
-  bool told_to_end_ = false;
+  pid_t supervisor_ = 0;
+  Fd to_supervisor_;
+  bool end_requested_ = false;
   bool done_ = false;
 };
 
