--- a/src/duty/lease_manager.cpp
+++ b/src/duty/lease_manager.cpp
@@ -294,9 +294,9 @@
     sequenced_retry_.reset();
   }
   if (reply.code == reg::Code::no_session && pending.op != reg::Op::open) return session_lost(now);
-  const double lease_share = settings_.counts_from_answer ? 1 : 1 - settings_.drift;
+  const double lease_share = settings_.lease_from_reply ? 1 : 1 - settings_.drift;
   const Time lease =
-      (settings_.counts_from_answer ? now : pending.sent) +
+      (settings_.lease_from_reply ? now : pending.sent) +
       Duration{static_cast<Duration::rep>(static_cast<double>(settings_.ttl.count()) * lease_share)};
   switch (pending.op) {
     case reg::Op::open:
--- a/src/duty/lease_manager.hpp
+++ b/src/duty/lease_manager.hpp
@@ -37,7 +37,7 @@
   Duration min_back_off = std::chrono::milliseconds(1000);
   Duration max_back_off = std::chrono::milliseconds(60000);
   // Tests only: the lease counts from the answer, and clocks are taken to agree.
-  bool counts_from_answer = false;
+  bool lease_from_reply = false;
 };
 
 struct DutySettings {
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -315,7 +315,7 @@
     settings.drift = settings_.drift;
     settings.min_back_off = milliseconds(300);
     settings.max_back_off = milliseconds(2000);
-    settings.counts_from_answer = settings_.counts_from_answer;
+    settings.lease_from_reply = settings_.counts_from_answer;
     std::vector<duty::DutySettings> duties;
     for (unsigned i = 0; i < settings_.duties; ++i) duties.push_back({duty_name(i), true, {}});
     controller.leases = std::make_unique<duty::LeaseManager>(settings, duties, random_());
