--- a/src/duty/lease_manager.cpp
+++ b/src/duty/lease_manager.cpp
@@ -8,17 +8,18 @@
 
 using std::chrono::milliseconds;
 
-// A renewal is sent this many times in a time to live.
+// Renewals sent per time to live.
 constexpr int kRenewalsPerLease = 4;
-// A sequenced command whose answer was lost is request_pending again after this.
+// Delay before a sequenced command whose reply was lost is sent again.
 constexpr Duration kRetryInterval = milliseconds(100);
 constexpr Duration kOpenRetryInterval = milliseconds(200);
-// Of controllers that see a duty fall free in the same moment, each waits by jitter up to this.
+// Random delay that keeps controllers that see a duty become free at the same moment from acquiring it at
+// once.
 constexpr int kMaxJitterMs = 40;
-// A duty that is held is request_pending for again without news after so many times to live: a change may go
-// untold.
+// A duty held elsewhere is requested again after this many times to live without an update, since a change
+// notification may have been lost.
 constexpr int kRecheckLeases = 20;
-// A holding that lasted this many back-offs halves it.
+// A holding that lasted this many back-offs halves the back-off.
 constexpr int kProvenBackOffs = 10;
 
 }  // namespace
@@ -26,13 +27,13 @@
 const char* stage_text(Stage stage) {
   switch (stage) {
     case Stage::standby:
-      return "standing by";
+      return "standby";
     case Stage::acquiring:
-      return "taking up";
+      return "acquiring";
     case Stage::holding:
       return "holding";
     case Stage::releasing:
-      return "giving up";
+      return "releasing";
   }
   return "unknown";
 }
@@ -40,19 +41,19 @@
 const char* end_reason_text(EndReason reason) {
   switch (reason) {
     case EndReason::lease_expiring:
-      return "the lease runs out, nothing was renewed";
+      return "lease expiring: no renewal was answered";
     case EndReason::handed_over:
-      return "handed on in order";
+      return "handed over in order";
     case EndReason::no_progress:
       return "no progress";
     case EndReason::failed:
-      return "failed in office";
+      return "the work failed";
     case EndReason::moved:
       return "moved by an operator";
     case EndReason::paused:
       return "paused by an operator";
     case EndReason::session_lost:
-      return "the session is over";
+      return "the session has ended";
   }
   return "unknown";
 }
@@ -106,7 +107,7 @@
     return;
   }
   if (now >= renew_at_) {
-    // Not awaited: a later one may overtake one that got lost.
+    // Sent without waiting for the previous reply, so that a later renewal can replace one that was lost.
     renew_at_ = now + settings_.ttl / kRenewalsPerLease;
     reg::Command renew;
     renew.op = reg::Op::renew;
@@ -124,7 +125,7 @@
   sequenced_in_flight_ = false;
   sequenced_retry_.reset();
   sequence_ = 0;
-  // The next session is another incarnation: the register may still have the old one.
+  // The next session gets a new incarnation, since the register may still have the old one.
   ++settings_.incarnation;
   open_at_ = now + kOpenRetryInterval;
   pending_.clear();
@@ -186,13 +187,14 @@
 }
 
 bool LeaseManager::may_acquire(const Duty& duty) const {
-  if (!duty.known) return true;  // nobody has told: ask
+  if (!duty.known) return true;  // state unknown: try to acquire it
   const reg::Duty& known_state = duty.known_state;
   if (known_state.holder != 0 || known_state.paused) return false;
   return known_state.reserved.empty() || known_state.reserved == settings_.name;
 }
 
-// When to ask for it: sooner if it is kept for us or we are preferred, later the more duties we have.
+// Sets when to acquire a free duty: at once if it is reserved or requested for this controller; otherwise
+// later the more duties this one holds, and later if it is not preferred.
 void LeaseManager::schedule_acquire(Time now, Duty& duty) {
   if (duty.acquire_at) return;
   const auto jitter = milliseconds(std::uniform_int_distribution<int>(0, kMaxJitterMs)(random_));
@@ -207,7 +209,7 @@
     wait = settings_.load_delay * static_cast<int>(held()) + jitter;
     if (!duty.settings.preferred) wait += settings_.non_preferred_delay;
     if (duty.known && !duty.known_state.wanted.empty())
-      wait += settings_.non_preferred_delay;  // somebody else should have it
+      wait += settings_.non_preferred_delay;  // an operator requested another controller
   }
   duty.acquire_at = std::max(now + wait, duty.back_off_until);
 }
@@ -238,7 +240,7 @@
   if (found == duties_.end() || found->second.token != token || !found->second.work_running) return;
   Duty& duty = found->second;
   duty.work_running = false;
-  if (duty.stage == Stage::holding) {  // by itself
+  if (duty.stage == Stage::holding) {  // stopped by itself
     duty.stage = Stage::releasing;
     duty.reason = failed ? EndReason::failed : EndReason::handed_over;
     apply_back_off(now, duty);
@@ -263,7 +265,7 @@
   }
 }
 
-// ---- What comes back
+// ---- Replies and updates
 
 void LeaseManager::on_duty_changed(Time now, const std::string& name, reg::Revision revision,
                                    const reg::Duty& state) {
@@ -285,7 +287,7 @@
 
 void LeaseManager::on_reply(Time now, std::uint64_t id, const reg::Reply& reply) {
   const auto found = pending_.find(id);
-  if (found == pending_.end()) return;  // of a session that is over
+  if (found == pending_.end()) return;  // belongs to a session that has ended
   const Pending pending = std::move(found->second);
   pending_.erase(found);
   const bool sequenced = pending.op == reg::Op::acquire || pending.op == reg::Op::release;
@@ -303,7 +305,8 @@
       opening_ = false;
       if (reply.code != reg::Code::ok || lease <= now) {
         open_at_ = now + kOpenRetryInterval;
-        if (reply.code == reg::Code::ok) ++settings_.incarnation;  // that session is too old to be used
+        if (reply.code == reg::Code::ok)
+          ++settings_.incarnation;  // the lease has already ended: this session cannot be used
         return;
       }
       session_ = reply.token;
@@ -333,7 +336,7 @@
   }
   duty.stage = Stage::standby;
   if (reply.code == reg::Code::ok) {
-    if (now >= work_deadline()) {  // answered too late to begin
+    if (now >= work_deadline()) {  // too little of the lease is left to start the work
       duty.token = reply.token;
       duty.stage = Stage::releasing;
       duty.reason = EndReason::lease_expiring;
@@ -348,7 +351,8 @@
     actions_.push_back({Action::Kind::begin, duty.settings.name, duty.token, {}});
     return;
   }
-  // What it told is as good as a watch; without one the duty is looked at again after a while.
+  // The refusal carries the duty's state, as a watch would; without a watch the duty is checked again after
+  // kRecheckLeases.
   if (reply.revision >= duty.known_revision) {
     duty.known = true;
     duty.known_revision = reply.revision;
@@ -370,7 +374,7 @@
       open_at_ = now + kOpenRetryInterval;
       return;
     case reg::Op::renew:
-      // Sooner than the next in turn: there may be only this one left in time.
+      // Earlier than the regular interval: there may be time for only one more renewal before the lease ends.
       renew_at_ = std::min(renew_at_, now + settings_.ttl / (kRenewalsPerLease * 4));
       return;
     case reg::Op::close:
--- a/src/duty/member.cpp
+++ b/src/duty/member.cpp
@@ -35,7 +35,8 @@
   drive();
 }
 
-// Not from inside itself: an action may be obeyed at once, and an answer come while others are asked for.
+// Not re-entrant: work may stop at once when asked, and a reply may arrive while other requests are sent. A
+// nested call makes the running one go round again.
 void Member::drive() {
   drive_again_ = true;
   if (driving_) return;
--- a/src/duty/runner.cpp
+++ b/src/duty/runner.cpp
@@ -13,13 +13,15 @@
 
 constexpr Duration kPollInterval = std::chrono::milliseconds(10);
 
-// What the supervisor is told: end the program (TERM, and KILL at the time), or the lease goes on until then.
+// A message to the supervisor: stop the program (SIGTERM now, SIGKILL shortly before `until_us`), or the
+// lease has been extended to `until_us`.
 struct SupervisorCommand {
-  char type;  // 'e' or 'l'
+  char type;  // 'e': end, 'l': lease extended
   std::int64_t until_us;
 };
 
-// The supervisor's life. Nothing of the parent's is used but the pipe: it may be stopped or gone.
+// The supervisor process. It uses nothing of the parent but the pipe, since the parent may be stopped or
+// dead.
 [[noreturn]] void supervise(int commands_fd, char* const* arguments, std::int64_t until_us,
                             std::int64_t ending_us) {
   ::setpgid(0, 0);
@@ -36,7 +38,7 @@
   for (;;) {
     int status = 0;
     if (::waitpid(program, &status, WNOHANG) == program) {
-      ::kill(-program, SIGKILL);  // what it left behind
+      ::kill(-program, SIGKILL);  // also processes that the program left running
       ::_exit(WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status));
     }
     const std::int64_t now = steady_time().count();
@@ -55,7 +57,7 @@
           ::kill(-program, SIGTERM);
           term_sent = true;
         }
-      } else if (size == 0) {  // the parent is gone: nobody renews
+      } else if (size == 0) {  // the parent has exited: nobody extends the lease any more
         ::kill(-program, term_sent ? SIGKILL : SIGTERM);
         term_sent = true;
         ::poll(nullptr, 0, 10);
@@ -83,7 +85,7 @@
   end_requested_ = false;
   int ends[2];
   if (::pipe2(ends, O_CLOEXEC) != 0) {
-    log_.line("duty=%s event=error what=\"no pipe: %s\"", duty_.c_str(), std::strerror(errno));
+    log_.line("duty=%s event=error what=\"cannot create a pipe: %s\"", duty_.c_str(), std::strerror(errno));
     loop_.at_end([this, token] { member_.ended(duty_, token, true); });
     return;
   }
@@ -97,7 +99,7 @@
   supervisor_ = ::fork();
   if (supervisor_ == 0) {
     ::close(ends[1]);
-    // The loop's signals are blocked here; the program gets them as it should.
+    // The event loop's signals are blocked in this process; the program starts with the default mask.
     sigset_t none;
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, nullptr);
@@ -106,7 +108,7 @@
     supervise(ends[0], arguments.data(), until, ending_.count());
   }
   if (supervisor_ < 0) {
-    log_.line("duty=%s event=error what=\"no process: %s\"", duty_.c_str(), std::strerror(errno));
+    log_.line("duty=%s event=error what=\"cannot start a process: %s\"", duty_.c_str(), std::strerror(errno));
     loop_.at_end([this, token] { member_.ended(duty_, token, true); });
     return;
   }
--- a/src/duty/runner.hpp
+++ b/src/duty/runner.hpp
@@ -1,6 +1,5 @@
-// An operator's program that runs while a duty is held. A supervisor process stands between: it has the
-// lease's end by its own steady clock and ends the program then, also while this process stands still or is
-// killed.
+// Runs an operator's program while a duty is held. A supervisor process between the two knows the lease's end
+// by its own steady clock and stops the program then, even if this process is stopped or killed.
 #pragma once
 
 #include <sys/types.h>
@@ -13,9 +12,10 @@
 
 namespace quartzarch::duty {
 
+// The work of a duty as an external program.
 class Runner : public Work {
  public:
-  // `ending`: from the lease's end backwards, what TERM and then KILL are given together.
+  // `ending`: how long before the lease's end SIGTERM is sent; SIGKILL follows within the same period.
   Runner(Loop& loop, Logger& log, Member& member, std::string duty, std::vector<std::string> command,
          Duration ending);
   ~Runner() override;
@@ -23,7 +23,7 @@
   void begin(Token token) override;
   void end(Token token, EndReason reason, Time until) override;
   void lease_extended(Token token, Time until) override;
-  // The program's exit code when it ended by itself with 0: the work is done.
+  // True once the program has exited by itself with code 0: the work is complete.
   bool done() const { return done_; }
 
  private:
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -242,8 +242,8 @@
   start_all();
   signal("h1", SIGTERM);
   holds("h2");
-  EXPECT_NE(log_of("h1").find("why=\"handed on in order\""), std::string::npos);
-  EXPECT_EQ(log_of("h1").find("lease runs out"), std::string::npos);
+  EXPECT_NE(log_of("h1").find("why=\"handed over in order\""), std::string::npos);
+  EXPECT_EQ(log_of("h1").find("lease expiring"), std::string::npos);
   EXPECT_EQ(interleaved(written()), "");
 }
 
