--- a/src/register/client.hpp
+++ b/src/register/client.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "net/stream.hpp"
-#include "register/access.hpp"
+#include "register/client_protocol.hpp"
 
 namespace quartzarch::reg {
 
--- a/src/register/access.cpp
+++ b/src/register/client_protocol.cpp
@@ -1,4 +1,4 @@
-#include "register/access.hpp"
+#include "register/client_protocol.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/standin/faults/history.hpp
+++ b/standin/faults/history.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "quartzarch/controller.hpp"
-#include "register/access.hpp"
+#include "register/client_protocol.hpp"
 
 namespace quartzarch::faults {
 
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -8,7 +8,7 @@
 
 #include "faults/history.hpp"
 #include "faults/memory_disk.hpp"
-#include "register/access.hpp"
+#include "register/client_protocol.hpp"
 #include "register/service.hpp"
 
 namespace quartzarch::faults {
