--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -119,7 +119,7 @@
   parts_->mailbox.post([] {});  // the pass that waits ends
 }
 
-void Membership::ask(reg::Command command, reg::Access::Done done) {
+void Membership::ask(reg::Command command, reg::ClientProtocol::Done done) {
   parts_->mailbox.post([this, command = std::move(command), done = std::move(done)]() mutable {
     if (!parts_->member) return;
     parts_->member->client().ask(std::move(command), std::move(done));
@@ -127,7 +127,7 @@
   });
 }
 
-void Membership::watch(const std::string& prefix, reg::Access::Told told) {
+void Membership::watch(const std::string& prefix, reg::ClientProtocol::OnChanges told) {
   parts_->mailbox.post([this, prefix, told = std::move(told)]() mutable {
     if (!parts_->member) return;
     parts_->member->client().watch(prefix, std::move(told));
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -70,8 +70,8 @@
   void stop() override;
 
   // Any thread; `done` and `told` run on the fleet's thread, and never after this object's end.
-  void ask(reg::Command command, reg::Access::Done done);
-  void watch(const std::string& prefix, reg::Access::Told told);
+  void ask(reg::Command command, reg::ClientProtocol::Done done);
+  void watch(const std::string& prefix, reg::ClientProtocol::OnChanges told);
   // Asks until there is an answer, `patience` is over or `given_up` says so; not on the fleet's thread. For
   // commands that may come twice.
   std::optional<reg::Reply> ask_and_wait(const reg::Command& command, Duration patience,
--- a/src/register/client.cpp
+++ b/src/register/client.cpp
@@ -3,10 +3,10 @@
 namespace quartzarch::reg {
 namespace {
 
-constexpr Duration kConnect = std::chrono::milliseconds(400);
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
 
-Access::Settings settings_of(const std::map<std::string, sockaddr_in>& voters) {
-  Access::Settings settings;
+ClientProtocol::Settings protocol_settings(const std::map<std::string, sockaddr_in>& voters) {
+  ClientProtocol::Settings settings;
   for (const auto& [name, address] : voters) settings.voters.push_back(name);
   return settings;
 }
@@ -14,7 +14,7 @@
 }  // namespace
 
 Client::Client(Loop& loop, std::map<std::string, sockaddr_in> voters, std::uint64_t seed)
-    : loop_(loop), voters_(std::move(voters)), access_(settings_of(voters_), seed) {}
+    : loop_(loop), voters_(std::move(voters)), protocol_(protocol_settings(voters_), seed) {}
 
 Client::~Client() {
   if (timer_) loop_.cancel(*timer_);
@@ -24,24 +24,24 @@
 void Client::pump() {
   // Each sending may show that another voter is to be asked: what is due then goes there.
   for (int more = 2; more > 0; --more) {
-    auto frames = access_.due(loop_.now());
+    auto frames = protocol_.due(loop_.now());
     if (frames.empty()) break;
-    if (stream_ && connected_to_ != access_.voter()) drop();
+    if (stream_ && connected_to_ != protocol_.voter()) close_connection();
     if (!stream_) {
-      connected_to_ = access_.voter();
-      stream_ = std::make_shared<Stream>(loop_, voters_.at(connected_to_), kConnect,
+      connected_to_ = protocol_.voter();
+      stream_ = std::make_shared<Stream>(loop_, voters_.at(connected_to_), kConnectTimeout,
                                          static_cast<Stream::Owner&>(*this), Rank::servers);
     }
     for (std::string& bytes : frames) stream_->send({std::move(bytes), {}, 0});
   }
   if (timer_) loop_.cancel(*timer_);
-  timer_ = loop_.at(access_.next(loop_.now()) + Duration{1000}, [this] {
+  timer_ = loop_.at(protocol_.next(loop_.now()) + Duration{1000}, [this] {
     timer_.reset();
     pump();
   });
 }
 
-void Client::drop() {
+void Client::close_connection() {
   stream_->close();
   loop_.bury(std::exchange(stream_, nullptr));
 }
@@ -52,9 +52,9 @@
     std::size_t length = 0;
     const auto taken = link::decode(stream.input(), message, length);
     if (taken == link::Taken::part) break;
-    if (taken == link::Taken::malformed || !access_.received(loop_.now(), message)) {
-      drop();
-      access_.disconnected(loop_.now());
+    if (taken == link::Taken::malformed || !protocol_.received(loop_.now(), message)) {
+      close_connection();
+      protocol_.disconnected(loop_.now());
       break;
     }
     stream.consume(length);
@@ -65,7 +65,7 @@
 void Client::lost(Stream& stream, Lost) {
   if (stream_.get() != &stream) return;
   loop_.bury(std::exchange(stream_, nullptr));
-  access_.disconnected(loop_.now());
+  protocol_.disconnected(loop_.now());
   pump();
 }
 
--- a/src/register/client.hpp
+++ b/src/register/client.hpp
@@ -1,4 +1,4 @@
-// The register over one connection: Access on a loop.
+// The register over one connection: ClientProtocol on a loop.
 #pragma once
 
 #include <map>
@@ -16,23 +16,25 @@
   Client(Loop& loop, std::map<std::string, sockaddr_in> voters, std::uint64_t seed);
   ~Client() override;
 
-  void ask(Command command, Access::Done done) {
-    access_.ask(loop_.now(), std::move(command), std::move(done));
+  void ask(Command command, ClientProtocol::Done done) {
+    protocol_.ask(loop_.now(), std::move(command), std::move(done));
+  }
+  void watch(const std::string& prefix, ClientProtocol::OnChanges on_changes) {
+    protocol_.watch(prefix, std::move(on_changes));
   }
-  void watch(const std::string& prefix, Access::Told told) { access_.watch(prefix, std::move(told)); }
   // Sends what is due and sets the timer for the rest; to be called after ask() and watch().
   void pump();
   // The voter that is asked at present.
-  const std::string& voter() const { return access_.voter(); }
+  const std::string& voter() const { return protocol_.voter(); }
 
  private:
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost how) override;
-  void drop();
+  void close_connection();
 
   Loop& loop_;
   std::map<std::string, sockaddr_in> voters_;
-  Access access_;
+  ClientProtocol protocol_;
   std::shared_ptr<Stream> stream_;
   std::string connected_to_;
   std::optional<Loop::TimerId> timer_;
--- a/src/register/client_protocol.cpp
+++ b/src/register/client_protocol.cpp
@@ -7,36 +7,39 @@
 
 namespace quartzarch::reg {
 
-Access::Access(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {
+ClientProtocol::ClientProtocol(Settings settings, std::uint64_t seed)
+    : settings_(std::move(settings)), random_(seed) {
   // Clients spread over the voters until they know the leader.
   current_ = random_() % settings_.voters.size();
 }
 
-void Access::ask(Time now, Command command, Done done) {
-  asked_[++last_id_] = {std::move(command), std::move(done), now + settings_.patience, false, {}};
+void ClientProtocol::ask(Time now, Command command, Done done) {
+  pending_[++last_id_] = {std::move(command), std::move(done), now + settings_.reply_timeout, false, {}};
 }
 
-void Access::watch(const std::string& prefix, Told told) { watches_[prefix] = {std::move(told)}; }
+void ClientProtocol::watch(const std::string& prefix, OnChanges on_changes) {
+  watches_[prefix] = {std::move(on_changes)};
+}
 
-std::vector<std::string> Access::due(Time now) {
-  std::vector<std::uint64_t> late;
-  bool silent = false;
-  for (const auto& [id, asked] : asked_) {
-    if (now < asked.until) continue;
-    late.push_back(id);
-    silent = silent || asked.sent;
+std::vector<std::string> ClientProtocol::due(Time now) {
+  std::vector<std::uint64_t> timed_out;
+  bool voter_silent = false;
+  for (const auto& [id, pending] : pending_) {
+    if (now < pending.until) continue;
+    timed_out.push_back(id);
+    voter_silent = voter_silent || pending.sent;
   }
-  if (silent) move_on(now, {});
-  for (const std::uint64_t id : late) finish(id, std::nullopt);
-  if (now < quiet_until_) return {};
+  if (voter_silent) switch_voter(now, {});
+  for (const std::uint64_t id : timed_out) complete_command(id, std::nullopt);
+  if (now < connect_not_before_) return {};
   for (auto& [prefix, watch] : watches_) {
     if (watch.step == Step::list) list(now, prefix, watch);
   }
   std::vector<std::string> frames;
-  for (auto& [id, asked] : asked_) {
-    if (asked.sent || now < asked.again_at) continue;
-    asked.sent = true;
-    frames.push_back(frame(FrameType::ask, id, {encode(asked.command)}));
+  for (auto& [id, pending] : pending_) {
+    if (pending.sent || now < pending.resend_at) continue;
+    pending.sent = true;
+    frames.push_back(frame(FrameType::ask, id, {encode(pending.command)}));
   }
   for (auto& [prefix, watch] : watches_) {
     if (watch.step != Step::watch) continue;
@@ -46,9 +49,9 @@
   return frames;
 }
 
-// A list in parts is not one moment's: changes since its first part are told by the watch, which then begins
-// at that part's revision.
-void Access::list(Time now, const std::string& prefix, Watch& watch) {
+// A list in parts is not one moment's: changes since its first part are on_changes by the watch, which then
+// begins at that part's revision.
+void ClientProtocol::list(Time now, const std::string& prefix, Watch& watch) {
   watch.step = Step::listing;
   Command command;
   command.op = Op::list;
@@ -69,62 +72,63 @@
     if (reply->more) return;
     listed.known = listed.listed_at;
     const auto changes = std::exchange(listed.listed, {});
-    listed.told(listed.known, changes, true);
+    listed.on_changes(listed.known, changes, true);
   });
 }
 
-void Access::disconnected(Time now) { move_on(now, {}); }
+void ClientProtocol::disconnected(Time now) { switch_voter(now, {}); }
 
 // To another voter. What was sent to the last one may have been done there: a command that is counted, or
-// harmless if it comes twice, is asked by whoever asked for it, not here.
-void Access::move_on(Time now, const std::string& to) {
+// harmless if it comes twice, is pending by whoever pending for it, not here.
+void ClientProtocol::switch_voter(Time now, const std::string& to) {
   const auto named = std::find(settings_.voters.begin(), settings_.voters.end(), to);
   if (named != settings_.voters.end()) {
     current_ = static_cast<std::size_t>(named - settings_.voters.begin());
   } else {
     current_ = (current_ + 1) % settings_.voters.size();
     // A connection that was of use and broke is followed by the next at once: a link that comes and goes may
-    // be whole for less than the pause.
-    if (!std::exchange(of_use_, false)) quiet_until_ = now + settings_.pause;
+    // be complete for less than the retry_delay.
+    if (!std::exchange(connection_useful_, false)) connect_not_before_ = now + settings_.retry_delay;
   }
   std::vector<std::uint64_t> lost;
-  for (const auto& [id, asked] : asked_) {
-    if (asked.sent) lost.push_back(id);
+  for (const auto& [id, pending] : pending_) {
+    if (pending.sent) lost.push_back(id);
   }
-  for (const std::uint64_t id : lost) finish(id, std::nullopt);
+  for (const std::uint64_t id : lost) complete_command(id, std::nullopt);
   for (auto& [prefix, watch] : watches_) {
     if (watch.step == Step::watching) watch.step = Step::watch;
   }
 }
 
-void Access::finish(std::uint64_t id, const std::optional<Reply>& reply) {
-  const auto found = asked_.find(id);
-  if (found == asked_.end()) return;
-  const Asked asked = std::move(found->second);
-  asked_.erase(found);
-  asked.done(reply);
+void ClientProtocol::complete_command(std::uint64_t id, const std::optional<Reply>& reply) {
+  const auto found = pending_.find(id);
+  if (found == pending_.end()) return;
+  const PendingCommand pending = std::move(found->second);
+  pending_.erase(found);
+  pending.done(reply);
 }
 
-bool Access::received(Time now, const link::LinkMessage& message) {
-  of_use_ = of_use_ || type_of(message) == FrameType::reply || type_of(message) == FrameType::changes;
+bool ClientProtocol::received(Time now, const link::LinkMessage& message) {
+  connection_useful_ =
+      connection_useful_ || type_of(message) == FrameType::reply || type_of(message) == FrameType::changes;
   switch (type_of(message)) {
     case FrameType::reply: {
       const auto reply = decode_reply(message.text(0));
       if (!reply) return false;
-      finish(message.call, *reply);
+      complete_command(message.call, *reply);
       return true;
     }
     case FrameType::refused: {
-      const auto found = asked_.find(message.call);
-      if (found == asked_.end()) return true;
+      const auto found = pending_.find(message.call);
+      if (found == pending_.end()) return true;
       const bool not_done = message.text(0) == std::to_string(static_cast<int>(Outcome::not_leader));
       if (not_done) {
         found->second.sent = false;
-        found->second.again_at = now + (message.text(1).empty() ? settings_.pause : Duration{0});
+        found->second.resend_at = now + (message.text(1).empty() ? settings_.retry_delay : Duration{0});
       } else {
-        finish(message.call, std::nullopt);
+        complete_command(message.call, std::nullopt);
       }
-      if (message.text(1) != voter()) move_on(now, std::string(message.text(1)));
+      if (message.text(1) != voter()) switch_voter(now, std::string(message.text(1)));
       return true;
     }
     case FrameType::changes: {
@@ -141,7 +145,7 @@
         changes.push_back(std::move(change));
       }
       found->second.known = message.call;
-      found->second.told(message.call, changes, false);
+      found->second.on_changes(message.call, changes, false);
       return true;
     }
     case FrameType::behind: {
@@ -154,14 +158,14 @@
   }
 }
 
-Time Access::next(Time now) const {
+Time ClientProtocol::next(Time now) const {
   Time at = now + std::chrono::seconds(1);
-  for (const auto& [id, asked] : asked_) {
-    at = std::min(at, asked.until);
-    if (!asked.sent) at = std::min(at, std::max(asked.again_at, quiet_until_));
+  for (const auto& [id, pending] : pending_) {
+    at = std::min(at, pending.until);
+    if (!pending.sent) at = std::min(at, std::max(pending.resend_at, connect_not_before_));
   }
   for (const auto& [prefix, watch] : watches_) {
-    if (watch.step == Step::list || watch.step == Step::watch) at = std::min(at, quiet_until_);
+    if (watch.step == Step::list || watch.step == Step::watch) at = std::min(at, connect_not_before_);
   }
   return std::max(at, now);
 }
--- a/standin/faults/history.hpp
+++ b/standin/faults/history.hpp
@@ -50,7 +50,7 @@
 // Used in virtual time and over sockets: `ask` is the register's client there.
 class Recorder {
  public:
-  using Ask = std::function<void(reg::Command, reg::Access::Done)>;
+  using Ask = std::function<void(reg::Command, reg::ClientProtocol::Done)>;
   static constexpr unsigned kKeys = 4;
   static std::string key(unsigned number) { return "history/" + std::to_string(number); }
 
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -114,7 +114,7 @@
     int connected_to = -1;
     Time stopped_until{};
     std::unique_ptr<duty::LeaseManager> leases;
-    std::unique_ptr<reg::Access> access;
+    std::unique_ptr<reg::ClientProtocol> access;
     std::map<std::string, Work> works;
     Time next_count{};
     bool counting = false;
@@ -300,7 +300,7 @@
     controller.connected_to = -1;
     controller.works.clear();
     if (!controller.recorder) {
-      const auto ask = [this, &controller](reg::Command command, reg::Access::Done done) {
+      const auto ask = [this, &controller](reg::Command command, reg::ClientProtocol::Done done) {
         controller.access->ask(controller.clock.at(now_), std::move(command), std::move(done));
       };
       controller.recorder = std::make_unique<Recorder>(history_, controller.number, ask, random_());
@@ -319,9 +319,9 @@
     std::vector<duty::DutySettings> duties;
     for (unsigned i = 0; i < settings_.duties; ++i) duties.push_back({duty_name(i), true, {}});
     controller.leases = std::make_unique<duty::LeaseManager>(settings, duties, random_());
-    reg::Access::Settings access;
+    reg::ClientProtocol::Settings access;
     for (unsigned i = 0; i < settings_.voters; ++i) access.voters.push_back(address(i));
-    controller.access = std::make_unique<reg::Access>(access, random_());
+    controller.access = std::make_unique<reg::ClientProtocol>(access, random_());
     controller.access->watch(
         std::string(reg::kDutyPrefix), [this, &controller](reg::Revision, const auto& changes, bool) {
           for (const reg::Change& change : changes) {
--- a/tests/duty_history_test.cpp
+++ b/tests/duty_history_test.cpp
@@ -28,7 +28,7 @@
       for (int v = 0; v < kVoters; ++v) voters[voter(v)] = link(name, voter(v)).address();
       Client& client = clients_[i];
       client.to = std::make_unique<reg::Client>(loop_, voters, seed + i);
-      const auto ask = [&client](reg::Command command, reg::Access::Done done) {
+      const auto ask = [&client](reg::Command command, reg::ClientProtocol::Done done) {
         client.to->ask(std::move(command), std::move(done));
         client.to->pump();
       };
