--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -283,12 +283,12 @@
       std::printf("{\"duty\":%s,\"holder\":%s,\"token\":%llu,\"paused\":%s,\"kept_for\":%s,\"wanted\":%s}\n",
                   in_quotes(name).c_str(), in_quotes(holder).c_str(),
                   static_cast<unsigned long long>(duty.token), duty.paused ? "true" : "false",
-                  in_quotes(duty.reserved).c_str(), in_quotes(duty.wanted).c_str());
+                  in_quotes(duty.reserved).c_str(), in_quotes(duty.requested_holder).c_str());
       return;
     }
     std::string notes = duty.paused ? "paused " : "";
     if (!duty.reserved.empty()) notes += "kept for " + duty.reserved + " ";
-    if (!duty.wanted.empty()) notes += "wanted at " + duty.wanted;
+    if (!duty.requested_holder.empty()) notes += "wanted at " + duty.requested_holder;
     std::printf("%-24s %-16s %10llu  %s\n", name.c_str(), holder.empty() ? "-" : holder.c_str(),
                 static_cast<unsigned long long>(duty.token), notes.c_str());
   });
--- a/src/duty/lease_manager.cpp
+++ b/src/duty/lease_manager.cpp
@@ -164,7 +164,7 @@
     release.name = duty.settings.name;
     release.number = duty.token;
     if (duty.reason == EndReason::handed_over) release.value = successor_;
-    if (duty.reason == EndReason::moved) release.value = duty.known_state.wanted;
+    if (duty.reason == EndReason::moved) release.value = duty.known_state.requested_holder;
     sequenced_duty_ = duty.settings.name;
     out.push_back(request(now, release, duty.settings.name, duty.token));
     sequenced_retry_ = std::move(release);
@@ -203,12 +203,12 @@
     return;
   }
   const bool designated = duty.known && (duty.known_state.reserved == settings_.name ||
-                                         duty.known_state.wanted == settings_.name);
+                                         duty.known_state.requested_holder == settings_.name);
   Duration wait{0};
   if (!designated) {
     wait = settings_.load_delay * static_cast<int>(held()) + jitter;
     if (!duty.settings.preferred) wait += settings_.non_preferred_delay;
-    if (duty.known && !duty.known_state.wanted.empty())
+    if (duty.known && !duty.known_state.requested_holder.empty())
       wait += settings_.non_preferred_delay;  // an operator requested another controller
   }
   duty.acquire_at = std::max(now + wait, duty.back_off_until);
@@ -280,7 +280,8 @@
     duty.acquire_at.reset();
   if (duty.stage != Stage::holding) return;
   if (state.paused) return begin_release(now, duty, EndReason::paused);
-  if (!state.wanted.empty() && state.wanted != settings_.name && state.token == duty.token) {
+  if (!state.requested_holder.empty() && state.requested_holder != settings_.name &&
+      state.token == duty.token) {
     begin_release(now, duty, EndReason::moved);
   }
 }
--- a/src/register/codec.cpp
+++ b/src/register/codec.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::uint8_t kReply = 64;
 // Records of a snapshot, in this order.
-constexpr std::uint8_t kHead = 80, kSession = 81, kDuty = 82, kValue = 83, kChange = 84, kEnd = 85;
-constexpr int kVersion = 1;
+constexpr std::uint8_t kHeader = 80, kSession = 81, kDuty = 82, kValue = 83, kChange = 84, kEnd = 85;
+constexpr int kSnapshotVersion = 1;
 
 std::string text(std::uint64_t number) { return std::to_string(number); }
 
@@ -40,7 +40,7 @@
 }
 
 // A snapshot's figures: one that is none means that the bytes are not a snapshot.
-std::uint64_t must(const LinkMessage& from, std::size_t at) {
+std::uint64_t require_number(const LinkMessage& from, std::size_t at) {
   const auto value = number(from, at);
   if (!value) throw std::runtime_error("snapshot of the register: a figure is none");
   return *value;
@@ -64,12 +64,12 @@
   Command c;
   c.op = static_cast<Op>(op);
   c.session = message->call;
-  const auto sequence = number(*message, 0), figure = number(*message, 3), ttl = number(*message, 4);
-  if (!sequence || !figure || !ttl || *ttl > UINT32_MAX) return std::nullopt;
+  const auto sequence = number(*message, 0), number_field = number(*message, 3), ttl = number(*message, 4);
+  if (!sequence || !number_field || !ttl || *ttl > UINT32_MAX) return std::nullopt;
   c.sequence = *sequence;
   c.name = message->text(1);
   c.value = message->text(2);
-  c.number = *figure;
+  c.number = *number_field;
   c.ttl_ms = static_cast<std::uint32_t>(*ttl);
   if (message->text(5) != "-") {
     c.expected = number(*message, 5);
@@ -116,8 +116,9 @@
 
 // "TOKEN HELD PAUSED HOLDER|RESERVED|WANTED", the names with their lengths: a name may hold anything.
 std::string duty_text(const Duty& duty) {
-  return frame(kDuty, duty.token,
-               {text(duty.holder), duty.holder_name, duty.reserved, duty.wanted, text(duty.paused)});
+  return frame(
+      kDuty, duty.token,
+      {text(duty.holder), duty.holder_name, duty.reserved, duty.requested_holder, text(duty.paused)});
 }
 
 Duty parse_duty(std::string_view bytes) {
@@ -128,20 +129,20 @@
   duty.holder = number(*message, 0).value_or(0);
   duty.holder_name = message->text(1);
   duty.reserved = message->text(2);
-  duty.wanted = message->text(3);
+  duty.requested_holder = message->text(3);
   duty.paused = message->text(4) == "1";
   return duty;
 }
 
 std::string State::snapshot() const {
-  std::string bytes = frame(kHead, revision_, {text(kVersion), text(forgotten_)});
+  std::string bytes = frame(kHeader, revision_, {text(kSnapshotVersion), text(last_dropped_)});
   for (const auto& [id, session] : sessions_) {
     bytes += frame(kSession, id,
                    {session.name, text(session.incarnation), text(session.ttl_ms), text(session.renewals),
                     text(session.sequence), encode(session.last)});
   }
   for (const auto& [name, duty] : duties_) {
-    if (defects_.forgets_tokens && duty.holder == 0) continue;
+    if (defects_.drops_free_duties && duty.holder == 0) continue;
     bytes += frame(kDuty, duty.token, {name, duty_text(duty)});
   }
   for (const auto& [key, item] : values_) bytes += frame(kValue, item.revision, {key, item.value});
@@ -154,12 +155,13 @@
 
 void State::restore(std::string_view bytes) {
   State fresh(bounds_, defects_);
-  const auto head = next(bytes);
-  if (!head || static_cast<std::uint8_t>(head->type) != kHead || must(*head, 0) != kVersion) {
+  const auto header = next(bytes);
+  if (!header || static_cast<std::uint8_t>(header->type) != kHeader ||
+      require_number(*header, 0) != kSnapshotVersion) {
     throw std::runtime_error("snapshot of the register: not one of this version");
   }
-  fresh.revision_ = head->call;
-  fresh.forgotten_ = must(*head, 1);
+  fresh.revision_ = header->call;
+  fresh.last_dropped_ = require_number(*header, 1);
   for (bool ended = false; !ended;) {
     const auto record = next(bytes);
     if (!record) throw std::runtime_error("snapshot of the register: cut off");
@@ -169,10 +171,10 @@
         const auto last = decode_reply(record->text(5));
         if (!last) throw std::runtime_error("snapshot of the register: a session's last answer is none");
         fresh.sessions_[id] = {std::string(record->text(0)),
-                               must(*record, 1),
-                               static_cast<std::uint32_t>(must(*record, 2)),
-                               must(*record, 3),
-                               must(*record, 4),
+                               require_number(*record, 1),
+                               static_cast<std::uint32_t>(require_number(*record, 2)),
+                               require_number(*record, 3),
+                               require_number(*record, 4),
                                *last};
         break;
       }
@@ -188,7 +190,7 @@
       case kChange:
         fresh.history_.push_back(
             {id, std::string(record->text(0)),
-             must(*record, 1) != 0 ? std::optional(std::string(record->text(2))) : std::nullopt});
+             require_number(*record, 1) != 0 ? std::optional(std::string(record->text(2))) : std::nullopt});
         break;
       case kEnd:
         ended = true;
--- a/src/register/expiry.cpp
+++ b/src/register/expiry.cpp
@@ -42,7 +42,7 @@
     if (duty.reserved.empty()) continue;
     if (!over(reserved_[name], now, duty.token, kReserved)) continue;
     Command command;
-    command.op = Op::reserve_over;
+    command.op = Op::expire_reservation;
     command.name = name;
     command.number = duty.token;
     commands.push_back(std::move(command));
--- a/src/register/node.cpp
+++ b/src/register/node.cpp
@@ -244,7 +244,7 @@
 
   void propose(Time now, const std::vector<Command>& commands, std::vector<Done> done) {
     now_ = std::max(now_, now);
-    if (settings_.defects.reads_aside && commands.size() == 1 && commands[0].op == Op::read && !failed_) {
+    if (settings_.defects.reads_locally && commands.size() == 1 && commands[0].op == Op::read && !failed_) {
       State copy = state_;
       return done[0](Outcome::done, copy.apply(commands[0]));
     }
--- a/src/register/service.cpp
+++ b/src/register/service.cpp
@@ -33,7 +33,7 @@
   if (message.values.size() != 1) return false;
   const auto command = decode_command(message.text(0));
   // Only the leader ends sessions and reservations, of itself.
-  if (!command || command->op == Op::expire || command->op == Op::reserve_over) return false;
+  if (!command || command->op == Op::expire || command->op == Op::expire_reservation) return false;
   Client& known = clients_[client];
   if (known.asked >= bounds_.asked) return false;
   ++known.asked;
--- a/src/register/state.cpp
+++ b/src/register/state.cpp
@@ -6,17 +6,21 @@
 namespace quartzarch::reg {
 namespace {
 
-bool under(std::string_view key, std::string_view prefix) { return key.substr(0, prefix.size()) == prefix; }
+bool has_prefix(std::string_view key, std::string_view prefix) {
+  return key.substr(0, prefix.size()) == prefix;
+}
 
 std::string session_key(const Session& session) {
   return std::string(kSessionPrefix) + session.name + "/" + std::to_string(session.incarnation);
 }
 
 // Values of operators may not pass for what the register itself shows.
-bool reserved_key(std::string_view key) { return under(key, kDutyPrefix) || under(key, kSessionPrefix); }
+bool is_system_key(std::string_view key) {
+  return has_prefix(key, kDutyPrefix) || has_prefix(key, kSessionPrefix);
+}
 
-constexpr std::size_t kMostListed = 256;
-constexpr std::size_t kMostListedBytes = 32 * 1024;
+constexpr std::size_t kMaxListItems = 256;
+constexpr std::size_t kMaxListBytes = 32 * 1024;
 
 }  // namespace
 
@@ -61,15 +65,15 @@
     case Op::release:
     case Op::put:
     case Op::erase:
-      return with_session(c);
+      return apply_in_session(c);
     case Op::read:
       return read(c);
     case Op::list:
       return list(c);
-    case Op::reserve_over:
+    case Op::expire_reservation:
     case Op::pause:
     case Op::move:
-      return operate(c);
+      return change_duty(c);
   }
   return answer(Code::malformed);
 }
@@ -82,7 +86,7 @@
   // from this asking: so must the leader.
   for (auto& [id, session] : sessions_) {
     if (session.name == c.name && session.incarnation == c.number) {
-      if (!defects_.open_renews_nothing) ++session.renewals;
+      if (!defects_.repeated_open_not_renewed) ++session.renewals;
       Reply reply = answer(Code::ok);
       reply.token = id;
       return reply;
@@ -93,18 +97,18 @@
   session.name = c.name;
   session.incarnation = c.number;
   session.ttl_ms = c.ttl_ms;
-  changed(session_key(session), "");
+  record_change(session_key(session), "");
   sessions_.emplace(revision_, std::move(session));
   Reply reply = answer(Code::ok);
   reply.token = revision_;
   return reply;
 }
 
-Reply State::with_session(const Command& c) {
+Reply State::apply_in_session(const Command& c) {
   const auto found = sessions_.find(c.session);
   // Operators' tools write without a session, and then without a count.
-  const bool needs = c.op != Op::put && c.op != Op::erase;
-  if (found == sessions_.end() && (needs || c.session != 0)) return answer(Code::no_session);
+  const bool needs_session = c.op != Op::put && c.op != Op::erase;
+  if (found == sessions_.end() && (needs_session || c.session != 0)) return answer(Code::no_session);
   if (found == sessions_.end()) return write(c);
   Session& session = found->second;
   if (c.sequence != 0) {
@@ -139,22 +143,24 @@
 }
 
 void State::end_session(SessionId id) {
-  const Session gone = std::move(sessions_.at(id));
+  const Session ended_session = std::move(sessions_.at(id));
   sessions_.erase(id);
   for (auto& [name, duty] : duties_) {
     if (duty.holder != id) continue;
     duty.holder = 0;
-    tell_duty(name, duty);
+    record_duty_change(name, duty);
   }
-  // What was kept for its controller is free to all, unless a later process of that name is there.
-  const bool another = std::any_of(sessions_.begin(), sessions_.end(),
-                                   [&](const auto& each) { return each.second.name == gone.name; });
+  // What was kept for its controller is free to all, unless a later process of that name is
+  // successor_present.
+  const bool name_still_present = std::any_of(sessions_.begin(), sessions_.end(), [&](const auto& each) {
+    return each.second.name == ended_session.name;
+  });
   for (auto& [name, duty] : duties_) {
-    if (another || duty.reserved != gone.name) continue;
+    if (name_still_present || duty.reserved != ended_session.name) continue;
     duty.reserved.clear();
-    tell_duty(name, duty);
+    record_duty_change(name, duty);
   }
-  changed(session_key(gone), std::nullopt);
+  record_change(session_key(ended_session), std::nullopt);
 }
 
 // ---- Duties
@@ -165,27 +171,27 @@
   const auto found = duties_.find(c.name);
   if (found == duties_.end() && duties_.size() >= bounds_.duties) return answer(Code::full);
   Duty& duty = found == duties_.end() ? duties_[c.name] : found->second;
-  const auto told = [&](Code code) {
+  const auto reply_with = [&](Code code) {
     Reply reply = answer(code);
     reply.token = duty.token;
     reply.holder = duty.holder_name;
     return reply;
   };
-  if (duty.holder == c.session) return told(Code::ok);
-  if (duty.holder != 0) return told(Code::held);
-  if (duty.paused) return told(Code::paused);
+  if (duty.holder == c.session) return reply_with(Code::ok);
+  if (duty.holder != 0) return reply_with(Code::held);
+  if (duty.paused) return reply_with(Code::paused);
   if (!duty.reserved.empty() && duty.reserved != who) {
-    Reply reply = told(Code::reserved);
+    Reply reply = reply_with(Code::reserved);
     reply.holder = duty.reserved;
     return reply;
   }
   duty.holder = c.session;
   duty.holder_name = who;
   duty.reserved.clear();
-  if (duty.wanted == who) duty.wanted.clear();
+  if (duty.requested_holder == who) duty.requested_holder.clear();
   duty.token = revision_ + 1;  // that of the change which tells of it
-  tell_duty(c.name, duty);
-  return told(Code::ok);
+  record_duty_change(c.name, duty);
+  return reply_with(Code::ok);
 }
 
 Reply State::release(const Command& c) {
@@ -195,20 +201,20 @@
   }
   Duty& duty = found->second;
   duty.holder = 0;
-  // Kept only for one that is there to take it.
-  const bool there = std::any_of(sessions_.begin(), sessions_.end(), [&](const auto& each) {
+  // Kept only for one that is successor_present to take it.
+  const bool successor_present = std::any_of(sessions_.begin(), sessions_.end(), [&](const auto& each) {
     return each.second.name == c.value && each.first != c.session;
   });
-  duty.reserved = there ? c.value : std::string{};
-  tell_duty(c.name, duty);
+  duty.reserved = successor_present ? c.value : std::string{};
+  record_duty_change(c.name, duty);
   return answer(Code::ok);
 }
 
-Reply State::operate(const Command& c) {
+Reply State::change_duty(const Command& c) {
   const auto found = duties_.find(c.name);
   if (found == duties_.end()) return answer(Code::absent);
   Duty& duty = found->second;
-  if (c.op == Op::reserve_over) {
+  if (c.op == Op::expire_reservation) {
     if (duty.reserved.empty() || duty.token != c.number) return answer(Code::ok);
     duty.reserved.clear();
   } else if (c.op == Op::pause) {
@@ -216,55 +222,55 @@
     duty.paused = c.number != 0;
   } else {
     if (c.value.size() > bounds_.key) return answer(Code::too_large);
-    duty.wanted = c.value;
+    duty.requested_holder = c.value;
   }
-  tell_duty(c.name, duty);
+  record_duty_change(c.name, duty);
   return answer(Code::ok);
 }
 
-bool State::fence_holds(const Fence& fence) const {
+bool State::fence_valid(const Fence& fence) const {
   if (defects_.no_fence) return true;
   const auto found = duties_.find(fence.duty);
   return found != duties_.end() && found->second.holder != 0 && found->second.token == fence.token;
 }
 
-void State::tell_duty(const std::string& name, const Duty& duty) {
-  changed(std::string(kDutyPrefix) + name, duty_text(duty));
+void State::record_duty_change(const std::string& name, const Duty& duty) {
+  record_change(std::string(kDutyPrefix) + name, duty_text(duty));
 }
 
 // ---- Values
 
 Reply State::write(const Command& c) {
-  if (c.name.empty() || reserved_key(c.name)) return answer(Code::malformed);
+  if (c.name.empty() || is_system_key(c.name)) return answer(Code::malformed);
   if (c.name.size() > bounds_.key || c.value.size() > bounds_.value) return answer(Code::too_large);
-  if (c.fence && !fence_holds(*c.fence)) return answer(Code::fenced);
+  if (c.fence && !fence_valid(*c.fence)) return answer(Code::fenced);
   const auto found = values_.find(c.name);
-  const Revision present = found == values_.end() ? 0 : found->second.revision;
-  if (c.expected && *c.expected != present) {
+  const Revision current = found == values_.end() ? 0 : found->second.revision;
+  if (c.expected && *c.expected != current) {
     Reply reply = answer(Code::changed);
     if (found != values_.end()) reply.items.push_back(found->second);
     return reply;
   }
-  const std::size_t before = found == values_.end() ? 0 : c.name.size() + found->second.value.size();
+  const std::size_t old_bytes = found == values_.end() ? 0 : c.name.size() + found->second.value.size();
   if (c.op == Op::erase) {
     if (found == values_.end()) return answer(Code::absent);
-    bytes_ -= before;
+    bytes_ -= old_bytes;
     values_.erase(found);
-    changed(c.name, std::nullopt);
+    record_change(c.name, std::nullopt);
     return answer(Code::ok);
   }
-  const std::size_t after = bytes_ - before + c.name.size() + c.value.size();
-  if ((found == values_.end() && values_.size() >= bounds_.values) || after > bounds_.total) {
+  const std::size_t new_total = bytes_ - old_bytes + c.name.size() + c.value.size();
+  if ((found == values_.end() && values_.size() >= bounds_.values) || new_total > bounds_.total) {
     return answer(Code::full);
   }
-  bytes_ = after;
-  changed(c.name, c.value);
+  bytes_ = new_total;
+  record_change(c.name, c.value);
   values_[c.name] = {c.name, c.value, revision_};
   return answer(Code::ok);
 }
 
-std::optional<std::string> State::shown(std::string_view key) const {
-  if (under(key, kDutyPrefix)) {
+std::optional<std::string> State::duty_value(std::string_view key) const {
+  if (has_prefix(key, kDutyPrefix)) {
     const auto found = duties_.find(std::string(key.substr(kDutyPrefix.size())));
     if (found != duties_.end()) return duty_text(found->second);
   }
@@ -275,7 +281,7 @@
   Reply reply = answer(Code::ok);
   if (const auto found = values_.find(c.name); found != values_.end()) {
     reply.items.push_back(found->second);
-  } else if (const auto text = shown(c.name)) {
+  } else if (const auto text = duty_value(c.name)) {
     reply.items.push_back({c.name, *text, 0});
   } else {
     reply.code = Code::absent;
@@ -285,24 +291,25 @@
 
 Reply State::list(const Command& c) const {
   Reply reply = answer(Code::ok);
-  const std::size_t most = c.number == 0 ? kMostListed : std::min<std::size_t>(c.number, kMostListed);
+  const std::size_t max_items =
+      c.number == 0 ? kMaxListItems : std::min<std::size_t>(c.number, kMaxListItems);
   std::size_t bytes = 0;
   // False once the answer is full.
   const auto take = [&](Item item) {
-    if (!under(item.key, c.name) || item.key <= c.value) return true;
+    if (!has_prefix(item.key, c.name) || item.key <= c.value) return true;
     bytes += item.key.size() + item.value.size();
-    if (reply.items.size() >= most || (bytes > kMostListedBytes && !reply.items.empty())) {
+    if (reply.items.size() >= max_items || (bytes > kMaxListBytes && !reply.items.empty())) {
       reply.more = true;
       return false;
     }
     reply.items.push_back(std::move(item));
     return true;
   };
-  if (under(c.name, kDutyPrefix)) {
+  if (has_prefix(c.name, kDutyPrefix)) {
     for (const auto& [name, duty] : duties_) {
       if (!take({std::string(kDutyPrefix) + name, duty_text(duty), duty.token})) break;
     }
-  } else if (under(c.name, kSessionPrefix)) {
+  } else if (has_prefix(c.name, kSessionPrefix)) {
     std::map<std::string, Item> by_key;
     for (const auto& [id, session] : sessions_) {
       const std::string key = session_key(session);
@@ -312,7 +319,7 @@
       if (!take(std::move(item))) break;
     }
   } else {
-    for (auto each = values_.lower_bound(c.name); each != values_.end() && under(each->first, c.name);
+    for (auto each = values_.lower_bound(c.name); each != values_.end() && has_prefix(each->first, c.name);
          ++each) {
       if (!take(each->second)) break;
     }
@@ -322,21 +329,21 @@
 
 // ---- Watchers
 
-void State::changed(std::string key, std::optional<std::string> value) {
+void State::record_change(std::string key, std::optional<std::string> value) {
   history_.push_back({++revision_, std::move(key), std::move(value)});
   while (history_.size() > bounds_.history) {
-    forgotten_ = history_.front().revision;
+    last_dropped_ = history_.front().revision;
     history_.pop_front();
   }
 }
 
 std::optional<std::vector<Change>> State::changes(Revision since, std::string_view prefix) const {
-  if (since < forgotten_) return std::nullopt;
+  if (since < last_dropped_) return std::nullopt;
   std::vector<Change> found;
   const auto first = std::upper_bound(history_.begin(), history_.end(), since,
                                       [](Revision r, const Change& c) { return r < c.revision; });
   std::copy_if(first, history_.end(), std::back_inserter(found),
-               [&](const Change& change) { return under(change.key, prefix); });
+               [&](const Change& change) { return has_prefix(change.key, prefix); });
   return found;
 }
 
--- a/src/register/state.hpp
+++ b/src/register/state.hpp
@@ -38,19 +38,19 @@
 
 // Values of these names are sent and stored: a number keeps its meaning for ever.
 enum class Op : std::uint8_t {
-  open = 1,          // a session: name, number = incarnation, ttl
-  renew = 2,         // session
-  close = 3,         // session, in order: its duties are free at once
-  expire = 4,        // session, number = the renewals the leader has seen: nothing if there was another since
-  acquire = 5,       // session, name = duty
-  release = 6,       // session, name = duty, number = token, value = the successor's name or empty
-  reserve_over = 7,  // name = duty, number = token: the successor did not come
-  put = 8,           // name = key, value, expected, fence
-  erase = 9,         // name = key, expected, fence
-  read = 10,         // name = key
-  list = 11,         // name = prefix, value = after this key, number = at most
-  pause = 12,        // name = duty, number = 1 to pause, 0 to end it
-  move = 13,         // name = duty, value = the controller that should have it; empty: nobody in particular
+  open = 1,     // a session: name, number = incarnation, ttl
+  renew = 2,    // session
+  close = 3,    // session, in order: its duties are free at once
+  expire = 4,   // session, number = the renewals the leader has seen: nothing if there was another since
+  acquire = 5,  // session, name = duty
+  release = 6,  // session, name = duty, number = token, value = the successor's name or empty
+  expire_reservation = 7,  // name = duty, number = token: the successor did not come
+  put = 8,                 // name = key, value, expected, fence
+  erase = 9,               // name = key, expected, fence
+  read = 10,               // name = key
+  list = 11,               // name = prefix, value = after this key, number = at most
+  pause = 12,              // name = duty, number = 1 to pause, 0 to end it
+  move = 13,  // name = duty, value = the controller that should have it; empty: nobody in particular
 };
 
 struct Fence {
@@ -111,11 +111,11 @@
 };
 
 struct Duty {
-  Token token = 0;            // of the present or the last holding; kept for ever
-  SessionId holder = 0;       // 0: free
-  std::string holder_name{};  // also of the last one
-  std::string reserved{};     // handed on to this controller, which has not taken it up yet
-  std::string wanted{};       // an operator's wish where it should be
+  Token token = 0;                 // of the present or the last holding; kept for ever
+  SessionId holder = 0;            // 0: free
+  std::string holder_name{};       // also of the last one
+  std::string reserved{};          // handed on to this controller, which has not taken it up yet
+  std::string requested_holder{};  // an operator's wish where it should be
   bool paused = false;
 };
 
@@ -130,10 +130,10 @@
 
 // Defects that only tests switch on, to show that their checkers find them.
 struct Defects {
-  bool no_fence = false;             // a write is taken whatever its token
-  bool forgets_tokens = false;       // a snapshot leaves out duties that nobody holds
-  bool open_renews_nothing = false;  // a session asked for twice ends as if asked for once
-  bool reads_aside = false;          // a read is answered by whichever voter is asked, as it knows it
+  bool no_fence = false;                   // a write is taken whatever its token
+  bool drops_free_duties = false;          // a snapshot leaves out duties that nobody holds
+  bool repeated_open_not_renewed = false;  // a session asked for twice ends as if asked for once
+  bool reads_locally = false;              // a read is answered by whichever voter is asked, as it knows it
 };
 
 class State {
@@ -161,14 +161,14 @@
   Reply write(const Command& c);
   Reply read(const Command& c) const;
   Reply list(const Command& c) const;
-  Reply operate(const Command& c);
-  Reply with_session(const Command& c);
+  Reply change_duty(const Command& c);
+  Reply apply_in_session(const Command& c);
   void end_session(SessionId id);
-  bool fence_holds(const Fence& fence) const;
+  bool fence_valid(const Fence& fence) const;
   Reply answer(Code code) const { return {code, revision_, 0, {}, {}, false}; }
-  std::optional<std::string> shown(std::string_view key) const;
-  void changed(std::string key, std::optional<std::string> value);
-  void tell_duty(const std::string& name, const Duty& duty);
+  std::optional<std::string> duty_value(std::string_view key) const;
+  void record_change(std::string key, std::optional<std::string> value);
+  void record_duty_change(const std::string& name, const Duty& duty);
 
   Bounds bounds_;
   Defects defects_;
@@ -178,10 +178,10 @@
   std::map<std::string, Item, std::less<>> values_;
   std::size_t bytes_ = 0;  // of keys and values
   std::deque<Change> history_;
-  Revision forgotten_ = 0;  // the last change that is not kept
+  Revision last_dropped_ = 0;  // the last change that is not kept
 };
 
-// Keys under which watchers and lists see what is no plain value.
+// Keys has_prefix which watchers and lists see what is no plain value.
 inline constexpr std::string_view kDutyPrefix = "duty/";        // duty/NAME: token, holder's name, flags
 inline constexpr std::string_view kSessionPrefix = "session/";  // session/NAME/INCARNATION
 
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -181,12 +181,12 @@
                [](WorldSettings& w) { w.counts_from_answer = true, w.stops_only = true; }},
         Defect{"vote_not_kept",
                [](WorldSettings& w) { w.forgets_vote = true, w.voters_only = true, w.faults_a_second = 12; }},
-        Defect{"snapshot_forgets_tokens", [](WorldSettings& w) { w.defects.forgets_tokens = true; }},
+        Defect{"snapshot_forgets_tokens", [](WorldSettings& w) { w.defects.drops_free_duties = true; }},
         Defect{"reads_aside",
-               [](WorldSettings& w) { w.defects.reads_aside = true, w.judges_history_alone = true; }},
+               [](WorldSettings& w) { w.defects.reads_locally = true, w.judges_history_alone = true; }},
         Defect{"open_renews_nothing",
                [](WorldSettings& w) {
-                 w.defects.open_renews_nothing = true, w.late = 0.06, w.ttl = milliseconds(800);
+                 w.defects.repeated_open_not_renewed = true, w.late = 0.06, w.ttl = milliseconds(800);
                }}),
     [](const auto& each) { return std::string(each.param.name); });
 
