--- a/src/register/disk.cpp
+++ b/src/register/disk.cpp
@@ -10,7 +10,7 @@
 namespace quartzarch::reg {
 namespace {
 
-constexpr int kFormat = 1;
+constexpr int kFormatVersion = 1;
 
 std::int64_t signed_of(std::uint64_t value) { return static_cast<std::int64_t>(value); }
 std::uint64_t unsigned_of(std::int64_t value) { return static_cast<std::uint64_t>(value); }
@@ -44,7 +44,7 @@
     if (result != SQLITE_ROW && result != SQLITE_DONE) disk_.fail("step");
     return result == SQLITE_ROW;
   }
-  void again() {
+  void reset() {
     sqlite3_reset(statement_);
     bound_ = 0;
   }
@@ -101,8 +101,8 @@
         "bytes BLOB NOT NULL)");
     run("CREATE TABLE IF NOT EXISTS snapshot (one INTEGER PRIMARY KEY CHECK (one = 1), at INTEGER NOT NULL, "
         "term INTEGER NOT NULL, voters_at INTEGER NOT NULL, voters BLOB NOT NULL, bytes BLOB NOT NULL)");
-    if (figure("format") == 0) set_figure("format", kFormat);
-    if (figure("format") != kFormat) throw StorageError(path_ + ": of another version");
+    if (read_number("format") == 0) write_number("format", kFormatVersion);
+    if (read_number("format") != kFormatVersion) throw StorageError(path_ + ": of another version");
     all.commit();
   } catch (...) {
     sqlite3_close(std::exchange(db_, nullptr));
@@ -114,7 +114,7 @@
   sqlite3_close(std::exchange(db_, nullptr));
   open();
   Transaction all(*this);
-  set_figure("reopened", figure("reopened") + 1);
+  write_number("reopened", read_number("reopened") + 1);
   all.commit();
 }
 
@@ -130,22 +130,22 @@
   if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) fail(sql);
 }
 
-std::uint64_t Disk::figure(const char* name) {
+std::uint64_t Disk::read_number(const char* name) {
   Statement get(*this, "SELECT value FROM figures WHERE name = ?");
   get.bind(name);
   return get.step() ? get.number(0) : 0;
 }
 
-void Disk::set_figure(const char* name, std::uint64_t value) {
+void Disk::write_number(const char* name, std::uint64_t value) {
   Statement set(*this, "INSERT OR REPLACE INTO figures (name, value) VALUES (?, ?)");
   set.bind(name).bind(value).step();
 }
 
-VoterId Disk::identity() { return figure("identity"); }
+VoterId Disk::identity() { return read_number("identity"); }
 
 void Disk::set_identity(VoterId id) {
   if (identity() != 0) throw StorageError(path_ + ": has an identity already");
-  set_figure("identity", id);
+  write_number("identity", id);
 }
 
 bool Disk::used() { return last_index() > 0; }
@@ -158,8 +158,8 @@
 
 Storage::Loaded Disk::load() {
   Loaded loaded;
-  loaded.term = figure("term");
-  loaded.vote = figure("vote");
+  loaded.term = read_number("term");
+  loaded.vote = read_number("vote");
   loaded.snapshot = get_snapshot();
   Statement entries(*this, "SELECT at, term, type, bytes FROM log ORDER BY at");
   loaded.first_index = loaded.snapshot ? loaded.snapshot->index + 1 : 1;
@@ -177,12 +177,12 @@
 // Term and vote are one change: a vote of an earlier term must not count in a later one.
 void Disk::set_term(std::uint64_t term) {
   Transaction both(*this);
-  set_figure("term", term);
-  set_figure("vote", 0);
+  write_number("term", term);
+  write_number("vote", 0);
   both.commit();
 }
 
-void Disk::set_vote(VoterId vote) { set_figure("vote", vote); }
+void Disk::set_vote(VoterId vote) { write_number("vote", vote); }
 
 void Disk::append(std::uint64_t first_index, const std::vector<LogEntry>& entries) {
   Transaction all(*this);
@@ -190,7 +190,7 @@
   Statement add(*this, "INSERT INTO log (at, term, type, bytes) VALUES (?, ?, ?, ?)");
   for (const LogEntry& entry : entries) {
     add.bind(first_index++).bind(entry.term).bind(std::uint64_t{entry.type}).bind(entry.bytes).step();
-    add.again();
+    add.reset();
   }
   all.commit();
 }
--- a/src/register/disk.hpp
+++ b/src/register/disk.hpp
@@ -1,8 +1,9 @@
 // A voter's storage on SQLite, and its identity there.
 //
 // The file is written with synchronous=FULL in WAL mode, one transaction for each change: what a call of
-// Storage has returned from outlives a kill and a loss of power. A file that is torn, or not of this program,
-// is told at the opening (StorageError) and is never repaired by guessing: its voter joins as a new member.
+// Storage has returned from outlives a kill and a loss of power. A file that is corrupt, or not of this
+// program, is told at the opening (StorageError) and is never repaired by guessing: its voter joins as a new
+// member.
 #pragma once
 
 #include <memory>
@@ -19,7 +20,7 @@
   // for tests of failing disks; null: the usual one. Throws StorageError.
   explicit Disk(const std::string& directory, const char* vfs = nullptr);
   ~Disk() override;
-  // After a failure: closed and opened again, and written to once. Throws StorageError if it fails still.
+  // After a failure: closed and opened reset, and written to once. Throws StorageError if it fails still.
   void reopen();
   Disk(const Disk&) = delete;
   Disk& operator=(const Disk&) = delete;
@@ -46,8 +47,8 @@
   void run(const char* sql);
   Statement prepare(const char* sql);
   [[noreturn]] void fail(const char* what);
-  std::uint64_t figure(const char* name);
-  void set_figure(const char* name, std::uint64_t value);
+  std::uint64_t read_number(const char* name);
+  void write_number(const char* name, std::uint64_t value);
   std::uint64_t last_index();
 
   std::string path_;
--- a/src/register/expiry.cpp
+++ b/src/register/expiry.cpp
@@ -4,30 +4,32 @@
 namespace {
 
 // A proposal may be lost with the leadership: made again after this.
-constexpr Duration kAgain = std::chrono::milliseconds(500);
+constexpr Duration kReproposeInterval = std::chrono::milliseconds(500);
 
 }  // namespace
 
-// Nothing came since `count` was first seen, for so long; told once, and again after a while.
-bool Expiry::over(Seen& seen, Time now, std::uint64_t count, Duration after) {
-  if (seen.count != count) seen = {count, now, {}};
-  if (now - seen.at < after || (seen.proposed != Time{} && now - seen.proposed < kAgain)) return false;
-  seen.proposed = now;
+// Nothing came since `count` was first observed, for so long; told once, and again after a while.
+bool Expiry::elapsed(Observation& observed, Time now, std::uint64_t count, Duration after) {
+  if (observed.count != count) observed = {count, now, {}};
+  if (now - observed.at < after ||
+      (observed.proposed != Time{} && now - observed.proposed < kReproposeInterval))
+    return false;
+  observed.proposed = now;
   return true;
 }
 
 std::vector<Command> Expiry::due(Time now, bool leads, const State& state) {
   // A new leader knows nothing of when others applied renewals: everybody has a full time to live from now.
-  if (!leads || !led_) {
+  if (!leads || !was_leader_) {
     sessions_.clear();
     reserved_.clear();
   }
-  led_ = leads;
+  was_leader_ = leads;
   std::vector<Command> commands;
   if (!leads) return commands;
   std::erase_if(sessions_, [&](const auto& item) { return state.sessions().count(item.first) == 0; });
   for (const auto& [id, session] : state.sessions()) {
-    if (!over(sessions_[id], now, session.renewals, std::chrono::milliseconds(session.ttl_ms))) continue;
+    if (!elapsed(sessions_[id], now, session.renewals, std::chrono::milliseconds(session.ttl_ms))) continue;
     Command command;
     command.op = Op::expire;
     command.session = id;
@@ -40,7 +42,7 @@
   });
   for (const auto& [name, duty] : state.duties()) {
     if (duty.reserved.empty()) continue;
-    if (!over(reserved_[name], now, duty.token, kReserved)) continue;
+    if (!elapsed(reserved_[name], now, duty.token, kReservationTimeout)) continue;
     Command command;
     command.op = Op::expire_reservation;
     command.name = name;
--- a/src/register/node.cpp
+++ b/src/register/node.cpp
@@ -40,7 +40,7 @@
   return voters;
 }
 
-void fill(raft_configuration& configuration, const Voters& voters) {
+void fill_configuration(raft_configuration& configuration, const Voters& voters) {
   raft_configuration_init(&configuration);
   for (const Voter& voter : voters) {
     const int role = voter.votes ? RAFT_VOTER : RAFT_SPARE;
@@ -79,7 +79,7 @@
   if (!copy) throw std::bad_alloc();
   copy->index = snapshot.index;
   copy->term = snapshot.term;
-  fill(copy->configuration, snapshot.voters);
+  fill_configuration(copy->configuration, snapshot.voters);
   copy->configuration_index = snapshot.voters_index;
   copy->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
   if (!copy->bufs) throw std::bad_alloc();
@@ -91,7 +91,7 @@
 }  // namespace
 
 // How many election times a snapshot may take to arrive.
-constexpr unsigned kSnapshotElections = 10;
+constexpr unsigned kSnapshotElectionTimeouts = 10;
 
 class Node::Impl {
  public:
@@ -105,7 +105,7 @@
     io_.version = 1;
     io_.impl = this;  // `data` becomes the library's own
     io_.init = [](raft_io*, raft_id, const char*) { return 0; };
-    io_.close = [](raft_io* io, raft_io_close_cb done) { self(io).later([io, done] { done(io); }); };
+    io_.close = [](raft_io* io, raft_io_close_cb done) { self(io).defer([io, done] { done(io); }); };
     io_.load = load;
     io_.start = [](raft_io* io, unsigned, raft_io_tick_cb on_tick, raft_io_recv_cb on_recv) {
       self(io).tick_ = on_tick;
@@ -146,9 +146,9 @@
     raft_.data = this;
     raft_set_election_timeout(&raft_, ms(settings_.election));
     raft_set_heartbeat_timeout(&raft_, ms(settings_.heartbeat));
-    // A snapshot that got lost is sent again after this; the library's own 30 s are without a majority, where
-    // the voter that waits for it is needed for one.
-    raft_set_install_snapshot_timeout(&raft_, kSnapshotElections * ms(settings_.election));
+    // A snapshot that got lost is sent again after this; the library's own 30 s are truncated_from a
+    // majority, where the voter that waits for it is needed for one.
+    raft_set_install_snapshot_timeout(&raft_, kSnapshotElectionTimeouts * ms(settings_.election));
     raft_set_snapshot_threshold(&raft_, settings_.snapshot_after);
     raft_set_snapshot_trailing(&raft_, settings_.trailing);
     // No pre-vote: of libraft 0.15 a refused one tells the request's term and not the refuser's, so that of
@@ -157,9 +157,9 @@
     // leader.
     raft_set_pre_vote(&raft_, false);
     try {
-      if (!settings_.first_voters.empty()) {
+      if (!settings_.initial_voters.empty()) {
         raft_configuration first;
-        fill(first, settings_.first_voters);
+        fill_configuration(first, settings_.initial_voters);
         const int error = raft_bootstrap(&raft_, &first);
         raft_configuration_close(&first);
         check(error, "first start");
@@ -169,7 +169,7 @@
       close();
       throw;
     }
-    pump();
+    run_deferred();
   }
 
   ~Impl() { close(); }
@@ -177,7 +177,7 @@
   void tick(Time now) {
     now_ = std::max(now_, now);
     if (!failed_ && tick_) tick_(&io_);
-    pump();
+    run_deferred();
   }
 
   void receive(Time now, VoterId from, const std::string& address, std::string_view bytes) {
@@ -186,8 +186,8 @@
     auto decoded = wire::decode(bytes);
     if (!decoded) return;  // from a peer of another version, or spoilt: as if it were lost
     if (decoded->type == RAFT_IO_APPEND_ENTRIES) {
-      skip_known(*decoded);
-      note_matched(*decoded);
+      skip_snapshotted(*decoded);
+      record_match(*decoded);
     }
     raft_message message{};
     if (!to_raft(*decoded, message)) return;
@@ -196,24 +196,24 @@
     // Who asks for a vote counts it by the voters that it knows of. The library refuses it where this one has
     // not heard yet that it has a vote: its own, it may be, is the one that is missing (Raft has each answer
     // by term and log alone).
-    raft_server* const own = message.type == RAFT_IO_REQUEST_VOTE ? entry_of(settings_.id) : nullptr;
+    raft_server* const own = message.type == RAFT_IO_REQUEST_VOTE ? find_server(settings_.id) : nullptr;
     const int role = own ? own->role : RAFT_VOTER;
-    if (own && own->role != RAFT_VOTER) forget_silent_leader();
+    if (own && own->role != RAFT_VOTER) drop_silent_leader();
     if (own) own->role = RAFT_VOTER;
     recv_(&io_, &message);
     if (own) own->role = role;
-    pump();
+    run_deferred();
   }
 
   // From which entry on a message of the leader's undoes a change of voters that the library cannot undo: of
   // libraft 0.15 it looks in the log for the change before, and crashes if a snapshot has taken its place.
-  std::optional<raft_index> undoes_voters(std::string_view bytes) const {
+  std::optional<raft_index> conflicting_voter_change(std::string_view bytes) const {
     const raft_index change = raft_.configuration_uncommitted_index;
     if (failed_ || change == 0 || raft_.configuration_index > raft_.log.offset) return std::nullopt;
     const auto append = wire::decode(bytes);
-    if (!append || append->type != RAFT_IO_APPEND_ENTRIES || append->figures.size() != 4) return std::nullopt;
-    if (append->figures[0] < raft_.current_term) return std::nullopt;
-    raft_index index = append->figures[1];
+    if (!append || append->type != RAFT_IO_APPEND_ENTRIES || append->fields.size() != 4) return std::nullopt;
+    if (append->fields[0] < raft_.current_term) return std::nullopt;
+    raft_index index = append->fields[1];
     for (const LogEntry& entry : append->entries) {
       if (++index > change) break;
       if (index > raft_.log.offset && index <= raft_last_index(const_cast<struct raft*>(&raft_)) &&
@@ -224,23 +224,23 @@
     return std::nullopt;
   }
   // The same voter as its disk has it. Throws StorageError.
-  std::unique_ptr<Impl> anew() {
+  std::unique_ptr<Impl> reopened() {
     NodeSettings settings = settings_;
-    settings.first_voters.clear();
-    auto fresh = std::make_unique<Impl>(std::move(settings), storage_, transport_, random_(), now_);
-    fresh->on_applied_ = on_applied_;
-    return fresh;
+    settings.initial_voters.clear();
+    auto reopened_impl = std::make_unique<Impl>(std::move(settings), storage_, transport_, random_(), now_);
+    reopened_impl->on_applied_ = on_applied_;
+    return reopened_impl;
   }
   // Without the entries from there on. Nothing if the disk fails at it.
-  std::unique_ptr<Impl> without(raft_index from) {
-    std::unique_ptr<Impl> fresh;
+  std::unique_ptr<Impl> truncated_from(raft_index from) {
+    std::unique_ptr<Impl> reopened_impl;
     guarded([&] {
       storage_.truncate(from);
-      fresh = anew();
+      reopened_impl = reopened();
     });
-    return fresh;
+    return reopened_impl;
   }
-  bool passes() const { return failed_ && passes_; }
+  bool failure_is_retryable() const { return failed_ && retryable_; }
 
   void propose(Time now, const std::vector<Command>& commands, std::vector<Done> done) {
     now_ = std::max(now_, now);
@@ -248,7 +248,7 @@
       State copy = state_;
       return done[0](Outcome::done, copy.apply(commands[0]));
     }
-    if (failed_ || raft_state(&raft_) != RAFT_LEADER || handing_over() || commands.empty()) {
+    if (failed_ || raft_state(&raft_) != RAFT_LEADER || transferring_leadership() || commands.empty()) {
       for (const Done& each : done) each(failed_ ? Outcome::failed : Outcome::not_leader, {});
       return;
     }
@@ -273,28 +273,29 @@
       return;
     }
     proposals_.emplace(request->first, request);
-    pump();
+    run_deferred();
   }
 
-  void change_voters(Time now, const Changed& changed,
-                     const std::function<int(raft_change*, raft_change_cb)>& ask, const Changed& then) {
+  void change_voters(Time now, const VoterChangeDone& changed,
+                     const std::function<int(raft_change*, raft_change_cb)>& ask,
+                     const VoterChangeDone& then) {
     now_ = std::max(now_, now);
     auto* const request = new Change{{}, this, then};
     request->raft.data = request;
     const int error = ask(&request->raft, [](raft_change* req, int status) {
       const std::unique_ptr<Change> change(static_cast<Change*>(req->data));
-      change->owner->later([then = change->then, status] { then(status == 0 ? "" : raft_strerror(status)); });
+      change->owner->defer([then = change->then, status] { then(status == 0 ? "" : raft_strerror(status)); });
     });
     if (error != 0) {
       delete request;
       changed(raft_strerror(error));
     }
-    pump();
+    run_deferred();
   }
 
-  // Added without a vote first: it counts only once it has the log, which assigning waits for. One that an
-  // earlier leader added and did not come to assign is assigned.
-  void add_voter(Time now, VoterId id, const std::string& address, const Changed& changed) {
+  // Added truncated_from a vote first: it counts only once it has the log, which assigning waits for. One
+  // that an earlier leader added and did not come to assign is assigned.
+  void add_voter(Time now, VoterId id, const std::string& address, const VoterChangeDone& changed) {
     const auto assign = [this, id, changed] {
       change_voters(
           now_, changed,
@@ -316,7 +317,7 @@
         [assign, changed](const std::string& error) { error.empty() ? assign() : changed(error); });
   }
 
-  void remove_voter(Time now, VoterId id, const Changed& changed) {
+  void remove_voter(Time now, VoterId id, const VoterChangeDone& changed) {
     change_voters(
         now, changed,
         [&](raft_change* request, raft_change_cb done) { return raft_remove(&raft_, request, id, done); },
@@ -326,10 +327,10 @@
   // Raft's TimeoutNow, which the library takes and answers by an election that others do not refuse for the
   // leader's sake. Its own raft_transfer() is not used: it keeps a request at the leader that does not
   // survive a change of voters or of the leader meanwhile (it crashed in the walk).
-  bool hand_over(Time now, VoterId to) {
+  bool transfer_leadership(Time now, VoterId to) {
     now_ = std::max(now_, now);
     if (!leads()) return false;
-    if (handing_over() && (to == 0 || to == handed_to_)) return true;
+    if (transferring_leadership() && (to == 0 || to == transfer_target_)) return true;
     const raft_configuration& known = raft_.configuration;
     std::optional<unsigned> best;
     const raft_progress* const progress = raft_.leader_state.progress;
@@ -340,27 +341,29 @@
       if (!best || progress[i].match_index > progress[*best].match_index) best = i;
     }
     if (!best) return false;
-    handed_to_ = known.servers[*best].id;
-    handed_until_ = now_ + settings_.election;
-    handed_at_.reset();
-    pump();
+    transfer_target_ = known.servers[*best].id;
+    transfer_deadline_ = now_ + settings_.election;
+    timeout_now_sent_at_.reset();
+    run_deferred();
     return true;
   }
 
-  // Once it has the whole log: nothing is proposed here meanwhile. The message may be lost, so again with
+  // Once it has the whole log: nothing is proposed matches meanwhile. The message may be lost, so again with
   // each heartbeat.
-  void tell_successor() {
-    if (!handing_over() || (handed_at_ && now_ - *handed_at_ < settings_.heartbeat)) return;
-    const raft_server* const successor = entry_of(handed_to_);
+  void send_timeout_now() {
+    if (!transferring_leadership() ||
+        (timeout_now_sent_at_ && now_ - *timeout_now_sent_at_ < settings_.heartbeat))
+      return;
+    const raft_server* const successor = find_server(transfer_target_);
     if (!successor) return;
     const raft_index last = raft_last_index(&raft_);
     if (raft_.leader_state.progress[successor - raft_.configuration.servers].match_index != last) return;
-    handed_at_ = now_;
+    timeout_now_sent_at_ = now_;
     wire::Message message;
     message.type = RAFT_IO_TIMEOUT_NOW;
-    message.figures = {raft_.current_term, last,
-                       last > raft_.log.offset ? term_at(last) : raft_.log.snapshot.last_term};
-    transport_.send(handed_to_, successor->address, wire::encode(message));
+    message.fields = {raft_.current_term, last,
+                      last > raft_.log.offset ? term_at(last) : raft_.log.snapshot.last_term};
+    transport_.send(transfer_target_, successor->address, wire::encode(message));
   }
 
   Status status() const {
@@ -374,17 +377,17 @@
     if (!failed_) raft_leader(raft, &id, &address);
     status.leader_id = id;
     if (address) status.leader_address = address;
-    const raft_server* const successor = handing_over() ? entry_of(handed_to_) : nullptr;
+    const raft_server* const successor = transferring_leadership() ? find_server(transfer_target_) : nullptr;
     if (successor) status.leader_address = successor->address;
     status.last_index = raft_last_index(raft);
     status.commit_index = raft_.commit_index;
     status.applied_index = raft_last_applied(raft);
     status.voters = voters_of(raft_.configuration);
-    status.voters_agreed = raft_.configuration_uncommitted_index == 0;
+    status.voters_committed = raft_.configuration_uncommitted_index == 0;
     return status;
   }
   bool leads() const { return !failed_ && raft_.state == RAFT_LEADER; }
-  bool handing_over() const { return leads() && now_ < handed_until_; }
+  bool transferring_leadership() const { return leads() && now_ < transfer_deadline_; }
   bool failed() const { return failed_; }
   const State& state() const { return state_; }
   void on_applied(std::function<void()> step) { on_applied_ = std::move(step); }
@@ -398,12 +401,12 @@
     std::size_t count;
     raft_index first;
     bool called_back = false;  // the library does not look at it any more
-    bool told = false;         // whoever proposed has heard
+    bool notified = false;     // whoever proposed has heard
   };
   struct Change {
     raft_change raft;
     Impl* owner;
-    Changed then;
+    VoterChangeDone then;
   };
 
   static Impl& self(raft_io* io) { return *static_cast<Impl*>(io->impl); }
@@ -418,7 +421,8 @@
   // The disk's failures become the library's, and the voter's end.
   template <typename Step>
   int guarded(const Step& step) {
-    // Nothing is written behind a write that failed: a vote kept without its term would be one for another.
+    // Nothing is written behind a write that failed: a vote kept truncated_from its term would be one for
+    // another.
     if (failed_) return RAFT_IOERR;
     try {
       step();
@@ -426,7 +430,7 @@
     } catch (const StorageError& error) {
       failure_ = error.what();
       failed_ = true;
-      passes_ = error.passes;
+      retryable_ = error.is_retryable;
       return RAFT_IOERR;
     }
   }
@@ -441,25 +445,25 @@
   }
 
   // The library must not be called back from inside one of its own calls: completions wait until it is out.
-  void later(std::function<void()> step) { steps_.push_back(std::move(step)); }
-  void pump() {
-    if (std::exchange(pumping_, true)) return;
+  void defer(std::function<void()> step) { deferred_.push_back(std::move(step)); }
+  void run_deferred() {
+    if (std::exchange(running_deferred_, true)) return;
     do {
-      while (!steps_.empty()) {
-        const auto step = std::move(steps_.front());
-        steps_.pop_front();
+      while (!deferred_.empty()) {
+        const auto step = std::move(deferred_.front());
+        deferred_.pop_front();
         step();
       }
-      settle();
-    } while (!steps_.empty());
-    tell_successor();
-    pumping_ = false;
+      reap_proposals();
+    } while (!deferred_.empty());
+    send_timeout_now();
+    running_deferred_ = false;
   }
 
   void close() {
     if (std::exchange(closed_, true)) return;
     raft_close(&raft_, nullptr);
-    pump();
+    run_deferred();
     for (auto& [index, proposal] : proposals_) delete proposal;
     proposals_.clear();
   }
@@ -495,13 +499,13 @@
     Impl& impl = self(io);
     if (!impl.failed_) {
       wire::Message sent = from_raft(*message);
-      if (sent.type == RAFT_IO_APPEND_ENTRIES_RESULT && sent.figures[1] == 0) {
-        sent.figures[2] = std::min<std::uint64_t>(sent.figures[2], impl.matched_in(sent.figures[0]));
+      if (sent.type == RAFT_IO_APPEND_ENTRIES_RESULT && sent.fields[1] == 0) {
+        sent.fields[2] = std::min<std::uint64_t>(sent.fields[2], impl.matched_index(sent.fields[0]));
       }
       impl.transport_.send(message->server_id, message->server_address, wire::encode(sent));
     }
-    // Handed to the network: whether it arrives is told by the answers only.
-    if (done) impl.later([request, done] { done(request, 0); });
+    // Handed to the network: whether it arrives is notified by the answers only.
+    if (done) impl.defer([request, done] { done(request, 0); });
     return 0;
   }
 
@@ -512,7 +516,7 @@
       impl.storage_.append(impl.next_index_, log_entries(entries, count));
       impl.next_index_ += count;
     });
-    impl.later([request, done, error] { done(request, error); });
+    impl.defer([request, done, error] { done(request, error); });
     return 0;
   }
 
@@ -526,7 +530,7 @@
       impl.storage_.put_snapshot(snapshot, trailing);
       if (trailing == 0) impl.next_index_ = snapshot.index + 1;
     });
-    impl.later([request, done, error] { done(request, error); });
+    impl.defer([request, done, error] { done(request, error); });
     return 0;
   }
 
@@ -538,7 +542,7 @@
       if (!kept) throw StorageError("the snapshot is gone");
       snapshot = raft_snapshot_of(*kept);
     });
-    impl.later([request, done, snapshot, error] { done(request, snapshot, error); });
+    impl.defer([request, done, snapshot, error] { done(request, snapshot, error); });
     return 0;
   }
 
@@ -564,7 +568,7 @@
       Proposal& proposal = *std::prev(after)->second;
       if (index == proposal.first + proposal.replies.size() && proposal.replies.size() < proposal.count) {
         proposal.replies.push_back(std::move(reply));
-        if (proposal.replies.size() == proposal.count) tell(proposal, Outcome::done);
+        if (proposal.replies.size() == proposal.count) notify(proposal, Outcome::done);
       }
     }
     if (on_applied_) on_applied_();
@@ -572,12 +576,12 @@
 
   void finished(Proposal& proposal, int status) {
     proposal.called_back = true;
-    if (status != 0) tell(proposal, failed_ ? Outcome::failed : Outcome::unknown);
+    if (status != 0) notify(proposal, failed_ ? Outcome::failed : Outcome::unknown);
   }
 
-  void tell(Proposal& proposal, Outcome outcome) {
-    if (std::exchange(proposal.told, true)) return;
-    later([outcome, done = std::move(proposal.done), replies = std::move(proposal.replies)] {
+  void notify(Proposal& proposal, Outcome outcome) {
+    if (std::exchange(proposal.notified, true)) return;
+    defer([outcome, done = std::move(proposal.done), replies = std::move(proposal.replies)] {
       for (std::size_t i = 0; i < done.size(); ++i) {
         done[i](outcome, outcome == Outcome::done ? replies[i] : Reply{});
       }
@@ -585,11 +589,11 @@
   }
 
   // Of a proposal whose leader was deposed after the first of its commands, nobody tells of the others.
-  void settle() {
+  void reap_proposals() {
     for (auto each = proposals_.begin(); each != proposals_.end();) {
       Proposal& proposal = *each->second;
-      if (proposal.called_back && raft_.state != RAFT_LEADER) tell(proposal, Outcome::unknown);
-      if (!proposal.called_back || !proposal.told) {
+      if (proposal.called_back && raft_.state != RAFT_LEADER) notify(proposal, Outcome::unknown);
+      if (!proposal.called_back || !proposal.notified) {
         ++each;
         continue;
       }
@@ -625,31 +629,31 @@
     to.type = from.type;
     switch (from.type) {
       case RAFT_IO_APPEND_ENTRIES:
-        to.figures = {from.append_entries.term, from.append_entries.prev_log_index,
-                      from.append_entries.prev_log_term, from.append_entries.leader_commit};
+        to.fields = {from.append_entries.term, from.append_entries.prev_log_index,
+                     from.append_entries.prev_log_term, from.append_entries.leader_commit};
         to.entries = log_entries(from.append_entries.entries, from.append_entries.n_entries);
         break;
       case RAFT_IO_APPEND_ENTRIES_RESULT:
-        to.figures = {from.append_entries_result.term, from.append_entries_result.rejected,
-                      from.append_entries_result.last_log_index};
+        to.fields = {from.append_entries_result.term, from.append_entries_result.rejected,
+                     from.append_entries_result.last_log_index};
         break;
       case RAFT_IO_REQUEST_VOTE:
-        to.figures = {from.request_vote.term,           from.request_vote.candidate_id,
-                      from.request_vote.last_log_index, from.request_vote.last_log_term,
-                      from.request_vote.disrupt_leader, from.request_vote.pre_vote};
+        to.fields = {from.request_vote.term,           from.request_vote.candidate_id,
+                     from.request_vote.last_log_index, from.request_vote.last_log_term,
+                     from.request_vote.disrupt_leader, from.request_vote.pre_vote};
         break;
       case RAFT_IO_REQUEST_VOTE_RESULT:
-        to.figures = {from.request_vote_result.term, from.request_vote_result.vote_granted,
-                      static_cast<std::uint64_t>(from.request_vote_result.pre_vote)};
+        to.fields = {from.request_vote_result.term, from.request_vote_result.vote_granted,
+                     static_cast<std::uint64_t>(from.request_vote_result.pre_vote)};
         break;
       case RAFT_IO_INSTALL_SNAPSHOT:
-        to.figures = {from.install_snapshot.term, from.install_snapshot.last_index,
-                      from.install_snapshot.last_term, from.install_snapshot.conf_index};
+        to.fields = {from.install_snapshot.term, from.install_snapshot.last_index,
+                     from.install_snapshot.last_term, from.install_snapshot.conf_index};
         to.voters = voters_of(from.install_snapshot.conf);
         to.snapshot = view(from.install_snapshot.data);
         break;
       case RAFT_IO_TIMEOUT_NOW:
-        to.figures = {from.timeout_now.term, from.timeout_now.last_log_index, from.timeout_now.last_log_term};
+        to.fields = {from.timeout_now.term, from.timeout_now.last_log_index, from.timeout_now.last_log_term};
         break;
       default:
         break;
@@ -658,32 +662,33 @@
   }
 
   // Entries up to the snapshot are agreed on for ever. The library takes one that comes late, when they are
-  // gone from the log, for new: it is told of what follows the snapshot only.
-  void skip_known(wire::Message& append) const {
-    if (append.figures.size() != 4 || append.figures[1] >= raft_.log.snapshot.last_index) return;
-    const std::uint64_t known = raft_.log.snapshot.last_index - append.figures[1];
+  // gone from the log, for new: it is notified of what follows the snapshot only.
+  void skip_snapshotted(wire::Message& append) const {
+    if (append.fields.size() != 4 || append.fields[1] >= raft_.log.snapshot.last_index) return;
+    const std::uint64_t known = raft_.log.snapshot.last_index - append.fields[1];
     const auto skipped = static_cast<std::ptrdiff_t>(std::min<std::uint64_t>(known, append.entries.size()));
     append.entries.erase(append.entries.begin(), append.entries.begin() + skipped);
-    append.figures[1] = raft_.log.snapshot.last_index;
-    append.figures[2] = raft_.log.snapshot.last_term;
+    append.fields[1] = raft_.log.snapshot.last_index;
+    append.fields[2] = raft_.log.snapshot.last_term;
   }
 
-  // Up to where this voter's log is the leader's: an append whose previous entry is here says it up to its
+  // Up to where this voter's log is the leader's: an append whose previous entry is matches says it up to its
   // last one. The library tells the leader its whole log instead, with what an earlier leader left behind the
   // point that was compared; the new leader, with entries of its own there by then, takes them for agreed on.
-  void note_matched(const wire::Message& append) {
-    if (append.figures.size() != 4 || append.figures[0] < raft_.current_term) return;
-    if (std::exchange(matched_term_, append.figures[0]) != append.figures[0]) matched_ = 0;
-    const raft_index previous = append.figures[1];
+  void record_match(const wire::Message& append) {
+    if (append.fields.size() != 4 || append.fields[0] < raft_.current_term) return;
+    if (std::exchange(matched_term_, append.fields[0]) != append.fields[0]) matched_ = 0;
+    const raft_index previous = append.fields[1];
     const auto& log = raft_.log;
-    const bool here = previous == 0 || (previous == log.snapshot.last_index
-                                            ? append.figures[2] == log.snapshot.last_term
-                                            : previous > log.offset && previous <= raft_last_index(&raft_) &&
-                                                  append.figures[2] == term_at(previous));
-    if (here) matched_ = std::max(matched_, previous + append.entries.size());
+    const bool matches =
+        previous == 0 ||
+        (previous == log.snapshot.last_index ? append.fields[2] == log.snapshot.last_term
+                                             : previous > log.offset && previous <= raft_last_index(&raft_) &&
+                                                   append.fields[2] == term_at(previous));
+    if (matches) matched_ = std::max(matched_, previous + append.entries.size());
   }
   // What is agreed on is the same everywhere, whoever leads.
-  raft_index matched_in(raft_term term) const {
+  raft_index matched_index(raft_term term) const {
     return std::max({raft_.commit_index, raft_.log.snapshot.last_index,
                      term == matched_term_ ? matched_ : raft_index{0}});
   }
@@ -691,18 +696,18 @@
   // Who hears from a leader refuses its vote for that. The library ends this where its election timer runs
   // out, and looks at that timer only where it knows of its vote: one that has not heard of it would refuse
   // for ever.
-  void forget_silent_leader() {
+  void drop_silent_leader() {
     if (raft_.state != RAFT_FOLLOWER || raft_.follower_state.current_leader.id == 0) return;
-    const raft_time silent =
+    const raft_time silence =
         static_cast<raft_time>(now_ / std::chrono::milliseconds(1)) - raft_.election_timer_start;
-    if (silent < raft_.election_timeout) return;
+    if (silence < raft_.election_timeout) return;
     raft_.follower_state.current_leader.id = 0;
     raft_free(raft_.follower_state.current_leader.address);
     raft_.follower_state.current_leader.address = nullptr;
   }
 
   // That voter among those that this one knows of, or nothing.
-  raft_server* entry_of(VoterId id) const {
+  raft_server* find_server(VoterId id) const {
     const raft_configuration& known = raft_.configuration;
     const auto found = std::find_if(known.servers, known.servers + known.n,
                                     [id](const raft_server& each) { return each.id == id; });
@@ -714,12 +719,12 @@
     return log.entries[(log.front + (index - log.offset - 1)) % log.size].term;
   }
 
-  // False if the message has not the figures of its type.
+  // False if the message has not the fields of its type.
   static bool to_raft(const wire::Message& from, raft_message& to) {
-    static constexpr std::size_t kFigures[] = {0, 4, 3, 6, 3, 4, 3};
+    static constexpr std::size_t kFieldCounts[] = {0, 4, 3, 6, 3, 4, 3};
     if (from.type < RAFT_IO_APPEND_ENTRIES || from.type > RAFT_IO_TIMEOUT_NOW) return false;
-    if (from.figures.size() != kFigures[from.type]) return false;
-    const auto& f = from.figures;
+    if (from.fields.size() != kFieldCounts[from.type]) return false;
+    const auto& f = from.fields;
     to.type = from.type;
     switch (from.type) {
       case RAFT_IO_APPEND_ENTRIES:
@@ -744,7 +749,7 @@
         install.last_index = f[1];
         install.last_term = f[2];
         install.conf_index = f[3];
-        fill(install.conf, from.voters);
+        fill_configuration(install.conf, from.voters);
         install.data = raft_bytes(from.snapshot);
         break;
       }
@@ -768,14 +773,14 @@
   raft_index next_index_ = 1;
   raft_index matched_ = 0;  // in the term of matched_term_
   raft_term matched_term_ = 0;
-  std::deque<std::function<void()>> steps_;
-  bool pumping_ = false;
+  std::deque<std::function<void()>> deferred_;
+  bool running_deferred_ = false;
   bool closed_ = false;
   bool failed_ = false;
-  bool passes_ = false;  // the failure may
-  VoterId handed_to_ = 0;
-  Time handed_until_{};  // leadership is on its way to that one
-  std::optional<Time> handed_at_{};
+  bool retryable_ = false;  // the failure may
+  VoterId transfer_target_ = 0;
+  Time transfer_deadline_{};  // leadership is on its way to that one
+  std::optional<Time> timeout_now_sent_at_{};
   std::string failure_;
   std::map<raft_index, Proposal*> proposals_;  // by their first index
   std::function<void()> on_applied_;
@@ -786,9 +791,9 @@
 Node::~Node() = default;
 void Node::tick(Time now) { impl_->tick(now); }
 void Node::receive(Time now, VoterId from, const std::string& address, std::string_view bytes) {
-  if (const auto undone = impl_->undoes_voters(bytes)) {
+  if (const auto conflict = impl_->conflicting_voter_change(bytes)) {
     // The leader sends what was in the message again.
-    if (auto fresh = impl_->without(*undone)) impl_ = std::move(fresh);
+    if (auto reopened_impl = impl_->truncated_from(*conflict)) impl_ = std::move(reopened_impl);
     return;
   }
   impl_->receive(now, from, address, bytes);
@@ -796,16 +801,18 @@
 void Node::propose(Time now, const std::vector<Command>& commands, std::vector<Done> done) {
   impl_->propose(now, commands, std::move(done));
 }
-void Node::add_voter(Time now, VoterId id, const std::string& address, Changed changed) {
+void Node::add_voter(Time now, VoterId id, const std::string& address, VoterChangeDone changed) {
   impl_->add_voter(now, id, address, changed);
 }
-void Node::remove_voter(Time now, VoterId id, Changed changed) { impl_->remove_voter(now, id, changed); }
-bool Node::hand_over(Time now, VoterId to) { return impl_->hand_over(now, to); }
+void Node::remove_voter(Time now, VoterId id, VoterChangeDone changed) {
+  impl_->remove_voter(now, id, changed);
+}
+bool Node::transfer_leadership(Time now, VoterId to) { return impl_->transfer_leadership(now, to); }
 Node::Status Node::status() const { return impl_->status(); }
 bool Node::leads() const { return impl_->leads(); }
 bool Node::failed() const { return impl_->failed(); }
-bool Node::failure_may_pass() const { return impl_->passes(); }
-void Node::begin_anew() { impl_ = impl_->anew(); }
+bool Node::failure_is_retryable() const { return impl_->failure_is_retryable(); }
+void Node::restart_from_disk() { impl_ = impl_->reopened(); }
 const State& Node::state() const { return impl_->state(); }
 void Node::on_applied(std::function<void()> step) { impl_->on_applied(std::move(step)); }
 
--- a/src/register/node.hpp
+++ b/src/register/node.hpp
@@ -22,7 +22,7 @@
   std::string address{};
   // All at once, on the first start of a new register only (`quartzarch fleet init`); empty: it has a disk
   // with a log, or waits to be added.
-  Voters first_voters{};
+  Voters initial_voters{};
   Duration election = std::chrono::milliseconds(500);  // between this and twice it without a leader
   Duration heartbeat = std::chrono::milliseconds(100);
   unsigned snapshot_after = 4096;  // entries
@@ -62,15 +62,15 @@
   // `done` comes later, or at once if this is not the leader.
   void propose(Time now, const std::vector<Command>& commands, std::vector<Done> done);
   // Changes of the voters, one at a time; what is refused says why.
-  using Changed = std::function<void(const std::string& error)>;
-  void add_voter(Time now, VoterId id, const std::string& address, Changed changed);
-  void remove_voter(Time now, VoterId id, Changed changed);
+  using VoterChangeDone = std::function<void(const std::string& error)>;
+  void add_voter(Time now, VoterId id, const std::string& address, VoterChangeDone changed);
+  void remove_voter(Time now, VoterId id, VoterChangeDone changed);
 
   // Has another voter begin an election as soon as it has the whole log, and win it: `to`, or whichever is
   // nearest to it if that is 0. Until it leads, for an election time at most, nothing is proposed here, and
   // clients are sent there. False: this is not the leader, or nothing is heard of such a voter; asking again
   // is harmless.
-  bool hand_over(Time now, VoterId to = 0);
+  bool transfer_leadership(Time now, VoterId to = 0);
 
   struct Status {
     bool leader = false;
@@ -79,16 +79,16 @@
     std::string leader_address{};
     std::uint64_t last_index = 0, commit_index = 0, applied_index = 0;
     Voters voters{};
-    bool voters_agreed = false;  // false: their last change may yet be undone
+    bool voters_committed = false;  // false: their last change may yet be undone
   };
   Status status() const;
   bool leads() const;
   // The library's loss of the disk: it does nothing from then on.
   bool failed() const;
-  // It failed for want of room. Once the disk takes writes again, begin_anew() goes on with what is on it, as
-  // after a start of the process. Throws StorageError.
-  bool failure_may_pass() const;
-  void begin_anew();
+  // It failed for want of room. Once the disk takes writes again, restart_from_disk() goes on with what is on
+  // it, as after a start of the process. Throws StorageError.
+  bool failure_is_retryable() const;
+  void restart_from_disk();
   // As applied here; another voter may be further.
   const State& state() const;
   // Called after every command that was applied here.
@@ -109,18 +109,18 @@
   // Commands to be proposed now.
   std::vector<Command> due(Time now, bool leads, const State& state);
 
-  static constexpr Duration kReserved = std::chrono::milliseconds(1000);
+  static constexpr Duration kReservationTimeout = std::chrono::milliseconds(1000);
 
  private:
-  struct Seen {
+  struct Observation {
     std::optional<std::uint64_t> count{};  // none: not looked at yet
     Time at{};
     Time proposed{};
   };
-  static bool over(Seen& seen, Time now, std::uint64_t count, Duration after);
-  std::map<SessionId, Seen> sessions_;
-  std::map<std::string, Seen> reserved_;  // by duty; the count is its token
-  bool led_ = false;
+  static bool elapsed(Observation& observed, Time now, std::uint64_t count, Duration after);
+  std::map<SessionId, Observation> sessions_;
+  std::map<std::string, Observation> reserved_;  // by duty; the count is its token
+  bool was_leader_ = false;
 };
 
 }  // namespace quartzarch::reg
--- a/src/register/storage.hpp
+++ b/src/register/storage.hpp
@@ -36,11 +36,11 @@
 
 // The disk is full, failing, torn or another's. A voter that meets it stops voting; nothing is guessed.
 struct StorageError : std::runtime_error {
-  explicit StorageError(const std::string& what, bool may_pass = false)
-      : std::runtime_error(what), passes(may_pass) {}
+  explicit StorageError(const std::string& what, bool retryable = false)
+      : std::runtime_error(what), is_retryable(retryable) {}
   // There is no room: what is on the disk is sound, and it may be tried again. Not after a sync that failed:
   // what is read back then need not be on the disk.
-  bool passes;
+  bool is_retryable;
 };
 
 class Storage {
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -90,7 +90,7 @@
   node.id = first_identity(settings.name);
   node.address = settings.name;
   for (const auto& [name, address] : settings.addresses)
-    node.first_voters.push_back({first_identity(name), name, true});
+    node.initial_voters.push_back({first_identity(name), name, true});
   class Nowhere : public Transport {
     void send(VoterId, const std::string&, std::string) override {}
   } nowhere;
@@ -144,8 +144,8 @@
     Connection& from = found->second;
     link::LinkMessage message;
     std::size_t length = 0;
-    const auto taken =
-        link::decode(stream.input(), message, length, from.peer ? wire::kLongest : link::kLongestMessage);
+    const auto taken = link::decode(stream.input(), message, length,
+                                    from.peer ? wire::kMaxMessageBytes : link::kLongestMessage);
     if (taken == link::Taken::part) return;
     if (taken == link::Taken::malformed || !take(from, message, stream.input().substr(0, length))) {
       log_.line("register: what came from %s is no message of this version, connection closed",
@@ -241,7 +241,7 @@
     wrong = "there is no such voter with a vote";
   } else if (name == settings_.name) {
     wrong = "it leads already";
-  } else if (!node_->hand_over(loop_.now(), name.empty() ? 0 : found->id)) {
+  } else if (!node_->transfer_leadership(loop_.now(), name.empty() ? 0 : found->id)) {
     wrong = "nothing is heard of it";
   }
   log_.line("register: leadership asked for %s by hand: %s", name.empty() ? "any other" : name.c_str(),
@@ -253,7 +253,7 @@
 bool VoterServer::resign() {
   const Node::Status status = node_->status();
   if (!status.leader) return resigning_ && status.leader_id == 0;
-  if (node_->hand_over(loop_.now()) && !std::exchange(resigning_, true)) {
+  if (node_->transfer_leadership(loop_.now()) && !std::exchange(resigning_, true)) {
     log_.line("register: term %llu, leadership is handed over for a stop",
               static_cast<unsigned long long>(status.term));
   }
@@ -286,7 +286,7 @@
 void VoterServer::tick() {
   service_->tick(loop_.now());
   tell_changes();
-  if (node_->failure_may_pass() && loop_.now() >= disk_again_) recover();
+  if (node_->failure_is_retryable() && loop_.now() >= disk_again_) recover();
   if (!node_->failed() && loop_.now() >= join_again_) {
     join_again_ = loop_.now() + kJoinAgain;
     // One that is cut off does not know whether it has its vote; asking is harmless.
@@ -303,7 +303,7 @@
   disk_again_ = loop_.now() + kDiskAgain;
   try {
     disk_.reopen();
-    node_->begin_anew();
+    node_->restart_from_disk();
     told_failed_ = false;
     log_.line("register: the disk takes writes again: this voter goes on");
   } catch (const std::runtime_error&) {
@@ -315,7 +315,7 @@
   if (node_->failed() && !std::exchange(told_failed_, true)) {
     disk_again_ = loop_.now() + kDiskAgain;
     log_.line("register: the disk failed: this voter votes no more until %s",
-              node_->failure_may_pass() ? "there is room" : "it is started again");
+              node_->failure_is_retryable() ? "there is room" : "it is started again");
   }
   const auto status = node_->status();
   if (status.leader_id == told_leader_ && status.term == told_term_) return;
--- a/src/register/wire.cpp
+++ b/src/register/wire.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // The type of the frame; the library's own is its number.
-constexpr auto kFrame = static_cast<link::Type>(FrameType::consensus);
+constexpr auto kFrameType = static_cast<link::Type>(FrameType::consensus);
 
 std::optional<std::uint64_t> number(std::string_view digits) {
   std::uint64_t value = 0;
@@ -20,10 +20,10 @@
 }  // namespace
 
 std::string encode(const Message& message) {
-  std::vector<std::string> values = {std::to_string(message.figures.size()),
+  std::vector<std::string> values = {std::to_string(message.fields.size()),
                                      std::to_string(message.entries.size()),
                                      std::to_string(message.voters.size())};
-  for (const std::uint64_t figure : message.figures) values.push_back(std::to_string(figure));
+  for (const std::uint64_t field : message.fields) values.push_back(std::to_string(field));
   for (const LogEntry& entry : message.entries) {
     values.push_back(std::to_string(entry.term));
     values.push_back(std::to_string(entry.type));
@@ -35,28 +35,28 @@
     values.push_back(voter.votes ? "1" : "0");
   }
   values.push_back(message.snapshot);
-  return link::encode(kFrame, message.type, values).head;
+  return link::encode(kFrameType, message.type, values).head;
 }
 
 std::optional<Message> decode(std::string_view bytes) {
   link::LinkMessage frame;
   std::size_t length = 0;
-  if (link::decode(bytes, frame, length, kLongest) != link::Taken::whole || length != bytes.size())
+  if (link::decode(bytes, frame, length, kMaxMessageBytes) != link::Taken::whole || length != bytes.size())
     return std::nullopt;
-  if (frame.type != kFrame || frame.call > UINT16_MAX || frame.values.size() < 4) return std::nullopt;
-  const auto figures = number(frame.values[0]), entries = number(frame.values[1]),
+  if (frame.type != kFrameType || frame.call > UINT16_MAX || frame.values.size() < 4) return std::nullopt;
+  const auto fields = number(frame.values[0]), entries = number(frame.values[1]),
              voters = number(frame.values[2]);
-  if (!figures || !entries || !voters) return std::nullopt;
-  const std::size_t most = frame.values.size();
-  if (*figures > most || *entries > most || *voters > most) return std::nullopt;
-  if (frame.values.size() != 3 + *figures + 3 * *entries + 3 * *voters + 1) return std::nullopt;
+  if (!fields || !entries || !voters) return std::nullopt;
+  const std::size_t value_count = frame.values.size();
+  if (*fields > value_count || *entries > value_count || *voters > value_count) return std::nullopt;
+  if (frame.values.size() != 3 + *fields + 3 * *entries + 3 * *voters + 1) return std::nullopt;
   Message message;
   message.type = static_cast<std::uint16_t>(frame.call);
   std::size_t at = 3;
-  for (std::uint64_t i = 0; i < *figures; ++i) {
-    const auto figure = number(frame.values[at++]);
-    if (!figure) return std::nullopt;
-    message.figures.push_back(*figure);
+  for (std::uint64_t i = 0; i < *fields; ++i) {
+    const auto field = number(frame.values[at++]);
+    if (!field) return std::nullopt;
+    message.fields.push_back(*field);
   }
   for (std::uint64_t i = 0; i < *entries; ++i, at += 3) {
     const auto term = number(frame.values[at]), type = number(frame.values[at + 1]);
--- a/src/register/wire.hpp
+++ b/src/register/wire.hpp
@@ -12,14 +12,14 @@
 
 struct Message {
   std::uint16_t type = 0;  // the library's
-  std::vector<std::uint64_t> figures{};
+  std::vector<std::uint64_t> fields{};
   std::vector<LogEntry> entries{};  // append
   Voters voters{};                  // install a snapshot
   std::string snapshot{};
 };
 
 // The longest message between voters: a snapshot of a full register fits.
-inline constexpr std::size_t kLongest = 16u << 20;
+inline constexpr std::size_t kMaxMessageBytes = 16u << 20;
 
 std::string encode(const Message& message);
 std::optional<Message> decode(std::string_view bytes);
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -172,7 +172,7 @@
                        (status.leader ? " leads term " : " term ") + std::to_string(status.term) + ", voters";
     for (const auto& each : status.voters)
       text += " " + std::to_string(each.id) + (each.votes ? "" : " without a vote");
-    if (!status.voters_agreed) text += ", not agreed";
+    if (!status.voters_committed) text += ", not agreed";
     if (text == voter.told) return;
     voter.told = text;
     tell(text + ", log " + std::to_string(status.last_index) + ", agreed " +
@@ -193,7 +193,7 @@
     reg::NodeSettings settings;
     settings.id = voter.id;
     settings.address = address(voter.number);
-    if (first) settings.first_voters = first_voters_;
+    if (first) settings.initial_voters = first_voters_;
     settings.election = milliseconds(300);
     settings.heartbeat = milliseconds(60);
     settings.snapshot_after = 64;
@@ -250,7 +250,7 @@
       bool known = false;
       reg::VoterId old = 0;
       for (const auto& each : status.voters) {
-        if (each.id == voter.id) known = each.votes && status.voters_agreed;
+        if (each.id == voter.id) known = each.votes && status.voters_committed;
         if (each.address == address(voter.number) && each.id != voter.id) old = each.id;
       }
       if (known) voter.joining = false;
@@ -568,7 +568,7 @@
       for (auto& voter : voters_) {
         if (!voter->node || !voter->node->leads() || now_ < voter->stopped_until) continue;
         const reg::VoterId to = chance(0.5) ? 0 : voters_[static_cast<unsigned>(draw(3))]->id;
-        const bool begun = voter->node->hand_over(voter->clock.at(now_), to);
+        const bool begun = voter->node->transfer_leadership(voter->clock.at(now_), to);
         if (begun) tell(address(voter->number) + " hands over to " + std::to_string(to));
         seen_.hand_overs += begun;
       }
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -83,14 +83,14 @@
   reg::NodeSettings settings;
   settings.id = 1;
   settings.address = "a";
-  settings.first_voters = {{1, "a", true}, {2, "b", true}, {3, "c", true}};
+  settings.initial_voters = {{1, "a", true}, {2, "b", true}, {3, "c", true}};
   Time now = std::chrono::seconds(1);
   reg::Node node(settings, disk, sent, 1, now);
   const auto append = [&](std::uint64_t term, std::uint64_t previous, std::uint64_t previous_term,
                           std::size_t entries) {
     reg::wire::Message message;
     message.type = 1;  // append entries
-    message.figures = {term, previous, previous_term, 1};
+    message.fields = {term, previous, previous_term, 1};
     reg::Command command;
     command.op = reg::Op::put;
     command.name = "k" + std::to_string(term);
@@ -99,7 +99,7 @@
     node.receive(now += milliseconds(1), term == 2 ? 2 : 3, term == 2 ? "b" : "c",
                  reg::wire::encode(message));
     const auto answer = reg::wire::decode(sent.last);
-    return answer ? answer->figures : std::vector<std::uint64_t>{};
+    return answer ? answer->fields : std::vector<std::uint64_t>{};
   };
   using Figures = std::vector<std::uint64_t>;  // term, rejected, last index
   EXPECT_EQ(append(2, 1, 1, 4), (Figures{2, 0, 5}));
