--- a/src/register/service.cpp
+++ b/src/register/service.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // A frame of changes stays under the link's limit: the rest follows in the next.
-constexpr std::size_t kMostBytes = 48 * 1024;
+constexpr std::size_t kMaxChangesBytes = 48 * 1024;
 
 }  // namespace
 
@@ -21,8 +21,8 @@
     case FrameType::watch:
       if (message.values.size() != 1 || known.watches.size() >= bounds_.watches) return false;
       known.watches[std::string(message.text(0))] = message.call;
-      told_ = 0;
-      tell_watchers();
+      notified_revision_ = 0;
+      notify_watchers();
       return true;
     default:
       return false;
@@ -35,15 +35,15 @@
   // Only the leader ends sessions and reservations, of itself.
   if (!command || command->op == Op::expire || command->op == Op::expire_reservation) return false;
   Client& known = clients_[client];
-  if (known.asked >= bounds_.asked) return false;
-  ++known.asked;
-  const std::weak_ptr<bool> living = living_;
+  if (known.in_flight >= bounds_.in_flight) return false;
+  ++known.in_flight;
+  const std::weak_ptr<bool> alive = alive_;
   node_.propose(
-      now, {*command}, {[this, living, client, id = message.call](Outcome outcome, const Reply& reply) {
-        if (living.expired()) return;
+      now, {*command}, {[this, alive, client, id = message.call](Outcome outcome, const Reply& reply) {
+        if (alive.expired()) return;
         const auto found = clients_.find(client);
         if (found == clients_.end()) return;
-        --found->second.asked;
+        --found->second.in_flight;
         if (outcome == Outcome::done) {
           send_(client, frame(FrameType::reply, id, {encode(reply)}));
         } else {
@@ -58,12 +58,12 @@
   node_.tick(now);
   const auto due = expiry_.due(now, node_.leads(), node_.state());
   for (const Command& command : due) node_.propose(now, {command}, {[](Outcome, const Reply&) {}});
-  tell_watchers();
+  notify_watchers();
 }
 
-void Service::tell_watchers() {
+void Service::notify_watchers() {
   const State& state = node_.state();
-  if (std::exchange(told_, state.revision()) == state.revision()) return;
+  if (std::exchange(notified_revision_, state.revision()) == state.revision()) return;
   // Sent at the end: a connection may break at it, and its client be gone.
   std::vector<std::pair<ClientId, std::string>> frames;
   for (auto& [id, client] : clients_) {
@@ -83,7 +83,8 @@
       std::vector<std::string> values = {prefix};
       std::size_t bytes = 0;
       for (const Change& change : *changes) {
-        if (bytes > 0 && bytes + change.key.size() + (change.value ? change.value->size() : 0) > kMostBytes) {
+        if (bytes > 0 &&
+            bytes + change.key.size() + (change.value ? change.value->size() : 0) > kMaxChangesBytes) {
           frames.emplace_back(id, frame(FrameType::changes, known, values));
           values = {prefix};
           bytes = 0;
--- a/src/register/service.hpp
+++ b/src/register/service.hpp
@@ -17,8 +17,8 @@
   using Send = std::function<void(ClientId, std::string frame)>;
 
   struct Bounds {
-    std::size_t asked = 256;   // commands of one client on their way
-    std::size_t watches = 16;  // of one client
+    std::size_t in_flight = 256;  // commands of one client on their way
+    std::size_t watches = 16;     // of one client
   };
 
   Service(Node& node, Send send, Bounds bounds);
@@ -26,27 +26,27 @@
 
   // False if it is nothing that a client may say: its connection is to be closed.
   bool received(Time now, ClientId client, const link::LinkMessage& message);
-  void gone(ClientId client) { clients_.erase(client); }
+  void client_disconnected(ClientId client) { clients_.erase(client); }
   // Every Node::kTick.
   void tick(Time now);
 
  private:
   struct Client {
-    std::size_t asked = 0;
+    std::size_t in_flight = 0;
     std::map<std::string, Revision> watches{};  // by prefix: told up to
   };
 
   bool ask(Time now, ClientId client, const link::LinkMessage& message);
-  void tell_watchers();
+  void notify_watchers();
 
   Node& node_;
   Send send_;
   Bounds bounds_;
   Expiry expiry_;
   std::map<ClientId, Client> clients_;
-  Revision told_ = 0;
+  Revision notified_revision_ = 0;
   // Answers that come after this is gone find it so.
-  std::shared_ptr<bool> living_ = std::make_shared<bool>(true);
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace quartzarch::reg
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -9,14 +9,15 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t kMostConnections = 2048;
-// To one voter: what does not fit is lost, as on a network, and comes again by the library's own means.
-constexpr std::size_t kMostSegments = 512;
-constexpr std::size_t kMostOutput = 32u << 20;
-constexpr Duration kConnect = milliseconds(500);
-constexpr Duration kRetry = milliseconds(100);
-constexpr Duration kJoinAgain = milliseconds(1000);
-constexpr Duration kDiskAgain = milliseconds(2000);  // whether there is room on the disk
+constexpr std::size_t kMaxConnections = 2048;
+// To one voter: description does not fit is lost, as on a network, and comes again by the library's own
+// means.
+constexpr std::size_t kMaxUnsentSegments = 512;
+constexpr std::size_t kMaxOutputBytes = 32u << 20;
+constexpr Duration kConnectTimeout = milliseconds(500);
+constexpr Duration kReconnectDelay = milliseconds(100);
+constexpr Duration kJoinInterval = milliseconds(1000);
+constexpr Duration kDiskRetryInterval = milliseconds(2000);  // whether there is room on the disk
 
 std::uint64_t hash(std::string_view text, std::uint64_t from) {
   std::uint64_t value = from;
@@ -91,11 +92,11 @@
   node.address = settings.name;
   for (const auto& [name, address] : settings.addresses)
     node.initial_voters.push_back({first_identity(name), name, true});
-  class Nowhere : public Transport {
+  class NullTransport : public Transport {
     void send(VoterId, const std::string&, std::string) override {}
-  } nowhere;
+  } null_transport;
   disk.set_identity(node.id);
-  Node first(node, disk, nowhere, 1, Time{});
+  Node first(node, disk, null_transport, 1, Time{});
 }
 
 // ---- Voters
@@ -110,12 +111,12 @@
   Outgoing& out = outgoing_[name];
   if (!out.stream) {
     if (loop_.now() < out.retry_at) return;
-    out.stream = std::make_shared<Stream>(loop_, address->second, kConnect,
+    out.stream = std::make_shared<Stream>(loop_, address->second, kConnectTimeout,
                                           static_cast<Stream::Owner&>(*this), Rank::servers);
-    out.stream->limit_output(kMostOutput);
+    out.stream->limit_output(kMaxOutputBytes);
     out.stream->send({frame(FrameType::hello, id_, {settings_.name}), {}, 0});
   }
-  if (out.stream->unsent().size() >= kMostSegments) return;
+  if (out.stream->unsent().size() >= kMaxUnsentSegments) return;
   out.stream->send({std::move(bytes), {}, 0});
 }
 
@@ -125,15 +126,15 @@
   while (true) {
     Fd fd = acceptor_.next();
     if (!fd) return;
-    if (connections_.size() >= kMostConnections) continue;
+    if (connections_.size() >= kMaxConnections) continue;
     auto stream =
         std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::servers);
-    Stream& came = *stream;
-    came.limit_output(kMostOutput);
-    Connection& connection = connections_[&came];
+    Stream& accepted = *stream;
+    accepted.limit_output(kMaxOutputBytes);
+    Connection& connection = connections_[&accepted];
     connection.stream = std::move(stream);
     connection.client = ++last_client_;
-    clients_[connection.client] = &came;
+    clients_[connection.client] = &accepted;
   }
 }
 
@@ -147,7 +148,7 @@
     const auto taken = link::decode(stream.input(), message, length,
                                     from.peer ? wire::kMaxMessageBytes : link::kLongestMessage);
     if (taken == link::Taken::part) return;
-    if (taken == link::Taken::malformed || !take(from, message, stream.input().substr(0, length))) {
+    if (taken == link::Taken::malformed || !handle_frame(from, message, stream.input().substr(0, length))) {
       log_.line("register: what came from %s is no message of this version, connection closed",
                 from.name.empty() ? "a client" : from.name.c_str());
       stream.close();
@@ -157,7 +158,7 @@
   }
 }
 
-bool VoterServer::take(Connection& from, const link::LinkMessage& message, std::string_view bytes) {
+bool VoterServer::handle_frame(Connection& from, const link::LinkMessage& message, std::string_view bytes) {
   switch (type_of(message)) {
     case FrameType::hello:
       if (message.values.size() != 1 || message.call == 0) return false;
@@ -170,28 +171,28 @@
       node_->receive(loop_.now(), from.peer, from.name, bytes);
       return true;
     case FrameType::join:
-      return join(from);
+      return handle_join(from);
     case FrameType::status:
       from.stream->send({status(), {}, 0});
       return true;
     case FrameType::remove:
-      return remove(from, message);
+      return handle_remove(from, message);
     case FrameType::lead:
-      return lead(from, message);
+      return handle_lead(from, message);
     default:
       return service_->received(loop_.now(), from.client, message);
   }
 }
 
 // A voter that has no vote asks all others, again and again; the leader does the next step.
-bool VoterServer::join(const Connection& from) {
+bool VoterServer::handle_join(const Connection& from) {
   if (from.peer == 0) return false;
   if (!node_->leads()) return true;
   const auto change = next_change(node_->status().voters, from.name, from.peer);
   if (!change) return true;
-  const std::string what = (change->remove ? "remove the old " : "add ") + from.name;
-  const auto done = [this, what](const std::string& error) {
-    log_.line("register: voters: %s: %s", what.c_str(), error.empty() ? "done" : error.c_str());
+  const std::string description = (change->remove ? "remove the old " : "add ") + from.name;
+  const auto done = [this, description](const std::string& error) {
+    log_.line("register: voters: %s: %s", description.c_str(), error.empty() ? "done" : error.c_str());
   };
   if (change->remove) {
     node_->remove_voter(loop_.now(), change->id, done);
@@ -202,11 +203,11 @@
 }
 
 // By hand. One that the file names would ask to be added again at once.
-bool VoterServer::remove(const Connection& from, const link::LinkMessage& message) {
+bool VoterServer::handle_remove(const Connection& from, const link::LinkMessage& message) {
   if (message.values.size() != 1) return false;
   const std::string name(message.text(0));
-  const auto answer = [this, client = from.client](const std::string& wrong) {
-    send_to_client(client, frame(FrameType::remove, 0, {wrong}));
+  const auto answer = [this, client = from.client](const std::string& error) {
+    send_to_client(client, frame(FrameType::remove, 0, {error}));
   };
   const Voters voters = node_->status().voters;
   const auto found =
@@ -228,25 +229,25 @@
 }
 
 // By hand, before a voter's machine is worked on.
-bool VoterServer::lead(const Connection& from, const link::LinkMessage& message) {
+bool VoterServer::handle_lead(const Connection& from, const link::LinkMessage& message) {
   if (message.values.size() != 1) return false;
   const std::string name(message.text(0));
   const Node::Status status = node_->status();
   const auto found = std::find_if(status.voters.begin(), status.voters.end(),
                                   [&](const Voter& voter) { return voter.address == name && voter.votes; });
-  std::string wrong;
+  std::string error;
   if (!status.leader) {
-    wrong = "this voter is not the leader";
+    error = "this voter is not the leader";
   } else if (!name.empty() && found == status.voters.end()) {
-    wrong = "there is no such voter with a vote";
+    error = "there is no such voter with a vote";
   } else if (name == settings_.name) {
-    wrong = "it leads already";
+    error = "it leads already";
   } else if (!node_->transfer_leadership(loop_.now(), name.empty() ? 0 : found->id)) {
-    wrong = "nothing is heard of it";
+    error = "nothing is heard of it";
   }
   log_.line("register: leadership asked for %s by hand: %s", name.empty() ? "any other" : name.c_str(),
-            wrong.empty() ? "handed over" : wrong.c_str());
-  send_to_client(from.client, frame(FrameType::lead, 0, {wrong}));
+            error.empty() ? "handed over" : error.c_str());
+  send_to_client(from.client, frame(FrameType::lead, 0, {error}));
   return true;
 }
 
@@ -266,13 +267,13 @@
     connections_.erase(found);
     clients_.erase(gone.client);
     loop_.bury(gone.stream);
-    service_->gone(gone.client);
+    service_->client_disconnected(gone.client);
     return;
   }
   for (auto& [name, out] : outgoing_) {
     if (out.stream.get() != &stream) continue;
     loop_.bury(std::exchange(out.stream, nullptr));
-    out.retry_at = loop_.now() + kRetry;
+    out.retry_at = loop_.now() + kReconnectDelay;
   }
 }
 
@@ -285,10 +286,10 @@
 
 void VoterServer::tick() {
   service_->tick(loop_.now());
-  tell_changes();
-  if (node_->failure_is_retryable() && loop_.now() >= disk_again_) recover();
-  if (!node_->failed() && loop_.now() >= join_again_) {
-    join_again_ = loop_.now() + kJoinAgain;
+  log_changes();
+  if (node_->failure_is_retryable() && loop_.now() >= disk_retry_at_) recover();
+  if (!node_->failed() && loop_.now() >= join_retry_at_) {
+    join_retry_at_ = loop_.now() + kJoinInterval;
     // One that is cut off does not know whether it has its vote; asking is harmless.
     if (next_change(node_->status().voters, settings_.name, id_)) {
       for (const auto& [name, address] : settings_.addresses) {
@@ -300,27 +301,27 @@
 }
 
 void VoterServer::recover() {
-  disk_again_ = loop_.now() + kDiskAgain;
+  disk_retry_at_ = loop_.now() + kDiskRetryInterval;
   try {
     disk_.reopen();
     node_->restart_from_disk();
-    told_failed_ = false;
+    logged_failure_ = false;
     log_.line("register: the disk takes writes again: this voter goes on");
   } catch (const std::runtime_error&) {
     // Still full: told once, tried again.
   }
 }
 
-void VoterServer::tell_changes() {
-  if (node_->failed() && !std::exchange(told_failed_, true)) {
-    disk_again_ = loop_.now() + kDiskAgain;
+void VoterServer::log_changes() {
+  if (node_->failed() && !std::exchange(logged_failure_, true)) {
+    disk_retry_at_ = loop_.now() + kDiskRetryInterval;
     log_.line("register: the disk failed: this voter votes no more until %s",
               node_->failure_is_retryable() ? "there is room" : "it is started again");
   }
   const auto status = node_->status();
-  if (status.leader_id == told_leader_ && status.term == told_term_) return;
-  told_leader_ = status.leader_id;
-  told_term_ = status.term;
+  if (status.leader_id == logged_leader_ && status.term == logged_term_) return;
+  logged_leader_ = status.leader_id;
+  logged_term_ = status.term;
   if (status.leader_id != 0) {
     log_.line("register: term %llu, the leader is %s", static_cast<unsigned long long>(status.term),
               status.leader_address.c_str());
--- a/src/register/voter_server.hpp
+++ b/src/register/voter_server.hpp
@@ -25,7 +25,7 @@
 
 // The identity of a voter whose register is new, the same at all without asking.
 VoterId first_identity(const std::string& name);
-// That of one that came later, or lost its disk: like no other.
+// That of one that accepted later, or lost its disk: like no other.
 VoterId fresh_identity(const std::string& name);
 
 class VoterServer : private Transport, private Watched, private Stream::Owner {
@@ -72,16 +72,16 @@
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost how) override;
 
-  bool take(Connection& from, const link::LinkMessage& message, std::string_view bytes);
-  bool join(const Connection& from);
+  bool handle_frame(Connection& from, const link::LinkMessage& message, std::string_view bytes);
+  bool handle_join(const Connection& from);
   void recover();
-  bool remove(const Connection& from, const link::LinkMessage& message);
-  bool lead(const Connection& from, const link::LinkMessage& message);
+  bool handle_remove(const Connection& from, const link::LinkMessage& message);
+  bool handle_lead(const Connection& from, const link::LinkMessage& message);
   std::string status() const;
   void send_to(const std::string& name, std::string bytes);
   void send_to_client(std::uint64_t client, std::string frame);
   void tick();
-  void tell_changes();
+  void log_changes();
 
   Loop& loop_;
   Logger& log_;
@@ -96,11 +96,11 @@
   std::map<std::string, Outgoing> outgoing_;
   std::uint64_t last_client_ = 0;
   Loop::TimerId timer_ = 0;
-  Time join_again_{};
-  Time disk_again_{};
-  VoterId told_leader_ = 0;
-  std::uint64_t told_term_ = 0;
-  bool told_failed_ = false;
+  Time join_retry_at_{};
+  Time disk_retry_at_{};
+  VoterId logged_leader_ = 0;
+  std::uint64_t logged_term_ = 0;
+  bool logged_failure_ = false;
   bool resigning_ = false;
 };
 
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -528,7 +528,7 @@
 
   void close_at_voter(Controller& controller) {
     Voter& voter = *voters_[static_cast<unsigned>(controller.connected_to)];
-    if (voter.service) voter.service->gone(client_id(controller, controller.connection));
+    if (voter.service) voter.service->client_disconnected(client_id(controller, controller.connection));
   }
 
   void break_connection(Controller& controller) {
