--- a/src/register/client.cpp
+++ b/src/register/client.cpp
@@ -22,7 +22,7 @@
 }
 
 void Client::pump() {
-  // Each sending may show that another voter is to be asked: what is due then goes there.
+  // Collecting the frames may switch to another voter; what is due then is sent to that one.
   for (int more = 2; more > 0; --more) {
     auto frames = protocol_.due(loop_.now());
     if (frames.empty()) break;
--- a/src/register/client.hpp
+++ b/src/register/client.hpp
@@ -1,4 +1,4 @@
-// The register over one connection: ClientProtocol on a loop.
+// A client of the register: runs ClientProtocol over one connection on an event loop.
 #pragma once
 
 #include <map>
@@ -12,10 +12,11 @@
 
 class Client : private Stream::Owner {
  public:
-  // The voters by name, at the addresses by which this process reaches them.
+  // `voters`: the voters by name, with the addresses by which this process reaches them.
   Client(Loop& loop, std::map<std::string, sockaddr_in> voters, std::uint64_t seed);
   ~Client() override;
 
+  // See ClientProtocol::ask() and watch().
   void ask(Command command, ClientProtocol::Done done) {
     protocol_.ask(loop_.now(), std::move(command), std::move(done));
   }
@@ -24,7 +25,7 @@
   }
   // Sends what is due and sets the timer for the rest; to be called after ask() and watch().
   void pump();
-  // The voter that is asked at present.
+  // The voter that requests go to at present.
   const std::string& voter() const { return protocol_.voter(); }
 
  private:
--- a/src/register/client_protocol.cpp
+++ b/src/register/client_protocol.cpp
@@ -9,7 +9,7 @@
 
 ClientProtocol::ClientProtocol(Settings settings, std::uint64_t seed)
     : settings_(std::move(settings)), random_(seed) {
-  // Clients spread over the voters until they know the leader.
+  // Start with a random voter, so that clients spread over the voters until they know the leader.
   current_ = random_() % settings_.voters.size();
 }
 
@@ -49,8 +49,8 @@
   return frames;
 }
 
-// A list in parts is not one moment's: changes since its first part are on_changes by the watch, which then
-// begins at that part's revision.
+// The parts of a long list are taken at different moments. The watch therefore starts at the revision of the
+// first part and reports the changes since.
 void ClientProtocol::list(Time now, const std::string& prefix, Watch& watch) {
   watch.step = Step::listing;
   Command command;
@@ -78,16 +78,17 @@
 
 void ClientProtocol::disconnected(Time now) { switch_voter(now, {}); }
 
-// To another voter. What was sent to the last one may have been done there: a command that is counted, or
-// harmless if it comes twice, is pending by whoever pending for it, not here.
+// Switches to another voter, `to` if it is known. Commands already sent may have been applied there: they are
+// completed without a reply, and repeating them is left to the caller, who knows whether they are safe to
+// repeat.
 void ClientProtocol::switch_voter(Time now, const std::string& to) {
   const auto named = std::find(settings_.voters.begin(), settings_.voters.end(), to);
   if (named != settings_.voters.end()) {
     current_ = static_cast<std::size_t>(named - settings_.voters.begin());
   } else {
     current_ = (current_ + 1) % settings_.voters.size();
-    // A connection that was of use and broke is followed by the next at once: a link that comes and goes may
-    // be complete for less than the retry_delay.
+    // After a connection that worked and then broke the next voter is tried at once: a flapping link may stay
+    // up for less than the retry delay.
     if (!std::exchange(connection_useful_, false)) connect_not_before_ = now + settings_.retry_delay;
   }
   std::vector<std::uint64_t> lost;
--- a/src/register/client_protocol.hpp
+++ b/src/register/client_protocol.hpp
@@ -1,5 +1,6 @@
-// A client's side of the register: which voter to ask, what is on its way, and watches without a gap. No
-// socket and no clock; used by the process over connections and by the tests in virtual time.
+// The client's side of the register's protocol: which voter to ask, which commands are in flight, and watches
+// without gaps. No socket and no clock; used by the process over connections and by the tests in virtual
+// time.
 #pragma once
 
 #include <functional>
@@ -17,34 +18,35 @@
 
 class ClientProtocol {
  public:
-  // No reply: nobody answered in time, or leadership was lost on the way; it may have been done or not.
+  // No reply: no answer came in time, or leadership was lost meanwhile; the command may or may not have been
+  // applied.
   using Done = std::function<void(const std::optional<Reply>&)>;
-  // Changes in order; an item without a value is gone. `revision`: up to which is on_changes. `complete`:
-  // these are all there are, and what else was on_changes before is gone.
+  // Changes in order; an item without a value was erased. `revision`: the changes are complete up to it.
+  // `complete`: these are all the items there are, and any other reported before is gone.
   using OnChanges = std::function<void(Revision revision, const std::vector<Change>& changes, bool complete)>;
 
   struct Settings {
-    std::vector<std::string> voters{};                        // their addresses
-    Duration reply_timeout = std::chrono::milliseconds(600);  // for an answer
-    // A voter that does not answer, or knows no leader, is left for the next after this.
+    std::vector<std::string> voters{};                        // names of the voters
+    Duration reply_timeout = std::chrono::milliseconds(600);  // after which a command counts as unanswered
+    // Delay before the next voter is tried after one that does not answer or knows no leader.
     Duration retry_delay = std::chrono::milliseconds(60);
   };
 
   ClientProtocol(Settings settings, std::uint64_t seed);
 
   void ask(Time now, Command command, Done done);
-  // Everything under `prefix` as it is, then each change, in the place of an earlier watch of that prefix;
-  // begins anew by itself where a gap would be.
+  // Reports everything under `prefix`, then each change; replaces an earlier watch of that prefix. Lists the
+  // prefix again by itself where changes were missed.
   void watch(const std::string& prefix, OnChanges on_changes);
 
-  // Frames to be sent to `voter()` now. Whoever sends them keeps one connection, to that voter, and says when
-  // it is lost; frames that were not sent are lost with it.
+  // Frames to be sent to voter() now. The caller keeps one connection, to that voter, and reports its loss
+  // with disconnected(); frames that were not sent are lost with it.
   std::vector<std::string> due(Time now);
   const std::string& voter() const { return settings_.voters[current_]; }
   void disconnected(Time now);
-  // False if it is nothing that a voter may say.
+  // Handles a frame from the voter. Returns false if it is malformed.
   bool received(Time now, const link::LinkMessage& message);
-  // When due() has something to do, at the latest.
+  // The latest time at which due() has to be called again.
   Time next(Time now) const;
 
  private:
@@ -53,7 +55,7 @@
     Done done{};
     Time until{};
     bool sent = false;
-    // Refused without having been done: it may be pending at another voter.
+    // Set when it was refused without being applied: it may be sent to another voter from then on.
     Time resend_at{};
   };
   enum class Step { list, listing, watch, watching };
@@ -61,12 +63,13 @@
     OnChanges on_changes{};
     Step step = Step::list;
     Revision known = 0;
-    std::string after{};  // of a list in parts
+    std::string after{};  // last key received of a list that comes in parts
     std::vector<Change> listed{};
     Revision listed_at = 0;
   };
 
   void switch_voter(Time now, const std::string& to);
+  // Removes the command and calls its callback.
   void complete_command(std::uint64_t id, const std::optional<Reply>& reply);
   void list(Time now, const std::string& prefix, Watch& watch);
 
@@ -77,7 +80,7 @@
   std::map<std::uint64_t, PendingCommand> pending_;
   std::map<std::string, Watch> watches_;
   Time connect_not_before_{};
-  bool connection_useful_ = false;  // the present connection: something was done or on_changes on it
+  bool connection_useful_ = false;  // a reply or a change arrived on the present connection
 };
 
 }  // namespace quartzarch::reg
--- a/src/register/codec.cpp
+++ b/src/register/codec.cpp
@@ -1,5 +1,6 @@
-// The register's bytes: commands, replies and snapshots as frames of src/link, whose values are decimals and
-// texts. The frame's type tells what it is and its 8-byte number is the one that everything has.
+// Encoding of the register's commands, replies and snapshots as frames of src/link, whose values are decimal
+// numbers and texts. The frame's type says what it is; its 8-byte number holds the field that every record of
+// that type has.
 #include <charconv>
 #include <stdexcept>
 
@@ -12,7 +13,7 @@
 using link::LinkMessage;
 
 constexpr std::uint8_t kReply = 64;
-// Records of a snapshot, in this order.
+// Frame types of a snapshot's records, in this order.
 constexpr std::uint8_t kHeader = 80, kSession = 81, kDuty = 82, kValue = 83, kChange = 84, kEnd = 85;
 constexpr int kSnapshotVersion = 1;
 
@@ -22,7 +23,7 @@
   return link::encode(static_cast<link::Type>(type), number, values).head;
 }
 
-// One frame that is all of `bytes`, or the first of them, which is taken off.
+// Decodes the first frame and removes it from `bytes`.
 std::optional<LinkMessage> next(std::string_view& bytes) {
   LinkMessage message;
   std::size_t length = 0;
@@ -39,10 +40,10 @@
   return value;
 }
 
-// A snapshot's figures: one that is none means that the bytes are not a snapshot.
+// A number of a snapshot. Throws if the field is not a number: the bytes are not a snapshot then.
 std::uint64_t require_number(const LinkMessage& from, std::size_t at) {
   const auto value = number(from, at);
-  if (!value) throw std::runtime_error("snapshot of the register: a figure is none");
+  if (!value) throw std::runtime_error("snapshot of the register: a field is not a number");
   return *value;
 }
 
@@ -114,7 +115,8 @@
   return reply;
 }
 
-// "TOKEN HELD PAUSED HOLDER|RESERVED|WANTED", the names with their lengths: a name may hold anything.
+// The token is the frame's number; then the holder's session, its name, the reservation, the requested holder
+// and the pause flag. Each value carries its length, so a name may hold any bytes.
 std::string duty_text(const Duty& duty) {
   return frame(
       kDuty, duty.token,
@@ -158,18 +160,18 @@
   const auto header = next(bytes);
   if (!header || static_cast<std::uint8_t>(header->type) != kHeader ||
       require_number(*header, 0) != kSnapshotVersion) {
-    throw std::runtime_error("snapshot of the register: not one of this version");
+    throw std::runtime_error("snapshot of the register: unsupported version");
   }
   fresh.revision_ = header->call;
   fresh.last_dropped_ = require_number(*header, 1);
   for (bool ended = false; !ended;) {
     const auto record = next(bytes);
-    if (!record) throw std::runtime_error("snapshot of the register: cut off");
+    if (!record) throw std::runtime_error("snapshot of the register: truncated");
     const std::uint64_t id = record->call;
     switch (static_cast<std::uint8_t>(record->type)) {
       case kSession: {
         const auto last = decode_reply(record->text(5));
-        if (!last) throw std::runtime_error("snapshot of the register: a session's last answer is none");
+        if (!last) throw std::runtime_error("snapshot of the register: a session's last reply is malformed");
         fresh.sessions_[id] = {std::string(record->text(0)),
                                require_number(*record, 1),
                                static_cast<std::uint32_t>(require_number(*record, 2)),
@@ -196,10 +198,10 @@
         ended = true;
         break;
       default:
-        throw std::runtime_error("snapshot of the register: an unknown record");
+        throw std::runtime_error("snapshot of the register: unknown record type");
     }
   }
-  if (!bytes.empty()) throw std::runtime_error("snapshot of the register: more than its end");
+  if (!bytes.empty()) throw std::runtime_error("snapshot of the register: data after its end");
   *this = std::move(fresh);
 }
 
--- a/src/register/disk.cpp
+++ b/src/register/disk.cpp
@@ -38,7 +38,7 @@
     sqlite3_bind_text(statement_, ++bound_, text, -1, SQLITE_STATIC);
     return *this;
   }
-  // True while there is a row.
+  // Returns true while there is a row.
   bool step() {
     const int result = sqlite3_step(statement_);
     if (result != SQLITE_ROW && result != SQLITE_DONE) disk_.fail("step");
@@ -92,7 +92,7 @@
     run("PRAGMA synchronous=FULL");
     {
       Statement check(*this, "PRAGMA quick_check(1)");
-      if (!check.step() || check.bytes(0) != "ok") throw StorageError(path_ + ": the file is torn");
+      if (!check.step() || check.bytes(0) != "ok") throw StorageError(path_ + ": the file is corrupt");
     }
     Transaction all(*this);
     run("CREATE TABLE IF NOT EXISTS figures (name TEXT PRIMARY KEY, value INTEGER NOT NULL)");
@@ -102,7 +102,7 @@
     run("CREATE TABLE IF NOT EXISTS snapshot (one INTEGER PRIMARY KEY CHECK (one = 1), at INTEGER NOT NULL, "
         "term INTEGER NOT NULL, voters_at INTEGER NOT NULL, voters BLOB NOT NULL, bytes BLOB NOT NULL)");
     if (read_number("format") == 0) write_number("format", kFormatVersion);
-    if (read_number("format") != kFormatVersion) throw StorageError(path_ + ": of another version");
+    if (read_number("format") != kFormatVersion) throw StorageError(path_ + ": unsupported format version");
     all.commit();
   } catch (...) {
     sqlite3_close(std::exchange(db_, nullptr));
@@ -122,7 +122,7 @@
 
 void Disk::fail(const char* what) {
   const int code = db_ ? sqlite3_extended_errcode(db_) : SQLITE_NOMEM;
-  throw StorageError(path_ + ": " + what + ": " + (db_ ? sqlite3_errmsg(db_) : "no memory"),
+  throw StorageError(path_ + ": " + what + ": " + (db_ ? sqlite3_errmsg(db_) : "out of memory"),
                      code == SQLITE_FULL || code == SQLITE_IOERR_WRITE);
 }
 
@@ -144,7 +144,7 @@
 VoterId Disk::identity() { return read_number("identity"); }
 
 void Disk::set_identity(VoterId id) {
-  if (identity() != 0) throw StorageError(path_ + ": has an identity already");
+  if (identity() != 0) throw StorageError(path_ + ": already has an identity");
   write_number("identity", id);
 }
 
@@ -165,16 +165,17 @@
   loaded.first_index = loaded.snapshot ? loaded.snapshot->index + 1 : 1;
   for (std::uint64_t next = 0; entries.step(); ++next) {
     if (next == 0) loaded.first_index = next = entries.number(0);
-    if (entries.number(0) != next) throw StorageError(path_ + ": the log has a hole");
+    if (entries.number(0) != next) throw StorageError(path_ + ": the log has a gap");
     loaded.entries.push_back(
         {entries.number(1), static_cast<std::uint16_t>(entries.number(2)), entries.bytes(3)});
   }
   const std::uint64_t covered = loaded.snapshot ? loaded.snapshot->index : 0;
-  if (loaded.first_index > covered + 1) throw StorageError(path_ + ": the log begins behind the snapshot");
+  if (loaded.first_index > covered + 1)
+    throw StorageError(path_ + ": entries are missing between the snapshot and the log");
   return loaded;
 }
 
-// Term and vote are one change: a vote of an earlier term must not count in a later one.
+// Term and vote change together: a vote of an earlier term must not count in a later one.
 void Disk::set_term(std::uint64_t term) {
   Transaction both(*this);
   write_number("term", term);
--- a/src/register/disk.hpp
+++ b/src/register/disk.hpp
@@ -1,9 +1,9 @@
-// A voter's storage on SQLite, and its identity there.
+// A voter's storage and identity in a SQLite file.
 //
-// The file is written with synchronous=FULL in WAL mode, one transaction for each change: what a call of
-// Storage has returned from outlives a kill and a loss of power. A file that is corrupt, or not of this
-// program, is told at the opening (StorageError) and is never repaired by guessing: its voter joins as a new
-// member.
+// The file is written with synchronous=FULL in WAL mode, one transaction for each change: a change survives a
+// kill and a power loss once the call of Storage has returned. A file that is corrupt, or not of this
+// program, is reported when it is opened (StorageError) and never repaired by guessing: with a new file its
+// voter joins as a new member.
 #pragma once
 
 #include <memory>
@@ -16,19 +16,20 @@
 
 class Disk : public Storage {
  public:
-  // Opens `directory`/register.sqlite; the directory must be there. `vfs`: the name of a SQLite file layer,
-  // for tests of failing disks; null: the usual one. Throws StorageError.
+  // Opens `directory`/register.sqlite; the directory must exist. `vfs`: name of a SQLite VFS, for tests of
+  // failing disks; null: the default. Throws StorageError.
   explicit Disk(const std::string& directory, const char* vfs = nullptr);
   ~Disk() override;
-  // After a failure: closed and opened reset, and written to once. Throws StorageError if it fails still.
+  // After a failure: closes and reopens the file and writes to it once. Throws StorageError if it still
+  // fails.
   void reopen();
   Disk(const Disk&) = delete;
   Disk& operator=(const Disk&) = delete;
 
-  // 0 until it was given one. Never changes.
+  // 0 until set; never changes afterwards.
   VoterId identity();
   void set_identity(VoterId id);
-  // There is a log or a snapshot: this voter has been part of a register.
+  // True if there is a log or a snapshot: this voter has been part of a register.
   bool used();
 
   Loaded load() override;
--- a/src/register/expiry.cpp
+++ b/src/register/expiry.cpp
@@ -3,12 +3,12 @@
 namespace quartzarch::reg {
 namespace {
 
-// A proposal may be lost with the leadership: made again after this.
+// A proposal may be lost with the leadership; it is repeated after this.
 constexpr Duration kReproposeInterval = std::chrono::milliseconds(500);
 
 }  // namespace
 
-// Nothing came since `count` was first observed, for so long; told once, and again after a while.
+// True if `count` has not changed for `after`; then again every kReproposeInterval.
 bool Expiry::elapsed(Observation& observed, Time now, std::uint64_t count, Duration after) {
   if (observed.count != count) observed = {count, now, {}};
   if (now - observed.at < after ||
@@ -19,7 +19,7 @@
 }
 
 std::vector<Command> Expiry::due(Time now, bool leads, const State& state) {
-  // A new leader knows nothing of when others applied renewals: everybody has a full time to live from now.
+  // A new leader does not know when others applied renewals: every session gets a full time to live from now.
   if (!leads || !was_leader_) {
     sessions_.clear();
     reserved_.clear();
--- a/src/register/frames.hpp
+++ b/src/register/frames.hpp
@@ -1,19 +1,18 @@
-// What clients of the register and voters say to each other: frames of src/link.
-//
-//     ask       number = the client's own id of the request   {command}
+// The protocol between the register's clients and voters, and among voters: frames of src/link, each with a
+// type, a number and values.
+//     ask       number = the client's id of the request        {command}
 //     reply     the same id                                    {reply}
-//     refused   the same id                                    {outcome, the leader's address or empty}
+//     refused   the same id                                    {outcome, the leader's name or empty}
 //     watch     number = the revision already known            {prefix}
-//     changes   number = the revision up to which these go     {prefix, (key, its revision, 1 or 0, value)*}
-//     hello     number = the voter's identity                  {its name}: first on a voter's connection
-//     join      number = its identity                          {its name}: it has no vote and asks for one
-//     status    asked without values; answered with {name, leads, term, the leader's name, last index,
-//     committed,
-//               applied, failed, sessions, revision, (voter's name, identity, votes)*}
-//     remove    {name}: a voter that no file names any more; answered with remove {what is wrong, or empty}
-//     lead      {name, or empty: any}: leadership is handed on; answered with lead {what is wrong, or empty}
-//     consensus what the voters' library says to itself (register/wire.hpp)
-//     behind    number = the voter's revision                  {prefix}: changes since then are not kept
+//     changes   number = the revision they are complete up to  {prefix, (key, its revision, 1 or 0, value)*}
+//     behind    number = the voter's revision                  {prefix}: the changes since then are not kept
+//     hello     number = the voter's identity                  {its name}: first frame between voters
+//     join      number = its identity                          {its name}: it has no vote and requests one
+//     status    without values; answered by status             {name, leads, term, leader's name, last index,
+//               committed, applied, failed, sessions, revision, (voter's name, identity, votes)*}
+//     remove    {name}: a voter that no settings file names any more; answered by remove {error, or empty}
+//     lead      {name, or empty: any}: transfer leadership; answered by lead {error, or empty}
+//     consensus a message of the consensus library (register/wire.hpp)
 #pragma once
 
 #include "link/message.hpp"
--- a/src/register/node.cpp
+++ b/src/register/node.cpp
@@ -17,7 +17,7 @@
 
 unsigned ms(Duration duration) { return static_cast<unsigned>(duration / std::chrono::milliseconds(1)); }
 
-// Memory that the library is to free.
+// Copies bytes into memory that the library frees.
 void* raft_copy(std::string_view bytes) {
   void* const copy = raft_malloc(std::max<std::size_t>(bytes.size(), 1));
   if (!copy) throw std::bad_alloc();
@@ -49,7 +49,7 @@
   }
 }
 
-// One contiguous batch, as the library frees it.
+// The entries share one contiguous batch of bytes, as the library frees it.
 raft_entry* raft_entries(const std::vector<LogEntry>& entries) {
   if (entries.empty()) return nullptr;
   std::size_t size = 0;
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-// How many election times a snapshot may take to arrive.
+// Election timeouts that a snapshot may take to arrive.
 constexpr unsigned kSnapshotElectionTimeouts = 10;
 
 class Node::Impl {
@@ -103,7 +103,7 @@
         now_(now),
         state_(settings_.bounds, settings_.defects) {
     io_.version = 1;
-    io_.impl = this;  // `data` becomes the library's own
+    io_.impl = this;  // raft_io::data is used by the library itself
     io_.init = [](raft_io*, raft_id, const char*) { return 0; };
     io_.close = [](raft_io* io, raft_io_close_cb done) { self(io).defer([io, done] { done(io); }); };
     io_.load = load;
@@ -146,15 +146,15 @@
     raft_.data = this;
     raft_set_election_timeout(&raft_, ms(settings_.election));
     raft_set_heartbeat_timeout(&raft_, ms(settings_.heartbeat));
-    // A snapshot that got lost is sent again after this; the library's own 30 s are truncated_from a
-    // majority, where the voter that waits for it is needed for one.
+    // A lost snapshot is sent again after this. The library's default of 30 s would leave the register
+    // without a majority where the voter that waits for the snapshot is needed for one.
     raft_set_install_snapshot_timeout(&raft_, kSnapshotElectionTimeouts * ms(settings_.election));
     raft_set_snapshot_threshold(&raft_, settings_.snapshot_after);
     raft_set_snapshot_trailing(&raft_, settings_.trailing);
-    // No pre-vote: of libraft 0.15 a refused one tells the request's term and not the refuser's, so that of
-    // two voters left, one with the longer log and one with the higher term, none is ever elected. A voter
-    // that comes back with a higher term costs an election; its request is refused by all that hear from a
-    // leader.
+    // Pre-vote is off. In libraft 0.15 a refused pre-vote reports the request's term instead of the
+    // refuser's, so that of two remaining voters, one with the longer log and one with the higher term,
+    // neither is ever elected. Without pre-vote, a voter that returns with a higher term costs an election,
+    // but its request is refused by every voter that hears from a leader.
     raft_set_pre_vote(&raft_, false);
     try {
       if (!settings_.initial_voters.empty()) {
@@ -162,7 +162,7 @@
         fill_configuration(first, settings_.initial_voters);
         const int error = raft_bootstrap(&raft_, &first);
         raft_configuration_close(&first);
-        check(error, "first start");
+        check(error, "bootstrap");
       }
       check(raft_start(&raft_), "start");
     } catch (...) {
@@ -184,7 +184,7 @@
     now_ = std::max(now_, now);
     if (failed_ || !recv_) return;
     auto decoded = wire::decode(bytes);
-    if (!decoded) return;  // from a peer of another version, or spoilt: as if it were lost
+    if (!decoded) return;  // another version's or a damaged message: treated as lost
     if (decoded->type == RAFT_IO_APPEND_ENTRIES) {
       skip_snapshotted(*decoded);
       record_match(*decoded);
@@ -193,9 +193,9 @@
     if (!to_raft(*decoded, message)) return;
     message.server_id = from;
     message.server_address = address.c_str();
-    // Who asks for a vote counts it by the voters that it knows of. The library refuses it where this one has
-    // not heard yet that it has a vote: its own, it may be, is the one that is missing (Raft has each answer
-    // by term and log alone).
+    // The candidate counts this vote by the voters that it knows of. The library refuses the request where
+    // this voter has not yet learned that it has a vote, although its vote may be the missing one (in Raft
+    // each voter answers by term and log alone). So its role is set to voter for the call.
     raft_server* const own = message.type == RAFT_IO_REQUEST_VOTE ? find_server(settings_.id) : nullptr;
     const int role = own ? own->role : RAFT_VOTER;
     if (own && own->role != RAFT_VOTER) drop_silent_leader();
@@ -205,8 +205,8 @@
     run_deferred();
   }
 
-  // From which entry on a message of the leader's undoes a change of voters that the library cannot undo: of
-  // libraft 0.15 it looks in the log for the change before, and crashes if a snapshot has taken its place.
+  // Returns the index from which a leader's message undoes a change of voters that the library cannot undo:
+  // libraft 0.15 looks in the log for the previous change and crashes if a snapshot has replaced it.
   std::optional<raft_index> conflicting_voter_change(std::string_view bytes) const {
     const raft_index change = raft_.configuration_uncommitted_index;
     if (failed_ || change == 0 || raft_.configuration_index > raft_.log.offset) return std::nullopt;
@@ -218,12 +218,12 @@
       if (++index > change) break;
       if (index > raft_.log.offset && index <= raft_last_index(const_cast<struct raft*>(&raft_)) &&
           term_at(index) != entry.term) {
-        return index;  // the leader has another there: ours is agreed on by nobody
+        return index;  // the leader has a different entry there: this one was never committed
       }
     }
     return std::nullopt;
   }
-  // The same voter as its disk has it. Throws StorageError.
+  // Creates this voter anew from what its disk holds. Throws StorageError.
   std::unique_ptr<Impl> reopened() {
     NodeSettings settings = settings_;
     settings.initial_voters.clear();
@@ -231,7 +231,7 @@
     reopened_impl->on_applied_ = on_applied_;
     return reopened_impl;
   }
-  // Without the entries from there on. Nothing if the disk fails at it.
+  // Removes the entries from that index on and reopens the voter; nothing if the disk fails.
   std::unique_ptr<Impl> truncated_from(raft_index from) {
     std::unique_ptr<Impl> reopened_impl;
     guarded([&] {
@@ -254,8 +254,8 @@
     }
     std::vector<raft_buffer> buffers;
     for (const Command& command : commands) buffers.push_back(raft_bytes(encode(command)));
-    // The library calls back when the first of them is applied, or none will be: the replies are taken as the
-    // state machine gives them.
+    // The library calls back when the first command of a batch is applied, or when none will be. The replies
+    // are therefore collected as the state machine returns them.
     auto* const request =
         new Proposal{{}, this, std::move(done), {}, commands.size(), raft_last_index(&raft_) + 1};
     request->raft.data = request;
@@ -293,8 +293,8 @@
     run_deferred();
   }
 
-  // Added truncated_from a vote first: it counts only once it has the log, which assigning waits for. One
-  // that an earlier leader added and did not come to assign is assigned.
+  // A voter is added without a vote first; assigning the vote waits until it has the log. One that an earlier
+  // leader added without assigning its vote is assigned it now.
   void add_voter(Time now, VoterId id, const std::string& address, const VoterChangeDone& changed) {
     const auto assign = [this, id, changed] {
       change_voters(
@@ -324,9 +324,10 @@
         changed);
   }
 
-  // Raft's TimeoutNow, which the library takes and answers by an election that others do not refuse for the
-  // leader's sake. Its own raft_transfer() is not used: it keeps a request at the leader that does not
-  // survive a change of voters or of the leader meanwhile (it crashed in the walk).
+  // Sends Raft's TimeoutNow; the receiver starts an election that voters do not refuse on account of the
+  // present leader. The library's own raft_transfer() is not used: it keeps a request at the leader that does
+  // not survive a change of voters or of the leader meanwhile (it crashed in the random walk of
+  // tests/duty_test.cpp).
   bool transfer_leadership(Time now, VoterId to) {
     now_ = std::max(now_, now);
     if (!leads()) return false;
@@ -348,8 +349,8 @@
     return true;
   }
 
-  // Once it has the whole log: nothing is proposed matches meanwhile. The message may be lost, so again with
-  // each heartbeat.
+  // Sends TimeoutNow once the target has the whole log; nothing is proposed here meanwhile. The message may
+  // be lost, so it is repeated with each heartbeat.
   void send_timeout_now() {
     if (!transferring_leadership() ||
         (timeout_now_sent_at_ && now_ - *timeout_now_sent_at_ < settings_.heartbeat))
@@ -373,7 +374,7 @@
     status.term = raft_.current_term;
     const char* address = nullptr;
     raft_id id = 0;
-    // A failed voter hears of no leader any more, and is none: who asks it is to go on to the next.
+    // A failed voter no longer hears of leaders and is none: its clients have to go on to the next voter.
     if (!failed_) raft_leader(raft, &id, &address);
     status.leader_id = id;
     if (address) status.leader_address = address;
@@ -400,8 +401,8 @@
     std::vector<Reply> replies;
     std::size_t count;
     raft_index first;
-    bool called_back = false;  // the library does not look at it any more
-    bool notified = false;     // whoever proposed has heard
+    bool called_back = false;  // the library no longer refers to it
+    bool notified = false;     // its callbacks were called
   };
   struct Change {
     raft_change raft;
@@ -418,11 +419,12 @@
                              (failure_.empty() ? raft_strerror(error) : failure_));
   }
 
-  // The disk's failures become the library's, and the voter's end.
+  // Runs a step that uses the disk. A StorageError is returned to the library as an I/O error and ends this
+  // voter's participation.
   template <typename Step>
   int guarded(const Step& step) {
-    // Nothing is written behind a write that failed: a vote kept truncated_from its term would be one for
-    // another.
+    // Nothing is written after a write that failed: a vote stored without its term would count for another
+    // term.
     if (failed_) return RAFT_IOERR;
     try {
       step();
@@ -435,16 +437,17 @@
     }
   }
 
-  // Term, vote and truncation: the library's ways out of their failure leave it in pieces (a candidate that
-  // could not keep its term frees what is none). It goes on to the end of its step instead, and nothing of it
-  // gets out: a failed voter sends nothing and is asked nothing more.
+  // For term, vote and truncation, whose failure the library does not survive (a candidate that could not
+  // store its term frees an invalid pointer). The library is told that the step succeeded and completes what
+  // it was doing; none of it gets out, since a failed voter sends and answers nothing.
   template <typename Step>
   int persist(const Step& step) {
     guarded(step);
     return 0;
   }
 
-  // The library must not be called back from inside one of its own calls: completions wait until it is out.
+  // The library must not be called back from inside one of its own calls: completions are deferred until it
+  // has returned.
   void defer(std::function<void()> step) { deferred_.push_back(std::move(step)); }
   void run_deferred() {
     if (std::exchange(running_deferred_, true)) return;
@@ -487,7 +490,7 @@
   static int bootstrap(raft_io* io, const raft_configuration* configuration) {
     return self(io).guarded([&] {
       raft_buffer bytes{};
-      if (raft_configuration_encode(configuration, &bytes) != 0) throw StorageError("voters: no memory");
+      if (raft_configuration_encode(configuration, &bytes) != 0) throw StorageError("voters: out of memory");
       const std::string copy(view(bytes));
       raft_free(bytes.base);
       self(io).storage_.set_term(1);
@@ -504,7 +507,7 @@
       }
       impl.transport_.send(message->server_id, message->server_address, wire::encode(sent));
     }
-    // Handed to the network: whether it arrives is notified by the answers only.
+    // The message is with the network; whether it arrives shows only in the replies.
     if (done) impl.defer([request, done] { done(request, 0); });
     return 0;
   }
@@ -539,7 +542,7 @@
     raft_snapshot* snapshot = nullptr;
     const int error = impl.guarded([&] {
       const auto kept = impl.storage_.get_snapshot();
-      if (!kept) throw StorageError("the snapshot is gone");
+      if (!kept) throw StorageError("the snapshot is missing");
       snapshot = raft_snapshot_of(*kept);
     });
     impl.defer([request, done, snapshot, error] { done(request, snapshot, error); });
@@ -551,12 +554,13 @@
   static int apply(raft_fsm* fsm, const raft_buffer* buffer, void** result) {
     Impl& impl = self(fsm);
     const auto command = decode_command(view(*buffer));
-    // What no version that voted for it can read is refused by all alike.
+    // A command that this version cannot decode is refused, by all voters alike.
     Reply reply;
     reply.code = Code::malformed;
     if (command) reply = impl.state_.apply(*command);
     *result = nullptr;
-    // Applied in order of their index: the proposal that this one belongs to is the first not yet complete.
+    // Commands are applied in order of their index: this one belongs to the first proposal that is not
+    // complete.
     impl.applied(std::move(reply));
     return 0;
   }
@@ -588,7 +592,8 @@
     });
   }
 
-  // Of a proposal whose leader was deposed after the first of its commands, nobody tells of the others.
+  // If the leader was deposed after the first command of a proposal, the library reports nothing of the
+  // others: their outcome is unknown. Proposals that are complete are deleted.
   void reap_proposals() {
     for (auto each = proposals_.begin(); each != proposals_.end();) {
       Proposal& proposal = *each->second;
@@ -661,8 +666,8 @@
     return to;
   }
 
-  // Entries up to the snapshot are agreed on for ever. The library takes one that comes late, when they are
-  // gone from the log, for new: it is notified of what follows the snapshot only.
+  // Entries up to the snapshot are committed. The library takes a delayed copy of one for new once it is gone
+  // from the log, so only the entries after the snapshot are passed to it.
   void skip_snapshotted(wire::Message& append) const {
     if (append.fields.size() != 4 || append.fields[1] >= raft_.log.snapshot.last_index) return;
     const std::uint64_t known = raft_.log.snapshot.last_index - append.fields[1];
@@ -672,9 +677,10 @@
     append.fields[2] = raft_.log.snapshot.last_term;
   }
 
-  // Up to where this voter's log is the leader's: an append whose previous entry is matches says it up to its
-  // last one. The library tells the leader its whole log instead, with what an earlier leader left behind the
-  // point that was compared; the new leader, with entries of its own there by then, takes them for agreed on.
+  // Records up to which index this voter's log matches the leader's: an append whose previous entry is
+  // present matches up to its last entry. The library instead reports its last index, including entries that
+  // an earlier leader left after the point compared; a new leader with entries of its own at those indexes
+  // would take them for replicated.
   void record_match(const wire::Message& append) {
     if (append.fields.size() != 4 || append.fields[0] < raft_.current_term) return;
     if (std::exchange(matched_term_, append.fields[0]) != append.fields[0]) matched_ = 0;
@@ -687,15 +693,15 @@
                                                    append.fields[2] == term_at(previous));
     if (matches) matched_ = std::max(matched_, previous + append.entries.size());
   }
-  // What is agreed on is the same everywhere, whoever leads.
+  // Committed entries match whoever leads.
   raft_index matched_index(raft_term term) const {
     return std::max({raft_.commit_index, raft_.log.snapshot.last_index,
                      term == matched_term_ ? matched_ : raft_index{0}});
   }
 
-  // Who hears from a leader refuses its vote for that. The library ends this where its election timer runs
-  // out, and looks at that timer only where it knows of its vote: one that has not heard of it would refuse
-  // for ever.
+  // A voter that hears from a leader refuses votes. The library ends this when its election timer runs out,
+  // but checks that timer only where the voter knows of its vote; one that has not learned of its vote would
+  // refuse for ever.
   void drop_silent_leader() {
     if (raft_.state != RAFT_FOLLOWER || raft_.follower_state.current_leader.id == 0) return;
     const raft_time silence =
@@ -706,7 +712,7 @@
     raft_.follower_state.current_leader.address = nullptr;
   }
 
-  // That voter among those that this one knows of, or nothing.
+  // The configuration's entry for a voter, or null.
   raft_server* find_server(VoterId id) const {
     const raft_configuration& known = raft_.configuration;
     const auto found = std::find_if(known.servers, known.servers + known.n,
@@ -719,7 +725,7 @@
     return log.entries[(log.front + (index - log.offset - 1)) % log.size].term;
   }
 
-  // False if the message has not the fields of its type.
+  // Returns false if the number of fields does not fit the message's type.
   static bool to_raft(const wire::Message& from, raft_message& to) {
     static constexpr std::size_t kFieldCounts[] = {0, 4, 3, 6, 3, 4, 3};
     if (from.type < RAFT_IO_APPEND_ENTRIES || from.type > RAFT_IO_TIMEOUT_NOW) return false;
@@ -771,18 +777,18 @@
   raft_io_tick_cb tick_ = nullptr;
   raft_io_recv_cb recv_ = nullptr;
   raft_index next_index_ = 1;
-  raft_index matched_ = 0;  // in the term of matched_term_
+  raft_index matched_ = 0;  // index up to which the log matches the leader's of matched_term_
   raft_term matched_term_ = 0;
   std::deque<std::function<void()>> deferred_;
   bool running_deferred_ = false;
   bool closed_ = false;
   bool failed_ = false;
-  bool retryable_ = false;  // the failure may
+  bool retryable_ = false;  // the failure is retryable
   VoterId transfer_target_ = 0;
-  Time transfer_deadline_{};  // leadership is on its way to that one
+  Time transfer_deadline_{};  // until then leadership is being transferred to transfer_target_
   std::optional<Time> timeout_now_sent_at_{};
   std::string failure_;
-  std::map<raft_index, Proposal*> proposals_;  // by their first index
+  std::map<raft_index, Proposal*> proposals_;  // by the index of their first command
   std::function<void()> on_applied_;
 };
 
@@ -792,7 +798,7 @@
 void Node::tick(Time now) { impl_->tick(now); }
 void Node::receive(Time now, VoterId from, const std::string& address, std::string_view bytes) {
   if (const auto conflict = impl_->conflicting_voter_change(bytes)) {
-    // The leader sends what was in the message again.
+    // The message is dropped; the leader sends its entries again.
     if (auto reopened_impl = impl_->truncated_from(*conflict)) impl_ = std::move(reopened_impl);
     return;
   }
--- a/src/register/node.hpp
+++ b/src/register/node.hpp
@@ -1,8 +1,8 @@
-// One voter: libraft around the register's state machine. No socket, clock or thread: messages, time and the
+// One voter: libraft running the register's state machine. No socket, clock or thread: messages, time and the
 // disk are passed in, so that the same code runs in a process and in virtual time.
 //
-// Errors: a StorageError anywhere ends the voter's part (`failed()`); it answers nothing more and the process
-// goes on without it.
+// Errors: any StorageError ends this voter's participation (failed()); it answers nothing more, and the
+// process goes on without it.
 #pragma once
 
 #include <functional>
@@ -20,78 +20,81 @@
 struct NodeSettings {
   VoterId id = 0;
   std::string address{};
-  // All at once, on the first start of a new register only (`quartzarch fleet init`); empty: it has a disk
-  // with a log, or waits to be added.
+  // The voters of a new register, given on its first start only (`quartzarch fleet init`); empty: the disk
+  // holds a log, or this voter waits to be added.
   Voters initial_voters{};
-  Duration election = std::chrono::milliseconds(500);  // between this and twice it without a leader
+  Duration election =
+      std::chrono::milliseconds(500);  // election timeout: between this and twice this without a leader
   Duration heartbeat = std::chrono::milliseconds(100);
-  unsigned snapshot_after = 4096;  // entries
-  unsigned trailing = 1024;        // kept behind a snapshot, for voters that lag
+  unsigned snapshot_after = 4096;  // entries between two snapshots
+  unsigned trailing = 1024;        // entries kept after a snapshot, for voters that lag
   Bounds bounds{};
   Defects defects{};
-  bool forgets_vote = false;  // a defect that only tests switch on
+  bool forgets_vote = false;  // a defect that only tests switch on: votes are not stored
 };
 
+// Sends messages to other voters.
 class Transport {
  public:
   virtual ~Transport() = default;
-  // May be lost, late or out of order; never altered.
+  // Messages may be lost, delayed or reordered, but never altered.
   virtual void send(VoterId to, const std::string& address, std::string bytes) = 0;
 };
 
+// Outcome of a proposed command.
 enum class Outcome {
-  done,        // the reply is there
-  not_leader,  // nothing was done: ask the leader
-  unknown,     // leadership was lost meanwhile: it may have been done or not
-  failed,      // this voter is out of order
+  done,        // applied; the reply is valid
+  not_leader,  // not applied: ask the leader
+  unknown,     // leadership was lost meanwhile: it may or may not have been applied
+  failed,      // this voter has failed
 };
 
 class Node {
  public:
   using Done = std::function<void(Outcome, const Reply&)>;
 
-  // Throws StorageError if the disk is bad, std::runtime_error if the library refuses.
+  // Throws StorageError if the disk cannot be used, std::runtime_error if the library refuses.
   Node(NodeSettings settings, Storage& storage, Transport& transport, std::uint64_t seed, Time now);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  // Time goes on: to be called every kTick at least.
+  // Advances time; to be called at least every kTick.
   void tick(Time now);
   void receive(Time now, VoterId from, const std::string& address, std::string_view bytes);
-  // `done` comes later, or at once if this is not the leader.
+  // Calls each `done` once the command is applied, or at once if this is not the leader.
   void propose(Time now, const std::vector<Command>& commands, std::vector<Done> done);
-  // Changes of the voters, one at a time; what is refused says why.
+  // Membership changes, one at a time; `error` is empty, or why the change was refused.
   using VoterChangeDone = std::function<void(const std::string& error)>;
   void add_voter(Time now, VoterId id, const std::string& address, VoterChangeDone changed);
   void remove_voter(Time now, VoterId id, VoterChangeDone changed);
 
-  // Has another voter begin an election as soon as it has the whole log, and win it: `to`, or whichever is
-  // nearest to it if that is 0. Until it leads, for an election time at most, nothing is proposed here, and
-  // clients are sent there. False: this is not the leader, or nothing is heard of such a voter; asking again
-  // is harmless.
+  // Transfers leadership: has another voter start an election, and win it, as soon as it has the whole log:
+  // `to`, or the most up-to-date one if that is 0. Until that voter leads, for an election timeout at most,
+  // nothing is proposed here and clients are referred to it. Returns false if this is not the leader or has
+  // no contact with such a voter; repeated calls are harmless.
   bool transfer_leadership(Time now, VoterId to = 0);
 
   struct Status {
     bool leader = false;
     std::uint64_t term = 0;
-    VoterId leader_id = 0;  // 0: none known
+    VoterId leader_id = 0;  // 0: unknown
     std::string leader_address{};
     std::uint64_t last_index = 0, commit_index = 0, applied_index = 0;
     Voters voters{};
-    bool voters_committed = false;  // false: their last change may yet be undone
+    bool voters_committed = false;  // false: their last change may still be undone
   };
   Status status() const;
   bool leads() const;
-  // The library's loss of the disk: it does nothing from then on.
+  // The disk failed: this voter does nothing from then on.
   bool failed() const;
-  // It failed for want of room. Once the disk takes writes again, restart_from_disk() goes on with what is on
-  // it, as after a start of the process. Throws StorageError.
+  // True if it failed because the disk was full. Once the disk takes writes again, restart_from_disk()
+  // continues from what is stored, as after a restart of the process. Throws StorageError.
   bool failure_is_retryable() const;
   void restart_from_disk();
-  // As applied here; another voter may be further.
+  // The state as applied by this voter; another voter may be ahead.
   const State& state() const;
-  // Called after every command that was applied here.
+  // Sets a function that is called after every command applied here.
   void on_applied(std::function<void()> step);
 
   static constexpr Duration kTick = std::chrono::milliseconds(20);
@@ -101,9 +104,9 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// What the leader does by itself: sessions that were not renewed for their time to live are ended, and a
-// duty that its chosen successor does not take up is free to all. Counted on this voter's steady clock from
-// when it applied the last renewal, or became the leader.
+// Proposals that the leader makes by itself: sessions that were not renewed for their time to live end, and a
+// duty that its designated successor does not acquire becomes free to all. Measured on this voter's steady
+// clock from when it applied the last renewal, or became the leader.
 class Expiry {
  public:
   // Commands to be proposed now.
@@ -112,8 +115,9 @@
   static constexpr Duration kReservationTimeout = std::chrono::milliseconds(1000);
 
  private:
+  // A counter, when its present value was first observed, and when its expiry was last proposed.
   struct Observation {
-    std::optional<std::uint64_t> count{};  // none: not looked at yet
+    std::optional<std::uint64_t> count{};  // none: not observed yet
     Time at{};
     Time proposed{};
   };
--- a/src/register/service.cpp
+++ b/src/register/service.cpp
@@ -5,7 +5,7 @@
 namespace quartzarch::reg {
 namespace {
 
-// A frame of changes stays under the link's limit: the rest follows in the next.
+// A frame of changes stays under the link's limit; the rest follows in the next one.
 constexpr std::size_t kMaxChangesBytes = 48 * 1024;
 
 }  // namespace
@@ -32,7 +32,7 @@
 bool Service::ask(Time now, ClientId client, const link::LinkMessage& message) {
   if (message.values.size() != 1) return false;
   const auto command = decode_command(message.text(0));
-  // Only the leader ends sessions and reservations, of itself.
+  // Only the leader itself proposes these.
   if (!command || command->op == Op::expire || command->op == Op::expire_reservation) return false;
   Client& known = clients_[client];
   if (known.in_flight >= bounds_.in_flight) return false;
@@ -64,12 +64,12 @@
 void Service::notify_watchers() {
   const State& state = node_.state();
   if (std::exchange(notified_revision_, state.revision()) == state.revision()) return;
-  // Sent at the end: a connection may break at it, and its client be gone.
+  // Frames are sent at the end, because sending may break a connection and remove its client.
   std::vector<std::pair<ClientId, std::string>> frames;
   for (auto& [id, client] : clients_) {
     for (auto each = client.watches.begin(); each != client.watches.end();) {
       auto& [prefix, known] = *each;
-      // A voter that is behind what the client knows says nothing until it has caught up.
+      // A voter that is behind what the client knows sends nothing until it has caught up.
       if (known >= state.revision()) {
         ++each;
         continue;
@@ -97,7 +97,7 @@
         known = change.revision;
       }
       known = state.revision();
-      // Without changes too: the client learns how far it has been told.
+      // Sent without changes too, so that the client learns the revision it is notified up to.
       if (values.size() > 1) frames.emplace_back(id, frame(FrameType::changes, known, values));
       ++each;
     }
--- a/src/register/service.hpp
+++ b/src/register/service.hpp
@@ -1,5 +1,5 @@
-// A voter as its clients see it: commands proposed and answered, watches served, sessions that are over
-// ended. No socket: frames come in and go out by functions.
+// A voter's service to its clients: proposes and answers commands, serves watches and, on the leader, ends
+// expired sessions. No socket: frames come in and go out through functions.
 #pragma once
 
 #include <functional>
@@ -17,23 +17,24 @@
   using Send = std::function<void(ClientId, std::string frame)>;
 
   struct Bounds {
-    std::size_t in_flight = 256;  // commands of one client on their way
+    std::size_t in_flight = 256;  // commands in flight of one client
     std::size_t watches = 16;     // of one client
   };
 
   Service(Node& node, Send send, Bounds bounds);
   Service(Node& node, Send send) : Service(node, std::move(send), Bounds{}) {}
 
-  // False if it is nothing that a client may say: its connection is to be closed.
+  // Handles a client's frame. Returns false if it is malformed or over the limits: the connection is to be
+  // closed.
   bool received(Time now, ClientId client, const link::LinkMessage& message);
   void client_disconnected(ClientId client) { clients_.erase(client); }
-  // Every Node::kTick.
+  // To be called every Node::kTick.
   void tick(Time now);
 
  private:
   struct Client {
     std::size_t in_flight = 0;
-    std::map<std::string, Revision> watches{};  // by prefix: told up to
+    std::map<std::string, Revision> watches{};  // by prefix: the revision notified up to
   };
 
   bool ask(Time now, ClientId client, const link::LinkMessage& message);
@@ -45,7 +46,7 @@
   Expiry expiry_;
   std::map<ClientId, Client> clients_;
   Revision notified_revision_ = 0;
-  // Answers that come after this is gone find it so.
+  // Expires with this object, so that replies that arrive later are dropped.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/register/state.cpp
+++ b/src/register/state.cpp
@@ -14,7 +14,7 @@
   return std::string(kSessionPrefix) + session.name + "/" + std::to_string(session.incarnation);
 }
 
-// Values of operators may not pass for what the register itself shows.
+// Plain values must not use the prefixes under which duties and sessions are shown.
 bool is_system_key(std::string_view key) {
   return has_prefix(key, kDutyPrefix) || has_prefix(key, kSessionPrefix);
 }
@@ -33,9 +33,9 @@
     case Code::not_holder:
       return "not the holder";
     case Code::no_session:
-      return "the session is over";
+      return "the session has ended";
     case Code::changed:
-      return "changed meanwhile";
+      return "changed in the meantime";
     case Code::fenced:
       return "refused: the token is not that of the present holding";
     case Code::full:
@@ -49,7 +49,7 @@
     case Code::absent:
       return "absent";
     case Code::reserved:
-      return "kept for a successor";
+      return "reserved for a successor";
   }
   return "unknown";
 }
@@ -82,8 +82,8 @@
 
 Reply State::open(const Command& c) {
   if (c.name.empty() || c.name.size() > bounds_.key || c.ttl_ms == 0) return answer(Code::malformed);
-  // A process that asks again because the answer got lost has its session already. It will count its lease
-  // from this asking: so must the leader.
+  // A process that repeats the command because the reply was lost has its session already. It counts its
+  // lease from the repetition, so the leader has to count it as a renewal.
   for (auto& [id, session] : sessions_) {
     if (session.name == c.name && session.incarnation == c.number) {
       if (!defects_.repeated_open_not_renewed) ++session.renewals;
@@ -106,7 +106,7 @@
 
 Reply State::apply_in_session(const Command& c) {
   const auto found = sessions_.find(c.session);
-  // Operators' tools write without a session, and then without a count.
+  // Operators' tools write values without a session and without a sequence number.
   const bool needs_session = c.op != Op::put && c.op != Op::erase;
   if (found == sessions_.end() && (needs_session || c.session != 0)) return answer(Code::no_session);
   if (found == sessions_.end()) return write(c);
@@ -150,8 +150,8 @@
     duty.holder = 0;
     record_duty_change(name, duty);
   }
-  // What was kept for its controller is free to all, unless a later process of that name is
-  // successor_present.
+  // A duty reserved for its controller becomes free to all, unless a later process of that name has a
+  // session.
   const bool name_still_present = std::any_of(sessions_.begin(), sessions_.end(), [&](const auto& each) {
     return each.second.name == ended_session.name;
   });
@@ -189,7 +189,7 @@
   duty.holder_name = who;
   duty.reserved.clear();
   if (duty.requested_holder == who) duty.requested_holder.clear();
-  duty.token = revision_ + 1;  // that of the change which tells of it
+  duty.token = revision_ + 1;  // the revision of the change recorded below
   record_duty_change(c.name, duty);
   return reply_with(Code::ok);
 }
@@ -201,7 +201,7 @@
   }
   Duty& duty = found->second;
   duty.holder = 0;
-  // Kept only for one that is successor_present to take it.
+  // Reserved only for a successor that has a session.
   const bool successor_present = std::any_of(sessions_.begin(), sessions_.end(), [&](const auto& each) {
     return each.second.name == c.value && each.first != c.session;
   });
@@ -294,7 +294,7 @@
   const std::size_t max_items =
       c.number == 0 ? kMaxListItems : std::min<std::size_t>(c.number, kMaxListItems);
   std::size_t bytes = 0;
-  // False once the answer is full.
+  // Returns false once the reply is full.
   const auto take = [&](Item item) {
     if (!has_prefix(item.key, c.name) || item.key <= c.value) return true;
     bytes += item.key.size() + item.value.size();
--- a/src/register/storage.hpp
+++ b/src/register/storage.hpp
@@ -1,5 +1,5 @@
-// What a voter keeps over its process: term, vote, log and snapshot, and who it is. Implemented on SQLite,
-// and in memory with faults by the tests.
+// A voter's persistent state: term, vote, log, snapshot and identity. Implemented on SQLite, and in memory
+// with injected faults by the tests.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,24 @@
 
 namespace quartzarch::reg {
 
-// A voter's identity: made anew with its disk, so that one that lost its disk is a stranger to the others and
-// never votes again as who it was.
+// A voter's identity, created with its disk: a voter that lost its disk is unknown to the others and never
+// votes under its old identity.
 using VoterId = std::uint64_t;
 
 struct Voter {
   VoterId id = 0;
-  std::string address{};  // "10.0.0.1:7301"
-  bool votes = true;      // false: it is being brought up to date first
+  std::string address{};  // the voter's name; each process resolves it to an address of its own
+  bool votes = true;      // it still receives the log before it gets its vote
 };
 using Voters = std::vector<Voter>;
 
 struct LogEntry {
   std::uint64_t term = 0;
-  std::uint16_t type = 0;  // the consensus library's: command, barrier, change of voters
+  std::uint16_t type = 0;  // as in the consensus library: command, barrier, change of voters
   std::string bytes{};
 };
 
+// The state machine's state up to `index`, with the voters at that point.
 struct Snapshot {
   std::uint64_t index = 0, term = 0;
   Voters voters{};
@@ -34,12 +35,13 @@
   std::string bytes{};
 };
 
-// The disk is full, failing, torn or another's. A voter that meets it stops voting; nothing is guessed.
+// The disk is full, failing, corrupt or of another program. A voter that meets it stops voting; no state is
+// guessed.
 struct StorageError : std::runtime_error {
   explicit StorageError(const std::string& what, bool retryable = false)
       : std::runtime_error(what), is_retryable(retryable) {}
-  // There is no room: what is on the disk is sound, and it may be tried again. Not after a sync that failed:
-  // what is read back then need not be on the disk.
+  // The disk is full: what it holds is intact, and writing may be retried. Not set after a failed sync, since
+  // data read back then need not be on the disk.
   bool is_retryable;
 };
 
@@ -55,13 +57,14 @@
   virtual ~Storage() = default;
 
   virtual Loaded load() = 0;
-  // Each is on the disk when it returns; throws StorageError, and then it may or may not be there.
-  virtual void set_term(std::uint64_t term) = 0;  // the vote is nobody's then
+  // Each change is durable when the call returns. A call that throws StorageError may or may not have stored
+  // it.
+  virtual void set_term(std::uint64_t term) = 0;  // also clears the vote
   virtual void set_vote(VoterId vote) = 0;
-  // Follows the last entry; first_index tells where, for a check.
+  // Appends after the last entry; `first_index` is checked against it.
   virtual void append(std::uint64_t first_index, const std::vector<LogEntry>& entries) = 0;
   virtual void truncate(std::uint64_t from_index) = 0;
-  // Entries up to snapshot.index - trailing are dropped; trailing 0: all of them.
+  // Drops the entries up to snapshot.index - trailing; with trailing 0, all entries.
   virtual void put_snapshot(const Snapshot& snapshot, unsigned trailing) = 0;
   virtual std::optional<Snapshot> get_snapshot() = 0;
 };
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -10,19 +10,20 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kMaxConnections = 2048;
-// To one voter: description does not fit is lost, as on a network, and comes again by the library's own
-// means.
+// Limit of unsent segments to one voter. What exceeds it is dropped, as on a network; the consensus library
+// sends it again.
 constexpr std::size_t kMaxUnsentSegments = 512;
 constexpr std::size_t kMaxOutputBytes = 32u << 20;
 constexpr Duration kConnectTimeout = milliseconds(500);
 constexpr Duration kReconnectDelay = milliseconds(100);
 constexpr Duration kJoinInterval = milliseconds(1000);
-constexpr Duration kDiskRetryInterval = milliseconds(2000);  // whether there is room on the disk
+constexpr Duration kDiskRetryInterval =
+    milliseconds(2000);  // between checks whether a full disk takes writes again
 
 std::uint64_t hash(std::string_view text, std::uint64_t from) {
   std::uint64_t value = from;
   for (const char c : text) value = (value ^ static_cast<unsigned char>(c)) * 1099511628211u;
-  // Kept positive in SQLite's signed integers, and never nobody's.
+  // Positive in SQLite's signed integers, and never 0, which stands for no voter.
   return (value >> 2) | 1;
 }
 
@@ -54,7 +55,7 @@
   if (id_ == 0) {
     id_ = fresh_identity(settings_.name);
     disk_.set_identity(id_);
-    log_.line("register: this voter's disk is new: it asks to be added as %llx",
+    log_.line("register: this voter's disk is new: it asks to be added with identity %llx",
               static_cast<unsigned long long>(id_));
   }
   NodeSettings node;
@@ -86,7 +87,7 @@
   }
   Disk disk(settings.directory);
   if (disk.identity() != 0 || disk.used())
-    throw StorageError(settings.directory + ": has a register already");
+    throw StorageError(settings.directory + ": already holds a register");
   NodeSettings node;
   node.id = first_identity(settings.name);
   node.address = settings.name;
@@ -120,7 +121,7 @@
   out.stream->send({std::move(bytes), {}, 0});
 }
 
-// ---- Who connects
+// ---- Incoming connections
 
 void VoterServer::ready(short) {
   while (true) {
@@ -141,7 +142,7 @@
 void VoterServer::arrived(Stream& stream) {
   while (stream.alive()) {
     const auto found = connections_.find(&stream);
-    if (found == connections_.end()) return;  // one of our own to another voter: nothing is said on it
+    if (found == connections_.end()) return;  // a connection to another voter: nothing is received on it
     Connection& from = found->second;
     link::LinkMessage message;
     std::size_t length = 0;
@@ -149,7 +150,7 @@
                                     from.peer ? wire::kMaxMessageBytes : link::kLongestMessage);
     if (taken == link::Taken::part) return;
     if (taken == link::Taken::malformed || !handle_frame(from, message, stream.input().substr(0, length))) {
-      log_.line("register: what came from %s is no message of this version, connection closed",
+      log_.line("register: malformed message from %s, connection closed",
                 from.name.empty() ? "a client" : from.name.c_str());
       stream.close();
       return lost(stream, Lost::closed);
@@ -184,7 +185,7 @@
   }
 }
 
-// A voter that has no vote asks all others, again and again; the leader does the next step.
+// A voter without a vote asks all others repeatedly; the leader takes the next step.
 bool VoterServer::handle_join(const Connection& from) {
   if (from.peer == 0) return false;
   if (!node_->leads()) return true;
@@ -202,7 +203,8 @@
   return true;
 }
 
-// By hand. One that the file names would ask to be added again at once.
+// An operator's removal of a voter. One that the settings file names is refused, since it would ask to be
+// added again at once.
 bool VoterServer::handle_remove(const Connection& from, const link::LinkMessage& message) {
   if (message.values.size() != 1) return false;
   const std::string name(message.text(0));
@@ -215,12 +217,12 @@
   if (!node_->leads()) {
     answer("this voter is not the leader");
   } else if (settings_.addresses.count(name) > 0) {
-    answer("the leader's file names it, so it would come back");
+    answer("the leader's settings file names it, so it would come back");
   } else if (found == voters.end()) {
     answer("there is no such voter");
   } else {
     node_->remove_voter(loop_.now(), found->id, [this, name, answer](const std::string& error) {
-      log_.line("register: voters: remove %s by hand: %s", name.c_str(),
+      log_.line("register: voters: remove %s, requested by an operator: %s", name.c_str(),
                 error.empty() ? "done" : error.c_str());
       answer(error);
     });
@@ -228,7 +230,7 @@
   return true;
 }
 
-// By hand, before a voter's machine is worked on.
+// An operator's transfer of leadership, for example before maintenance of a voter's machine.
 bool VoterServer::handle_lead(const Connection& from, const link::LinkMessage& message) {
   if (message.values.size() != 1) return false;
   const std::string name(message.text(0));
@@ -241,12 +243,12 @@
   } else if (!name.empty() && found == status.voters.end()) {
     error = "there is no such voter with a vote";
   } else if (name == settings_.name) {
-    error = "it leads already";
+    error = "it is already the leader";
   } else if (!node_->transfer_leadership(loop_.now(), name.empty() ? 0 : found->id)) {
-    error = "nothing is heard of it";
+    error = "the leader has no contact with it";
   }
-  log_.line("register: leadership asked for %s by hand: %s", name.empty() ? "any other" : name.c_str(),
-            error.empty() ? "handed over" : error.c_str());
+  log_.line("register: leadership transfer to %s requested by an operator: %s",
+            name.empty() ? "any other" : name.c_str(), error.empty() ? "started" : error.c_str());
   send_to_client(from.client, frame(FrameType::lead, 0, {error}));
   return true;
 }
@@ -255,7 +257,7 @@
   const Node::Status status = node_->status();
   if (!status.leader) return resigning_ && status.leader_id == 0;
   if (node_->transfer_leadership(loop_.now()) && !std::exchange(resigning_, true)) {
-    log_.line("register: term %llu, leadership is handed over for a stop",
+    log_.line("register: term %llu, leadership is transferred before this voter stops",
               static_cast<unsigned long long>(status.term));
   }
   return resigning_;
@@ -290,7 +292,7 @@
   if (node_->failure_is_retryable() && loop_.now() >= disk_retry_at_) recover();
   if (!node_->failed() && loop_.now() >= join_retry_at_) {
     join_retry_at_ = loop_.now() + kJoinInterval;
-    // One that is cut off does not know whether it has its vote; asking is harmless.
+    // A voter that is cut off does not know whether it has its vote; asking is harmless.
     if (next_change(node_->status().voters, settings_.name, id_)) {
       for (const auto& [name, address] : settings_.addresses) {
         if (name != settings_.name) send_to(name, frame(FrameType::join, id_, {settings_.name}));
@@ -306,17 +308,17 @@
     disk_.reopen();
     node_->restart_from_disk();
     logged_failure_ = false;
-    log_.line("register: the disk takes writes again: this voter goes on");
+    log_.line("register: the disk accepts writes again: this voter resumes");
   } catch (const std::runtime_error&) {
-    // Still full: told once, tried again.
+    // Still full: logged once, retried later.
   }
 }
 
 void VoterServer::log_changes() {
   if (node_->failed() && !std::exchange(logged_failure_, true)) {
     disk_retry_at_ = loop_.now() + kDiskRetryInterval;
-    log_.line("register: the disk failed: this voter votes no more until %s",
-              node_->failure_is_retryable() ? "there is room" : "it is started again");
+    log_.line("register: the disk failed: this voter does not vote until %s",
+              node_->failure_is_retryable() ? "there is free space" : "it is restarted");
   }
   const auto status = node_->status();
   if (status.leader_id == logged_leader_ && status.term == logged_term_) return;
--- a/src/register/voter_server.hpp
+++ b/src/register/voter_server.hpp
@@ -1,6 +1,6 @@
-// A voter on sockets: a node with its disk, connections to the other voters, and its clients'. One loop, no
-// thread of its own. A voter is known to the others by its controller's name; each process has the addresses
-// by which it reaches them itself.
+// A voter on sockets: a node with its disk, connections to the other voters, and clients' connections. Runs
+// on one event loop, without a thread of its own. Voters know each other by their controllers' names; each
+// process has its own addresses by which it reaches them.
 #pragma once
 
 #include <map>
@@ -15,17 +15,19 @@
 
 namespace quartzarch::reg {
 
-// What to do next so that `name` has one vote, under `id`: an old identity of it is removed first, since with
-// it the register would count two votes for one disk that is gone. Nothing: it has its vote.
+// The next membership change towards `name` having one vote, under `id`. An old identity of that name is
+// removed first, since otherwise the register would count two votes for it, one of them of a disk that is
+// gone. Nothing: it has its vote.
 struct VoterChange {
-  bool remove = false;  // else: add, or give it its vote
+  bool remove = false;  // false: add it, or assign its vote
   VoterId id = 0;
 };
 std::optional<VoterChange> next_change(const Voters& voters, const std::string& name, VoterId id);
 
-// The identity of a voter whose register is new, the same at all without asking.
+// The identity of a voter of a new register: derived from the name, so that all processes agree on it without
+// communicating.
 VoterId first_identity(const std::string& name);
-// That of one that accepted later, or lost its disk: like no other.
+// A unique identity, for a voter that was added later or lost its disk.
 VoterId fresh_identity(const std::string& name);
 
 class VoterServer : private Transport, private Watched, private Stream::Owner {
@@ -38,28 +40,29 @@
     Duration election{}, heartbeat{};
   };
 
-  // Throws StorageError or std::runtime_error; a directory that is empty makes a voter that asks to be added.
+  // Throws StorageError or std::runtime_error. An empty directory makes a voter that asks to be added.
   VoterServer(Loop& loop, Logger& log, const Settings& settings, std::uint64_t seed);
   ~VoterServer() override;
 
   sockaddr_in address() const { return bound_address(acceptor_.fd()); }
   const Node& node() const { return *node_; }
   bool failed() const { return node_->failed(); }
-  // Before a stop in order: leadership goes to another voter, which saves the others an election time without
-  // a leader. To be called again until it is false: another leads, or nobody else can.
+  // Before an orderly stop: transfers leadership to another voter, which saves the others an election timeout
+  // without a leader. To be called again until it returns false: another voter leads, or none can.
   bool resign();
 
-  // The first start of a new register: gives this voter's disk its identity and the first voters, once.
-  // Throws StorageError if the disk has a register already.
+  // The first start of a new register: stores this voter's identity and the initial voters on its disk, once.
+  // Throws StorageError if the disk already holds a register.
   static void init(const Settings& settings);
 
  private:
   struct Connection {
     std::shared_ptr<Stream> stream{};
     std::uint64_t client = 0;
-    VoterId peer = 0;  // after a voter's hello
+    VoterId peer = 0;  // set by a voter's hello; 0: a client
     std::string name{};
   };
+  // Connection to another voter.
   struct Outgoing {
     std::shared_ptr<Stream> stream{};
     Time retry_at{};
@@ -74,7 +77,7 @@
 
   bool handle_frame(Connection& from, const link::LinkMessage& message, std::string_view bytes);
   bool handle_join(const Connection& from);
-  void recover();
+  void recover();  // after a full disk
   bool handle_remove(const Connection& from, const link::LinkMessage& message);
   bool handle_lead(const Connection& from, const link::LinkMessage& message);
   std::string status() const;
--- a/src/register/wire.cpp
+++ b/src/register/wire.cpp
@@ -7,7 +7,7 @@
 namespace quartzarch::reg::wire {
 namespace {
 
-// The type of the frame; the library's own is its number.
+// The frame's type; the library's message type is the frame's number.
 constexpr auto kFrameType = static_cast<link::Type>(FrameType::consensus);
 
 std::optional<std::uint64_t> number(std::string_view digits) {
--- a/src/register/wire.hpp
+++ b/src/register/wire.hpp
@@ -1,4 +1,4 @@
-// The consensus library's messages between voters, as frames of src/link.
+// The consensus library's messages between voters, encoded as frames of src/link.
 #pragma once
 
 #include <optional>
@@ -11,14 +11,14 @@
 namespace quartzarch::reg::wire {
 
 struct Message {
-  std::uint16_t type = 0;  // the library's
+  std::uint16_t type = 0;  // the library's message type
   std::vector<std::uint64_t> fields{};
   std::vector<LogEntry> entries{};  // append
-  Voters voters{};                  // install a snapshot
+  Voters voters{};                  // install snapshot
   std::string snapshot{};
 };
 
-// The longest message between voters: a snapshot of a full register fits.
+// Limit for a message between voters; a snapshot of a full register fits.
 inline constexpr std::size_t kMaxMessageBytes = 16u << 20;
 
 std::string encode(const Message& message);
