--- a/tests/duty_faults_test.cpp
+++ b/tests/duty_faults_test.cpp
@@ -14,15 +14,15 @@
 
 class DutyFaults : public FleetProcess {
  protected:
-  std::size_t holdings() const {
+  std::size_t count_holdings() const {
     std::set<unsigned long long> tokens;
-    for (const Effect& each : written()) tokens.insert(each.token);
+    for (const Effect& each : read_effects()) tokens.insert(each.token);
     return tokens.size();
   }
   // One call at that controller, from the request to the word that it stands.
-  void call(const std::string& who) {
+  void complete_call(const std::string& who) {
     Peer& gateway = gateways_[who];
-    if (!gateway) gateway = Peer::connect(callers(who[0] - 'a'));
+    if (!gateway) gateway = Peer::connect(caller_address(who[0] - 'a'));
     const CallId id = ++last_call_;
     gateway.say(setup(id, "d"));
     hears(gateway, binary(9, id).substr(2));
@@ -36,7 +36,7 @@
 TEST_F(DutyFaults, LinksThatFlapChangeTheHolderSeldomAndNeverMakeTwo) {
   start_fleet();
   start_holder("h1");
-  holds("h1");
+  wait_for_holder("h1");
   start_holder("h2");
   for (int round = 0; round < 15; ++round) {
     for (const char* const who : {"h1", "h2", "a"}) cut_off(who, true);
@@ -44,39 +44,39 @@
     for (const char* const who : {"h1", "h2", "a"}) cut_off(who, false);
     ::poll(nullptr, 0, 200);
   }
-  EXPECT_LE(holdings(), 4u) << "in 15 flaps, six leases long";
-  more_work(20);
-  EXPECT_EQ(interleaved(written()), "");
+  EXPECT_LE(count_holdings(), 4u) << "in 15 flaps, six leases long";
+  wait_for_effects(20);
+  EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
 // A byte a millisecond: a renewal and its answer take most of its interval, each way.
 TEST_F(DutyFaults, LinksThatTrickleLeaveOneHolder) {
   start_fleet();
   start_holder("h1");
-  holds("h1");
+  wait_for_holder("h1");
   start_holder("h2");
   for (const char* const who : {"h1", "h2"}) {
     for (int i = 0; i < kVoters; ++i) link(who, voter(i)).trickle();
   }
-  more_work(100);
+  wait_for_effects(100);
   for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).hold(faults::Way::both);
-  successor_of("h1");
+  wait_for_successor("h1");
   for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).pass();
-  more_work(20);
-  EXPECT_EQ(interleaved(written()), "");
+  wait_for_effects(20);
+  EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
 TEST_F(DutyFaults, OfTwelveThatAskAtOnceOneHoldsAndEachDeathIsFollowedByOne) {
   start_fleet();
   for (int i = 1; i <= 12; ++i) start_holder("h" + std::to_string(i));
-  until([&] { return !written().empty(); }, "a holder");
+  until([&] { return !read_effects().empty(); }, "a holder");
   for (int deaths = 0; deaths < 4; ++deaths) {
-    const std::string holder = written().back().who;
+    const std::string holder = read_effects().back().who;
     kill(holder);
-    EXPECT_NE(successor_of(holder), holder);
+    EXPECT_NE(wait_for_successor(holder), holder);
   }
-  EXPECT_EQ(holdings(), 5u);
-  EXPECT_EQ(interleaved(written()), "");
+  EXPECT_EQ(count_holdings(), 5u);
+  EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
 // Another leads, the holder stays in office, the process serves calls; started again it votes again.
@@ -84,22 +84,22 @@
   lease_ms = 4000;
   start_fleet();
   start_holder("h1");
-  holds("h1");
+  wait_for_holder("h1");
   const std::string first = leader();
   Peer server;
   until([&] { return static_cast<bool>(server = listener.accept()); }, "a connection to the setup server");
   fill_disk_of(first);
-  until([&] { return stands(first, "failed"); }, "the failure told");
+  until([&] { return has_state(first, "failed"); }, "the failure told");
   until([&] { return leader() != first && !leader().empty(); }, "another leader");
-  more_work(400);  // for longer than two leases
-  EXPECT_EQ(holdings(), 1u);
-  Peer gateway = Peer::connect(callers(first[0] - 'a'));
+  wait_for_effects(400);  // for longer than two leases
+  EXPECT_EQ(count_holdings(), 1u);
+  Peer gateway = Peer::connect(caller_address(first[0] - 'a'));
   gateway.say(binary(52, 7, {{208, std::string(1, 0)}}));
   hears(gateway, binary(53, 7).substr(2));
-  empty_disk_of(first);  // there is room again: no restart is needed
-  votes(first);
-  more_work(20);
-  EXPECT_EQ(holdings(), 1u);
+  free_disk_of(first);  // there is room again: no restart is needed
+  wait_for_vote(first);
+  wait_for_effects(20);
+  EXPECT_EQ(count_holdings(), 1u);
 }
 
 TEST_F(DutyFaults, AllVotersRestartedInTurnUnderLoadFailNoCallAndLeaveTheHolder) {
@@ -111,55 +111,63 @@
   lease_ms = 10000;
   start_fleet();
   start_holder("h1");
-  holds("h1");
+  wait_for_holder("h1");
   for (int i = 0; i < kVoters; ++i) {
-    serves(voter(i));
-    call(voter(i));
+    wait_until_serving(voter(i));
+    complete_call(voter(i));
   }
   for (int i = 0; i < kVoters; ++i) {
-    const std::string out = voter(i);
-    const auto others = [&] {
+    const std::string restarted = voter(i);
+    const auto call_the_others = [&] {
       for (int j = 0; j < kVoters; ++j) {
-        if (j != i) call(voter(j));
+        if (j != i) complete_call(voter(j));
       }
       return false;
     };
-    gateways_.erase(out);
-    signal(out, SIGTERM);
-    until([&] { return others() || gone(out); }, "its end");
+    gateways_.erase(restarted);
+    signal(restarted, SIGTERM);
+    until([&] { return call_the_others() || has_exited(restarted); }, "its end");
     start_voter(i);
-    until([&] { return others() || stands(out, "follower") || stands(out, "leader"); }, "its vote");
-    serves(out);
-    call(out);
+    until(
+        [&] {
+          return call_the_others() || has_state(restarted, "follower") || has_state(restarted, "leader");
+        },
+        "its vote");
+    wait_until_serving(restarted);
+    complete_call(restarted);
   }
-  EXPECT_EQ(holdings(), 1u) << "the duty changed hands although its holder lived";
+  EXPECT_EQ(count_holdings(), 1u) << "the duty changed hands although its holder lived";
   EXPECT_EQ(server.counts().doubled, 0u);
   EXPECT_GT(last_call_ - 0xaa00, 30u);
 }
 
-// An election takes longer than a lease here: were leadership not handed over, the holder would be out of
-// office before the next leader is there.
+// An election takes longer than a lease here: were leadership not handed over, the holder would be restarted
+// of office before the next leader is there.
 TEST_F(DutyFaults, ALeaderStoppedInOrderIsFollowedBeforeAnyLeaseRunsOut) {
   election_ms = 2500;
   lease_ms = 2000;
   start_fleet();
   start_holder("h1");
-  holds("h1");
+  wait_for_holder("h1");
   const std::string first = leader();
   signal(first, SIGTERM);
-  until([&] { return gone(first); }, "its end");
+  until([&] { return has_exited(first); }, "its end");
   until([&] { return leader() != first && !leader().empty(); }, "another leader");
-  more_work(20);
+  wait_for_effects(20);
   const std::string second = leader();
   start_voter(first[0] - 'a');
-  votes(first);
+  wait_for_vote(first);
   int code = 0;
   std::string said;
-  until([&] { return said = ask({"fleet", "lead", first}, &code), code == 0; }, "being handed over by hand");
+  until(
+      [&] {
+        return said = run_command({"fleet", "lead", first}, &code), code == 0;
+      },
+      "being handed over by hand");
   until([&] { return leader() == first; }, "the first leading again");
-  more_work(20);
-  EXPECT_EQ(holdings(), 1u) << "the duty changed hands";
-  ask({"fleet", "lead", "nobody"}, &code);
+  wait_for_effects(20);
+  EXPECT_EQ(count_holdings(), 1u) << "the duty changed hands";
+  run_command({"fleet", "lead", "nobody"}, &code);
   EXPECT_EQ(code, 1);
 }
 
@@ -167,48 +175,50 @@
 TEST_F(DutyFaults, VotersAreAddedAndTakenOutWhileADutyIsHeld) {
   lease_ms = 10000;
   start_fleet();
-  named = 5;  // whoever holds must reach each that may lead
+  voters_in_file = 5;  // whoever holds must reach each that may lead
   start_holder("h1");
-  holds("h1");
+  wait_for_holder("h1");
   const auto restart = [&](int number) {
     kill(voter(number));
     start_voter(number);
-    votes(voter(number));
+    wait_for_vote(voter(number));
   };
   for (int i = 0; i < 3; ++i) restart(i);
   for (int i = 3; i < 5; ++i) {
     std::filesystem::create_directory(directory + "/" + voter(i) + ".register");
     start_voter(i);
-    votes(voter(i));
+    wait_for_vote(voter(i));
   }
   kill("a");
   kill("d");  // three of five are there
-  more_work(20);
+  wait_for_effects(20);
   start_voter(0);
   start_voter(3);
-  votes("d");
+  wait_for_vote("d");
   int code = 0;
   std::string said;
   until(
       [&] {
-        return (said = ask({"fleet", "remove", "d"}, &code)).find("would come back") != std::string::npos;
+        return (said = run_command({"fleet", "remove", "d"}, &code)).find("would come back") !=
+               std::string::npos;
       },
       "the refusal");
   EXPECT_EQ(code, 1) << said;
-  named = 3;
+  voters_in_file = 3;
   for (int i = 0; i < 3; ++i) restart(i);
   for (const char* const each : {"d", "e"}) {
     kill(each);
-    until([&] { return ask({"fleet", "remove", each}, &code), code == 0; }, "its being taken out");
+    until([&] { return run_command({"fleet", "remove", each}, &code), code == 0; }, "its being taken out");
   }
   kill("b");  // two of three are there
-  more_work(20);
+  wait_for_effects(20);
   until(
       [&] {
-        return ask({"fleet", "sessions", "--json"}).find("\"controller\":\"h1\"") != std::string::npos;
+        return run_command({"fleet", "sessions", "--json"}).find("\"controller\":\"h1\"") !=
+               std::string::npos;
       },
       "the holder's session");
-  EXPECT_EQ(holdings(), 1u) << "the duty changed hands";
+  EXPECT_EQ(count_holdings(), 1u) << "the duty changed hands";
 }
 
 }  // namespace
--- a/tests/duty_history_test.cpp
+++ b/tests/duty_history_test.cpp
@@ -79,19 +79,19 @@
     std::vector<std::string> everybody = {"a", "b", "c", "h1", "h2", "w0", "w1", "w2", "w3"};
     switch (random() % 9) {
       case 0:
-        told_ += " kill " + victim;
+        injected_faults_ += " kill " + victim;
         kill(victim);
         return [this, victim] { start_voter(victim[0] - 'a'); };
       case 1:
-        told_ += " stop " + victim;
+        injected_faults_ += " stop " + victim;
         signal(victim, SIGSTOP);
         return [this, victim] { signal(victim, SIGCONT); };
       case 2:
-        told_ += " cut off " + victim;
+        injected_faults_ += " cut off " + victim;
         cut_off(victim, true);
         return [this, victim] { cut_off(victim, false); };
       case 3: {  // the leader hears nothing of the clients but what arrives late
-        told_ += " hold what clients say";
+        injected_faults_ += " hold what clients say";
         std::vector<std::string> clients(everybody.begin() + 3, everybody.end());
         all(clients, [&](const std::string& who) {
           links(who, [](faults::Relay& relay) { relay.hold(faults::Way::there); });
@@ -101,23 +101,23 @@
         };
       }
       case 4:
-        told_ += " hold what " + victim + " hears back";
+        injected_faults_ += " hold what " + victim + " hears back";
         links(victim, [](faults::Relay& relay) { relay.hold(faults::Way::back); });
         return [=, this] { links(victim, [](faults::Relay& relay) { relay.pass(); }); };
       case 5:
-        told_ += " break all connections";
+        injected_faults_ += " break all connections";
         all(everybody, [&](const std::string& who) { links(who, [](faults::Relay& r) { r.reset(); }); });
         return [] {};
       case 6:
-        told_ += " stop " + holder;
+        injected_faults_ += " stop " + holder;
         signal(holder, SIGSTOP);
         return [this, holder] { signal(holder, SIGCONT); };
       case 7:
-        told_ += " kill " + holder;
+        injected_faults_ += " kill " + holder;
         kill(holder);
         return [this, holder] { start_holder(holder); };
       default:
-        told_ += " trickle to " + victim;
+        injected_faults_ += " trickle to " + victim;
         all(everybody, [&](const std::string& who) {
           if (who != victim) link(who, victim).trickle();
         });
@@ -132,7 +132,7 @@
   Loop loop_{steady_time};
   faults::History history_;
   std::array<Client, kClients> clients_;
-  std::string told_;  // the faults, in order
+  std::string injected_faults_;  // the faults, in order
 };
 
 TEST_F(DutyHistory, OfRandomFaultsIsOneThatOneRegisterCouldShowAndDutiesDoNotOverlap) {
@@ -143,7 +143,7 @@
   std::mt19937_64 random(seed);
   start_fleet();
   start_holder("h1");
-  holds("h1");
+  wait_for_holder("h1");
   start_holder("h2");
   start_clients(seed);
   record(40);
@@ -153,11 +153,12 @@
     end();
     record(40);
   }
-  more_work(20);
+  wait_for_effects(20);
   read_all();
-  const std::string context = "QUARTZARCH_SEED=" + std::to_string(seed) + " draws these again:" + told_;
+  const std::string context =
+      "QUARTZARCH_SEED=" + std::to_string(seed) + " draws these again:" + injected_faults_;
   EXPECT_EQ(history_.judge(), "") << context;
-  EXPECT_EQ(interleaved(written()), "") << context;
+  EXPECT_EQ(find_interleaving(read_effects()), "") << context;
   EXPECT_GT(history_.answered(), history_.operations().size() / 2) << context;
   std::printf("%zu operations, %zu with an answer\n", history_.operations().size(), history_.answered());
 }
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -12,9 +12,9 @@
 #include "register/wire.hpp"
 
 #if !defined(__SANITIZE_ADDRESS__)
-constexpr std::uint64_t kWalks = 40;
+constexpr std::uint64_t kDefaultWalks = 40;
 #else
-constexpr std::uint64_t kWalks = 20;
+constexpr std::uint64_t kDefaultWalks = 20;
 // libraft loses the 16 bytes of a snapshot's list of buffers where the disk fails under a snapshot.
 extern "C" const char* __lsan_default_suppressions() { return "leak:libraft.so\n"; }
 #endif
@@ -26,14 +26,14 @@
 using std::chrono::milliseconds;
 
 // QUARTZARCH_SEED replays one walk and prints its timeline; QUARTZARCH_WALKS sets how many there are.
-std::uint64_t setting(const char* name, std::uint64_t otherwise) {
+std::uint64_t environment_number(const char* name, std::uint64_t fallback) {
   const char* const text = std::getenv(name);
-  return text ? std::strtoull(text, nullptr, 10) : otherwise;
+  return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
 TEST(Walk, NobodyHoldsTwiceNothingIsLostAndAllSettles) {
-  const std::uint64_t replay = setting("QUARTZARCH_SEED", 0);
-  const std::uint64_t walks = setting("QUARTZARCH_WALKS", kWalks);
+  const std::uint64_t replay = environment_number("QUARTZARCH_SEED", 0);
+  const std::uint64_t walks = environment_number("QUARTZARCH_WALKS", kDefaultWalks);
   std::vector<std::uint64_t> seeds = {95, 179, 199, 354};  // showed faults that are mended (docs/duties.md)
   for (std::uint64_t seed = 1; seed <= walks; ++seed) seeds.push_back(seed);
   if (replay != 0) seeds = {replay};
@@ -71,7 +71,7 @@
 
 // ---- One voter by hand: what libraft 0.15 tells of its log, and the log's end after an undoing
 
-class Sent : public reg::Transport {
+class LastSent : public reg::Transport {
  public:
   void send(reg::VoterId, const std::string&, std::string bytes) override { last = std::move(bytes); }
   std::string last;
@@ -79,7 +79,7 @@
 
 TEST(Node, TellsANewLeaderOnlyWhatWasComparedWithItsLog) {
   faults::MemoryDisk disk;
-  Sent sent;
+  LastSent sent;
   reg::NodeSettings settings;
   settings.id = 1;
   settings.address = "a";
@@ -121,7 +121,7 @@
   if (to > 0) o.returned = Time{to};
   return o;
 }
-std::string judged(const std::vector<faults::Operation>& operations) {
+std::string check_history(const std::vector<faults::Operation>& operations) {
   faults::History history;
   for (const auto& each : operations) history.begin(each);
   return history.judge();
@@ -130,22 +130,23 @@
 TEST(History, IsJudgedByWhatOneRegisterCouldHaveShown) {
   using faults::Did;
   const auto a = did(Did::put, "a", 0, 10), b = did(Did::put, "b", 20, 30);
-  EXPECT_EQ(judged({a, b, did(Did::read, "b", 40, 50)}), "");
-  EXPECT_NE(judged({a, b, did(Did::read, "a", 40, 50)}), "") << "older than what was written before";
-  EXPECT_EQ(judged({a, b, did(Did::read, "a", 25, 50)}), "") << "beside the write";
-  EXPECT_NE(judged({a, b, did(Did::read, "b", 22, 24), did(Did::read, "a", 25, 28)}), "") << "and back";
+  EXPECT_EQ(check_history({a, b, did(Did::read, "b", 40, 50)}), "");
+  EXPECT_NE(check_history({a, b, did(Did::read, "a", 40, 50)}), "") << "older than what was written before";
+  EXPECT_EQ(check_history({a, b, did(Did::read, "a", 25, 50)}), "") << "beside the write";
+  EXPECT_NE(check_history({a, b, did(Did::read, "b", 22, 24), did(Did::read, "a", 25, 28)}), "")
+      << "and back";
   const auto lost = did(Did::put, "c", 60, 0);
-  EXPECT_EQ(judged({a, lost, did(Did::read, "a", 70, 80), did(Did::read, "c", 90, 95)}), "") << "late";
-  EXPECT_NE(judged({a, lost, did(Did::read, "c", 70, 80), did(Did::read, "a", 90, 95)}), "");
-  EXPECT_NE(judged({a, did(Did::read, "c", 40, 50)}), "") << "written by nobody";
+  EXPECT_EQ(check_history({a, lost, did(Did::read, "a", 70, 80), did(Did::read, "c", 90, 95)}), "") << "late";
+  EXPECT_NE(check_history({a, lost, did(Did::read, "c", 70, 80), did(Did::read, "a", 90, 95)}), "");
+  EXPECT_NE(check_history({a, did(Did::read, "c", 40, 50)}), "") << "written by nobody";
   auto swap = did(Did::swap, "d", 40, 50), other = did(Did::swap, "e", 45, 55);
   swap.expected = other.expected = "a";
-  EXPECT_NE(judged({a, swap, other}), "") << "both in the place of one";
+  EXPECT_NE(check_history({a, swap, other}), "") << "both in the place of one";
   other.refused = true, other.seen = "d";
-  EXPECT_EQ(judged({a, swap, other}), "");
+  EXPECT_EQ(check_history({a, swap, other}), "");
   auto early = did(Did::put, "f", 0, 10), late = did(Did::put, "g", 20, 30);
   early.revision = 9, late.revision = 8;
-  EXPECT_NE(judged({early, late}), "") << "revisions only grow";
+  EXPECT_NE(check_history({early, late}), "") << "revisions only grow";
 }
 
 struct Defect {
@@ -194,109 +195,109 @@
 
 class Duties : public FleetProcess {
  protected:
-  void start_all() {
+  void start_with_two_holders() {
     start_fleet();
     start_holder("h1");
-    holds("h1");
+    wait_for_holder("h1");
     start_holder("h2");
   }
 };
 
 TEST_F(Duties, AKilledHoldersDutyGoesOnElsewhereUnderANewerToken) {
-  start_all();
+  start_with_two_holders();
   kill("h1");
-  holds("h2", written().back().token);
-  EXPECT_EQ(interleaved(written()), "");
+  wait_for_holder("h2", read_effects().back().token);
+  EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
 // Stopped for longer than its lease, in the middle of its work: its guardian has ended the program.
 TEST_F(Duties, AStoppedHolderWritesNothingOnceAnotherHasBegun) {
-  start_all();
+  start_with_two_holders();
   signal("h1", SIGSTOP);
-  EXPECT_EQ(successor_of("h1"), "h2");
+  EXPECT_EQ(wait_for_successor("h1"), "h2");
   signal("h1", SIGCONT);
   until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its own end told");
   signal("h2", SIGTERM);
-  holds("h1", written().back().token);
-  EXPECT_EQ(interleaved(written()), "");
+  wait_for_holder("h1", read_effects().back().token);
+  EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
 TEST_F(Duties, AHolderThatIsCutOffFromTheVotersStopsBeforeItsSuccessorBegins) {
-  start_all();
+  start_with_two_holders();
   cut_off("h1", true);
-  EXPECT_EQ(successor_of("h1"), "h2");
+  EXPECT_EQ(wait_for_successor("h1"), "h2");
   cut_off("h1", false);  // what was held arrives late: renewals of a session that is over
   until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its end");
-  EXPECT_EQ(interleaved(written()), "");
+  EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
 // One way: its renewals arrive, the answers do not. It knows of no renewal and must stop.
 TEST_F(Duties, AHolderThatHearsNoAnswersStops) {
-  start_all();
+  start_with_two_holders();
   for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).hold(faults::Way::back);
-  EXPECT_EQ(successor_of("h1"), "h2");
-  EXPECT_EQ(interleaved(written()), "");
+  EXPECT_EQ(wait_for_successor("h1"), "h2");
+  EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
 TEST_F(Duties, HandedOnInOrderTheNextBeginsWithoutWaitingForTheLease) {
-  start_all();
+  start_with_two_holders();
   signal("h1", SIGTERM);
-  holds("h2");
+  wait_for_holder("h2");
   EXPECT_NE(log_of("h1").find("why=\"handed over in order\""), std::string::npos);
   EXPECT_EQ(log_of("h1").find("lease expiring"), std::string::npos);
-  EXPECT_EQ(interleaved(written()), "");
+  EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
 TEST_F(Duties, TheLeadersDeathLeavesTheHolderInOffice) {
   lease_ms = 10000;  // many elections long, however slow the machine
-  start_all();
+  start_with_two_holders();
   const std::string first = leader();
   kill(first);
   until([&] { return leader() != first && !leader().empty(); }, "another leader");
-  const auto token = written().back().token;
-  const std::size_t before = written().size();
-  until([&] { return written().size() > before + 100; }, "the work going on");
-  EXPECT_EQ(written().back().token, token) << "the duty changed hands although its holder lived";
+  const auto token = read_effects().back().token;
+  const std::size_t before = read_effects().size();
+  until([&] { return read_effects().size() > before + 100; }, "the work going on");
+  EXPECT_EQ(read_effects().back().token, token) << "the duty changed hands although its holder lived";
 }
 
 // Two of three voters gone: nobody may take a duty up, the holder stops, calls are served; all comes back.
 TEST_F(Duties, WithoutAMajorityNobodyHoldsAndCallsGoOn) {
-  start_all();
+  start_with_two_holders();
   kill(voter(0));
   kill(voter(1));
   until([&] { return log_of("h1").find("event=ended") != std::string::npos; }, "the holder's end");
-  const auto token = written().back().token;
-  serves("c");
+  const auto token = read_effects().back().token;
+  wait_until_serving("c");
   Peer server;
   until([&] { return static_cast<bool>(server = listener.accept()); }, "a connection to the setup server");
-  Peer gateway = Peer::connect(callers(2));
+  Peer gateway = Peer::connect(caller_address(2));
   gateway.say(binary(52, 7, {{208, std::string(1, 0)}}));
   hears(gateway, binary(53, 7, {{208, "\x01"}}));
   int code = 0;
-  ask({"duty", "list"}, &code);
+  run_command({"duty", "list"}, &code);
   EXPECT_EQ(code, 1);
-  EXPECT_EQ(written().back().token, token);
+  EXPECT_EQ(read_effects().back().token, token);
   start_voter(0);
   start_voter(1);
-  until([&] { return written().back().token > token; }, "the duty held again");
-  EXPECT_EQ(interleaved(written()), "");
+  until([&] { return read_effects().back().token > token; }, "the duty held again");
+  EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
 TEST_F(Duties, AllVotersKilledAtOnceKnowEverythingWhenTheyStartAgain) {
-  start_all();
-  const auto token = written().back().token;
+  start_with_two_holders();
+  const auto token = read_effects().back().token;
   for (int i = 0; i < kVoters; ++i) kill(voter(i));
   kill("h1");
   kill("h2");
   for (int i = 0; i < kVoters; ++i) start_voter(i);
   start_holder("h3");
-  holds("h3", token);
-  EXPECT_EQ(interleaved(written()), "");
+  wait_for_holder("h3", token);
+  EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
 // An empty disk comes back as a new member; a torn one is told in one line and does not vote.
 TEST_F(Duties, AVoterThatLostItsDiskIsAddedAnewAndATornOneIsToldAtTheStart) {
-  start_all();
+  start_with_two_holders();
   const std::string path = directory + "/c.register";
   kill("c");
   std::filesystem::remove_all(path);
@@ -304,14 +305,14 @@
   start_voter(2);
   until(
       [&] {
-        return ask({"fleet", "status", "--json"}).find("\"voter\":\"c\",\"state\":\"follower\"") !=
+        return run_command({"fleet", "status", "--json"}).find("\"voter\":\"c\",\"state\":\"follower\"") !=
                std::string::npos;
       },
       "its vote");
   EXPECT_NE(log_of("c").find("asks to be added"), std::string::npos);
   kill("a");  // the new one is needed for a majority now
   signal("h1", SIGTERM);
-  holds("h2");
+  wait_for_holder("h2");
   kill("c");
   // Both files: what is whole in the write-ahead log is not lost with the other.
   for (const char* const file : {"/register.sqlite", "/register.sqlite-wal"}) {
@@ -324,18 +325,19 @@
 }
 
 TEST_F(Duties, OperatorsMoveAndPauseADuty) {
-  start_all();
-  ask({"duty", "move", "work", "h2"});
-  holds("h2");
-  ask({"duty", "pause", "work"});
+  start_with_two_holders();
+  run_command({"duty", "move", "work", "h2"});
+  wait_for_holder("h2");
+  run_command({"duty", "pause", "work"});
   until([&] { return log_of("h2").find("paused by an operator") != std::string::npos; }, "the pause");
-  until([&] { return ask({"duty", "list"}).find("paused") != std::string::npos; }, "the list");
-  const auto token = written().back().token;
-  ask({"duty", "resume", "work"});
-  until([&] { return written().back().token > token; }, "the duty held again");
-  EXPECT_EQ(interleaved(written()), "");
+  until([&] { return run_command({"duty", "list"}).find("paused") != std::string::npos; }, "the list");
+  const auto token = read_effects().back().token;
+  run_command({"duty", "resume", "work"});
+  until([&] { return read_effects().back().token > token; }, "the duty held again");
+  EXPECT_EQ(find_interleaving(read_effects()), "");
   int code = 0;
-  EXPECT_NE(ask({"duty", "move", "other", "h2"}, &code).find("no duty of that name"), std::string::npos);
+  EXPECT_NE(run_command({"duty", "move", "other", "h2"}, &code).find("no duty of that name"),
+            std::string::npos);
   EXPECT_EQ(code, 1);
 }
 
--- a/tests/fleet_process.hpp
+++ b/tests/fleet_process.hpp
@@ -17,18 +17,18 @@
 class FleetProcess : public Process {
  protected:
   static constexpr int kVoters = 3;
-  static constexpr int kMostVoters = 5;
-  int named = kVoters;  // by the files that are written from now on
+  static constexpr int kMaxVoters = 5;
+  int voters_in_file = kVoters;  // by the files that are written from now on
   int lease_ms = 1000, election_ms = 200;
   std::optional<sockaddr_in> setup_server{};  // in the place of the scripted one
-  std::string fleet_more;                     // further lines of the serving processes' file
+  std::string extra_fleet_settings;           // further lines of the serving processes' file
 
   FleetProcess() {
     acme::replace_file(directory + "/config.json", config());
-    for (int i = 0; i < kMostVoters; ++i) listen_[i] = free_address();
+    for (int i = 0; i < kMaxVoters; ++i) listen_[i] = free_address();
   }
   ~FleetProcess() override {
-    if (HasFailure()) tell_logs();
+    if (HasFailure()) print_logs();
     for (const auto& [name, child] : children_) {
       ::kill(child, SIGCONT);
       ::kill(child, SIGTERM);  // holders end their programs; what does not is killed below
@@ -46,7 +46,7 @@
     std::string text =
         "directory = \"" + directory + "/" + who + ".register\"\nlease_ms = " + std::to_string(lease_ms) +
         "\nelection_ms = " + std::to_string(election_ms) + "\nheartbeat_ms = 50\nending_ms = 200\n" + more;
-    for (int i = 0; i < named; ++i) {
+    for (int i = 0; i < voters_in_file; ++i) {
       auto& relay = relays_[who + voter(i)];
       if (!relay) relay = std::make_unique<faults::Relay>(listen_[i]);
       const bool itself = who == voter(i);
@@ -76,7 +76,7 @@
     const std::string name = voter(number);
     std::string text = config();
     text.replace(text.find(address_text(address)), address_text(address).size(),
-                 address_text(callers(number)));
+                 address_text(caller_address(number)));
     if (setup_server) {
       const std::string other = address_text(listener.address());
       text.replace(text.find(other), other.size(), address_text(*setup_server));
@@ -84,17 +84,17 @@
     text.insert(1, "\"name\":\"" + name + "\",");
     const std::string path = directory + "/" + name + ".json";
     acme::replace_file(path, text);
-    std::vector<std::string> options{"--fleet", fleet_file(name, fleet_more)};
-    const auto more = options_of(name);
+    std::vector<std::string> options{"--fleet", fleet_file(name, extra_fleet_settings)};
+    const auto more = extra_options(name);
     options.insert(options.end(), more.begin(), more.end());
     children_[name] = spawn(options, (name + ".log").c_str(), path);
   }
   // What else a serving process is started with.
-  virtual std::vector<std::string> options_of(const std::string&) { return {}; }
-  void serves(const std::string& name) {
+  virtual std::vector<std::string> extra_options(const std::string&) { return {}; }
+  void wait_until_serving(const std::string& name) {
     until([&] { return log_of(name).find("serving at") != std::string::npos; }, "the start");
   }
-  sockaddr_in callers(int number) {
+  sockaddr_in caller_address(int number) {
     if (callers_.count(number) == 0) callers_[number] = free_address();
     return callers_[number];
   }
@@ -118,7 +118,7 @@
     children_.erase(name);
   }
   // It has ended by itself.
-  bool gone(const std::string& name) {
+  bool has_exited(const std::string& name) {
     if (::waitpid(children_.at(name), nullptr, WNOHANG) == 0) return false;
     children_.erase(name);
     return true;
@@ -128,16 +128,16 @@
     const rlimit nothing{0, RLIM_INFINITY};
     ASSERT_EQ(::prlimit(children_.at(name), RLIMIT_FSIZE, &nothing, nullptr), 0);
   }
-  void empty_disk_of(const std::string& name) {
+  void free_disk_of(const std::string& name) {
     const rlimit any{RLIM_INFINITY, RLIM_INFINITY};
     ASSERT_EQ(::prlimit(children_.at(name), RLIMIT_FSIZE, &any, nullptr), 0);
   }
-  bool stands(const std::string& name, const std::string& state) {
-    return ask({"fleet", "status", "--json"}).find("\"voter\":\"" + name + "\",\"state\":\"" + state) !=
-           std::string::npos;
+  bool has_state(const std::string& name, const std::string& state) {
+    return run_command({"fleet", "status", "--json"})
+               .find("\"voter\":\"" + name + "\",\"state\":\"" + state) != std::string::npos;
   }
-  void votes(const std::string& name) {
-    until([&] { return stands(name, "follower") || stands(name, "leader"); },
+  void wait_for_vote(const std::string& name) {
+    until([&] { return has_state(name, "follower") || has_state(name, "leader"); },
           ("the vote of " + name).c_str());
   }
   std::string log_of(const std::string& name) const { return read_file(directory + "/" + name + ".log"); }
@@ -149,14 +149,14 @@
     unsigned long long token = 0;
     std::string who{};
   };
-  std::vector<Effect> written() const {
+  std::vector<Effect> read_effects() const {
     std::ifstream in(effects());
     std::vector<Effect> all;
     for (Effect each; in >> each.token >> each.who;) all.push_back(each);
     return all;
   }
   // No effect of an older holding after one of a newer.
-  static std::string interleaved(const std::vector<Effect>& all) {
+  static std::string find_interleaving(const std::vector<Effect>& all) {
     for (std::size_t i = 1; i < all.size(); ++i) {
       if (all[i].token < all[i - 1].token) {
         return "effect " + std::to_string(i) + " of " + all[i].who + " came after one of " + all[i - 1].who;
@@ -164,27 +164,27 @@
     }
     return {};
   }
-  void holds(const std::string& who, unsigned long long token_over = 0) {
+  void wait_for_holder(const std::string& who, unsigned long long token_over = 0) {
     until(
         [&] {
-          const auto all = written();
+          const auto all = read_effects();
           return !all.empty() && all.back().who == who && all.back().token > token_over;
         },
         ("the duty at " + who).c_str());
     // What comes next may rely on it so much that the end of the test is never reached.
-    if (::testing::Test::HasFatalFailure()) tell_logs();
+    if (::testing::Test::HasFatalFailure()) print_logs();
   }
-  void more_work(std::size_t effects) {
-    const std::size_t before = written().size();
-    until([&] { return written().size() > before + effects; }, "the work going on");
+  void wait_for_effects(std::size_t effects) {
+    const std::size_t before = read_effects().size();
+    until([&] { return read_effects().size() > before + effects; }, "the work going on");
   }
   // Somebody else than `who` has it, under a newer token.
-  std::string successor_of(const std::string& who) {
+  std::string wait_for_successor(const std::string& who) {
     std::string now;
-    const auto before = written().back().token;
+    const auto before = read_effects().back().token;
     until(
         [&] {
-          const auto all = written();
+          const auto all = read_effects();
           if (all.back().who == who || all.back().token <= before) return false;
           now = all.back().who;
           return true;
@@ -192,7 +192,7 @@
         "a successor");
     return now;
   }
-  std::string ask(const std::vector<std::string>& command, int* code = nullptr) {
+  std::string run_command(const std::vector<std::string>& command, int* code = nullptr) {
     std::vector<std::string> options = command;
     options.insert(options.end(), {"--fleet", fleet_file("asker")});
     const int ended = exit_code_of(spawn(options, "asked"));
@@ -200,7 +200,7 @@
     return read_file(directory + "/asked");
   }
   // What the processes said at the end, for whoever reads a failure in CI: the files are gone then.
-  void tell_logs() const {
+  void print_logs() const {
     for (const auto& entry : std::filesystem::directory_iterator(directory)) {
       const std::string file = entry.path().filename();
       if (!entry.is_regular_file() || file.size() < 4 || file.substr(file.size() - 4) != ".log") continue;
@@ -214,7 +214,7 @@
   std::string leader() {
     unsigned long long newest = 0;
     std::string leads;
-    for (int i = 0; i < kMostVoters; ++i) {
+    for (int i = 0; i < kMaxVoters; ++i) {
       if (children_.count(voter(i)) == 0) continue;
       const std::string text = log_of(voter(i));
       const auto at = text.rfind("register: term ");
@@ -229,7 +229,7 @@
   }
 
  private:
-  sockaddr_in listen_[kMostVoters]{};
+  sockaddr_in listen_[kMaxVoters]{};
   std::map<int, sockaddr_in> callers_;
   std::map<std::string, std::unique_ptr<faults::Relay>> relays_;
   std::map<std::string, pid_t> children_;
--- a/tests/shared_certificates_test.cpp
+++ b/tests/shared_certificates_test.cpp
@@ -41,10 +41,10 @@
     setup.http01 = http01_;
     authority.emplace(std::move(setup));
     acme::replace_file(directory + "/roots", authority->root());
-    secret("fleet.key", 'a');
-    fleet_more = "secret_file = \"" + directory + "/fleet.key\"\nstart_wait_ms = 300\n";
+    write_secret("fleet.key", 'a');
+    extra_fleet_settings = "secret_file = \"" + directory + "/fleet.key\"\nstart_wait_ms = 300\n";
   }
-  void secret(const std::string& file, char digit) {
+  void write_secret(const std::string& file, char digit) {
     acme::replace_file(directory + "/" + file, std::string(64, digit) + "\n");
   }
   std::string certs_file(const std::string& who) {
@@ -58,7 +58,7 @@
                            "[renewal]\nfirst_wait_s = 1\n");
     return path;
   }
-  std::vector<std::string> options_of(const std::string& who) override {
+  std::vector<std::string> extra_options(const std::string& who) override {
     if (without_certificates.count(who) > 0) return {};
     return {"--certs", certs_file(who)};
   }
@@ -68,7 +68,7 @@
     return {std::istreambuf_iterator<char>(file), {}};
   }
   // All three have the same, and another than `before`.
-  void all_have_one(const std::string& before = "") {
+  void wait_for_same_certificate(const std::string& before = "") {
     until(
         [&] {
           const std::string a = certificate("a");
@@ -77,13 +77,13 @@
         "one certificate everywhere");
   }
   std::string holder() {
-    const std::string text = ask({"duty", "show", "certificates", "--json"});
+    const std::string text = run_command({"duty", "show", "certificates", "--json"});
     const auto at = text.find("\"holder\":\"");
     return at == std::string::npos ? "" : text.substr(at + 10, text.find('"', at + 10) - at - 10);
   }
   // Who has an order that the authority has taken and does not get on with. The challenge is over by then: a
   // stopped process has the port on which it is answered.
-  std::string orders_in_vain() {
+  std::string wait_for_stuck_order() {
     std::string who;
     until(
         [&] {
@@ -104,7 +104,7 @@
 
 TEST_F(FleetCertificates, OneOrdersAllServeAndOneThatIsNewHasItFromTheRegister) {
   start_fleet();
-  all_have_one();
+  wait_for_same_certificate();
   EXPECT_EQ(authority->counts().orders, 1);
   // Nothing of it can be read in the voters' disks.
   std::ifstream disk(directory + "/a.register/register.sqlite", std::ios::binary);
@@ -114,35 +114,35 @@
   kill("c");
   std::filesystem::remove_all(directory + "/c.certs");
   start_voter(2);
-  all_have_one();
+  wait_for_same_certificate();
   EXPECT_EQ(certificate("c"), first);
   // By hand, at a machine that is none of the three: the duty goes there and comes back.
   std::filesystem::create_directory(directory + "/hand.certs");
   std::filesystem::permissions(directory + "/hand.certs", std::filesystem::perms::owner_all);
-  const std::string file = fleet_file("hand", fleet_more);
+  const std::string file = fleet_file("hand", extra_fleet_settings);
   const int code =
       exit_code_of(spawn({"certs", "renew", "sip", "--file", certs_file("hand"), "--fleet", file}, "hand"));
   EXPECT_EQ(code, 0) << read_file(directory + "/hand");
-  all_have_one(first);
+  wait_for_same_certificate(first);
   EXPECT_EQ(authority->counts().certificates, 2);
 }
 
 TEST_F(FleetCertificates, AHolderKilledInAnOrderIsFollowedByOneThatFinishesIt) {
   authority->add({Fault::silent, "/certificate/", -1});
   start_fleet();
-  const std::string first = orders_in_vain();
+  const std::string first = wait_for_stuck_order();
   kill(first);
   authority->clear();
   until([&] { return !certificate(first == "a" ? "b" : "a").empty(); }, "a certificate");
   EXPECT_EQ(authority->counts().orders, 1) << "a second order was made";
   start_voter(first[0] - 'a');
-  all_have_one();
+  wait_for_same_certificate();
 }
 
 TEST_F(FleetCertificates, AHolderStoppedInAnOrderChangesNothingWhenItGoesOn) {
   authority->add({Fault::silent, "/certificate/", -1});
   start_fleet();
-  const std::string first = orders_in_vain();
+  const std::string first = wait_for_stuck_order();
   signal(first, SIGSTOP);
   const std::string other = first == "a" ? "b" : "a";
   until([&] { return !holder().empty() && holder() != first; }, "another holder");
@@ -151,21 +151,21 @@
   const std::string taken = certificate(other);
   signal(first, SIGCONT);
   until([&] { return certificate(first) == taken; }, "what the other got");
-  all_have_one();
+  wait_for_same_certificate();
   EXPECT_EQ(certificate("c"), taken);
   EXPECT_EQ(authority->counts().certificates, 1);
 }
 
 TEST_F(FleetCertificates, WithoutVotersTheyAreServedAndNothingIsRenewed) {
   start_fleet();
-  all_have_one();
+  wait_for_same_certificate();
   const std::string first = certificate("a");
   for (const char* const each : {"a", "b", "c"}) kill(each);
   start_voter(0);
-  serves("a");
+  wait_until_serving("a");
   EXPECT_NE(log_of("a").find("out of reach"), std::string::npos);
   EXPECT_EQ(certificate("a"), first);
-  const std::string file = fleet_file("a", fleet_more);
+  const std::string file = fleet_file("a", extra_fleet_settings);
   EXPECT_NE(
       exit_code_of(spawn({"certs", "renew", "sip", "--file", certs_file("a"), "--fleet", file}, "hand")), 0);
   EXPECT_EQ(certificate("a"), first);
@@ -186,14 +186,14 @@
   start_voter(1);
   until([&] { return certificate("a") == first && log_of("a").find("begins with") != std::string::npos; },
         "the register's beginning");
-  secret("other.key", 'b');
-  fleet_more = "secret_file = \"" + directory + "/other.key\"\nstart_wait_ms = 300\n";
+  write_secret("other.key", 'b');
+  extra_fleet_settings = "secret_file = \"" + directory + "/other.key\"\nstart_wait_ms = 300\n";
   start_voter(2);
   until([&] { return log_of("c").find("not sealed with this controller's secret") != std::string::npos; },
         "the complaint");
   EXPECT_EQ(certificate("c"), "");
   kill("c");
-  fleet_more = "secret_file = \"" + directory + "/fleet.key\"\nstart_wait_ms = 300\n";
+  extra_fleet_settings = "secret_file = \"" + directory + "/fleet.key\"\nstart_wait_ms = 300\n";
   start_voter(2);
   until([&] { return certificate("c") == first; }, "the certificate of before");
   EXPECT_EQ(authority->counts().orders, 1);
--- a/tests/shared_gaps_test.cpp
+++ b/tests/shared_gaps_test.cpp
@@ -22,28 +22,29 @@
 // Controllers with a list between them that takes writes as the register does: with the place expected or not
 // at all. Answers and news are late, lost and told twice; controllers are cut off and start anew from what
 // they kept.
-class Sharers {
+class SimulatedFleet {
  public:
   // The defect: whoever starts anew takes what it kept for news of its own.
-  Sharers(std::uint64_t seed, bool forgets_agreed) : random_(seed), forgets_agreed_(forgets_agreed) {
+  SimulatedFleet(std::uint64_t seed, bool restores_as_unagreed)
+      : random_(seed), restores_as_unagreed_(restores_as_unagreed) {
     for (int i = 0; i < 4; ++i) nodes_.push_back(std::make_unique<Node>());
   }
   // Empty if all ended alike and nothing that was lifted is in force.
-  std::string play() {
+  std::string run() {
     for (int i = 0; i < 400; ++i) {
       now_ += milliseconds(100);
-      step(*nodes_[pick(nodes_.size())]);
+      step(*nodes_[random_below(nodes_.size())]);
       deliver(false);
     }
     for (auto& node : nodes_) node->cut = false;
     for (int i = 0; i < 200; ++i) {
       now_ += milliseconds(100);
-      for (auto& node : nodes_) send(*node);
+      for (auto& node : nodes_) send_due(*node);
       deliver(true);
     }
     for (const auto& node : nodes_) {
       if (node->ledger.waiting() > 0) return "a change never came into the list";
-      if (node->table != in_list()) return "a controller has another list in the end";
+      if (node->table != active_entries()) return "a controller has another list in the end";
     }
     for (const auto& [id, item] : list_) {
       if (lifted_.count(item.first.rule) > 0) return "a gap came back that was lifted";
@@ -56,32 +57,32 @@
     Ledger ledger{Ledger::Bounds{}};
     std::map<std::string, Entry> table{};  // in force
     bool cut = false;
-    bool told = false;  // has had the whole list since its start
-    std::deque<std::vector<Ledger::Shown>> news{};
+    bool synced = false;  // has had the whole list since its start
+    std::deque<std::vector<Ledger::Shown>> updates{};
   };
-  std::size_t pick(std::size_t below) {
+  std::size_t random_below(std::size_t below) {
     return std::uniform_int_distribution<std::size_t>(0, below - 1)(random_);
   }
   static Entry rule(const std::string& id, std::uint64_t revision, std::size_t rate) {
     return {revision, R"({"id":")" + id + R"(","revision":)" + std::to_string(revision) +
                           R"(,"number":"7*","control":{"per_s":)" + std::to_string(rate) + "}}"};
   }
-  std::map<std::string, Entry> in_list() const {
+  std::map<std::string, Entry> active_entries() const {
     std::map<std::string, Entry> all;
     for (const auto& [id, item] : list_) {
       if (!item.first.lifted()) all[id] = item.first;
     }
     return all;
   }
-  static void take(Node& node, const std::vector<Ledger::News>& news) {
+  static void apply_news(Node& node, const std::vector<Ledger::News>& news) {
     for (const auto& each : news) {
       node.table.erase(each.id);
       if (each.entry && !each.entry->lifted()) node.table[each.id] = *each.entry;
     }
   }
   void step(Node& node) {
-    const std::string id(1, static_cast<char>('a' + pick(3)));
-    switch (pick(12)) {
+    const std::string id(1, static_cast<char>('a' + random_below(3)));
+    switch (random_below(12)) {
       case 0:
       case 1: {
         const auto known = node.table.find(id);
@@ -103,25 +104,25 @@
       }
       case 3:
         node.cut = !node.cut;
-        if (!node.cut) node.told = false;  // its watch begins anew
+        if (!node.cut) node.synced = false;  // its watch begins anew
         break;
       case 4: {  // started anew, from what it kept
         Ledger fresh{Ledger::Bounds{}};
         for (const auto& [each, entry] : node.table)
-          fresh.restore(each, entry, node.ledger.agreed(each) && !forgets_agreed_);
+          fresh.restore(each, entry, node.ledger.agreed(each) && !restores_as_unagreed_);
         node.ledger = std::move(fresh);
-        node.news.clear();
-        node.told = false;
+        node.updates.clear();
+        node.synced = false;
         break;
       }
       case 5: {  // the list-keeper takes out what was lifted long ago
-        if (node.cut || !node.told) break;
+        if (node.cut || !node.synced) break;
         for (const auto& each : node.ledger.sweep(now_)) write(each);
         for (const auto& each : node.ledger.sweep(now_ + std::chrono::hours(25))) write(each);
         break;
       }
       default:
-        send(node);
+        send_due(node);
     }
   }
   // The place that it has then, or 0.
@@ -139,14 +140,14 @@
       list_.erase(write.id);
     }
     for (auto& node : nodes_) {
-      if (node->told) node->news.push_back({{write.id, write.entry, place_}});
+      if (node->synced) node->updates.push_back({{write.id, write.entry, place_}});
     }
     return place_;
   }
-  void send(Node& node) {
+  void send_due(Node& node) {
     for (const auto& each : node.ledger.due(now_)) {
-      if (node.cut || pick(6) == 0) {
-        if (!node.cut && pick(2) == 0) write(each);  // its answer is lost
+      if (node.cut || random_below(6) == 0) {
+        if (!node.cut && random_below(2) == 0) write(each);  // its answer is lost
         node.ledger.answered(now_, each.id, Ledger::Outcome::lost);
         continue;
       }
@@ -157,22 +158,22 @@
   void deliver(bool all) {
     for (auto& node : nodes_) {
       if (node->cut) continue;
-      if (!node->told) {
-        node->news.clear();
+      if (!node->synced) {
+        node->updates.clear();
         std::vector<Ledger::Shown> whole;
         for (const auto& [id, item] : list_) whole.push_back({id, item.first, item.second});
-        take(*node, node->ledger.shown(whole, true));
-        node->told = true;
+        apply_news(*node, node->ledger.shown(whole, true));
+        node->synced = true;
       }
-      while (!node->news.empty() && (all || pick(3) == 0)) {
-        take(*node, node->ledger.shown(node->news.front(), false));
-        node->news.pop_front();
+      while (!node->updates.empty() && (all || random_below(3) == 0)) {
+        apply_news(*node, node->ledger.shown(node->updates.front(), false));
+        node->updates.pop_front();
       }
     }
   }
 
   std::mt19937_64 random_;
-  const bool forgets_agreed_;
+  const bool restores_as_unagreed_;
   Time now_ = std::chrono::hours(1);
   std::vector<std::unique_ptr<Node>> nodes_;
   std::map<std::string, std::pair<Entry, Ledger::Place>> list_;
@@ -184,13 +185,13 @@
 
 TEST(SharedGaps, ApartOrNotAllEndWithOneListAndNothingLiftedComesBack) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
-    ASSERT_EQ(Sharers(seed, false).play(), "") << "seed " << seed;
+    ASSERT_EQ(SimulatedFleet(seed, false).run(), "") << "seed " << seed;
   }
 }
 
 TEST(SharedGaps, ThatWhatWasKeptIsTakenForNewsIsFound) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
-    if (!Sharers(seed, true).play().empty()) return;
+    if (!SimulatedFleet(seed, true).run().empty()) return;
   }
   FAIL() << "no walk showed it";
 }
@@ -199,7 +200,7 @@
 
 class FleetGaps : public FleetProcess {
  protected:
-  std::vector<std::string> options_of(const std::string& who) override {
+  std::vector<std::string> extra_options(const std::string& who) override {
     if (control_.count(who) == 0) control_[who] = free_address();
     const std::string path = directory + "/" + who + ".control.toml";
     acme::replace_file(path, "listen = \"" + address_text(control_[who]) + "\"\ndirectory = \"" + directory +
@@ -215,54 +216,54 @@
   void announce(const std::string& who, const std::string& id, int rate) {
     gap(who, {"add", id, "--number", "7*", "--per-s", std::to_string(rate), "--who", who});
   }
-  std::string listed(const std::string& who) { return gap(who, {"list", "--json"}); }
-  void has(const std::string& who, const std::string& text) {
-    until([&] { return listed(who).find(text) != std::string::npos; }, (who + " with " + text).c_str());
+  std::string list_gaps(const std::string& who) { return gap(who, {"list", "--json"}); }
+  void wait_until_listed(const std::string& who, const std::string& text) {
+    until([&] { return list_gaps(who).find(text) != std::string::npos; }, (who + " with " + text).c_str());
   }
-  void has_not(const std::string& who, const std::string& text) {
-    until([&] { return listed(who).find(text) == std::string::npos; }, (who + " without " + text).c_str());
+  void wait_until_unlisted(const std::string& who, const std::string& text) {
+    until([&] { return list_gaps(who).find(text) == std::string::npos; }, (who + " without " + text).c_str());
   }
   std::map<std::string, sockaddr_in> control_;
 };
 
 TEST_F(FleetGaps, AnnouncedAnywhereTheyReachAllAndOneThatWasCutOffHearsOfThemLater) {
   start_fleet();
-  for (const char* const each : {"a", "b", "c"}) serves(each);
+  for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   announce("a", "exam", 20);
-  for (const char* const each : {"a", "b", "c"}) has(each, R"("id":"exam")");
-  has("a", R"("agreed":true)");
+  for (const char* const each : {"a", "b", "c"}) wait_until_listed(each, R"("id":"exam")");
+  wait_until_listed("a", R"("agreed":true)");
   cut_off("a", true);
   announce("b", "second", 5);
   gap("b", {"lift", "exam", "--who", "b"});
-  has("c", R"("id":"second")");
-  has_not("c", R"("id":"exam")");
+  wait_until_listed("c", R"("id":"second")");
+  wait_until_unlisted("c", R"("id":"exam")");
   announce("a", "third", 7);  // in force where it was announced, at once
-  EXPECT_NE(listed("a").find(R"("id":"exam")"), std::string::npos);
-  EXPECT_NE(listed("a").find(R"("agreed":false)"), std::string::npos);
-  EXPECT_EQ(listed("c").find("third"), std::string::npos);
+  EXPECT_NE(list_gaps("a").find(R"("id":"exam")"), std::string::npos);
+  EXPECT_NE(list_gaps("a").find(R"("agreed":false)"), std::string::npos);
+  EXPECT_EQ(list_gaps("c").find("third"), std::string::npos);
   cut_off("a", false);
-  has("a", R"("id":"second")");
-  has_not("a", R"("id":"exam")");
-  has("c", R"("id":"third")");
+  wait_until_listed("a", R"("id":"second")");
+  wait_until_unlisted("a", R"("id":"exam")");
+  wait_until_listed("c", R"("id":"third")");
 }
 
 TEST_F(FleetGaps, OfTwoAnnouncedApartOneHoldsEverywhere) {
   start_fleet();
-  for (const char* const each : {"a", "b", "c"}) serves(each);
+  for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   cut_off("a", true);
   announce("a", "exam", 11);
   announce("b", "exam", 22);
-  has("c", R"("per_s":22)");
+  wait_until_listed("c", R"("per_s":22)");
   cut_off("a", false);
-  has("a", R"("per_s":22)");
+  wait_until_listed("a", R"("per_s":22)");
   EXPECT_NE(log_of("a").find("does not hold"), std::string::npos);
 }
 
 TEST_F(FleetGaps, AStartHasTheFleetsBeforeCallsAndWithTheVotersOutOfReachItsOwnOfBefore) {
   start_fleet();
-  for (const char* const each : {"a", "b", "c"}) serves(each);
+  for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   announce("b", "exam", 20);
-  has("a", R"("id":"exam")");
+  wait_until_listed("a", R"("id":"exam")");
   until(
       [&] {
         std::ifstream file(directory + "/a.control/gaps.rules");
@@ -271,46 +272,47 @@
       "the own file");
   kill("a");
   announce("b", "second", 5);
-  has("c", R"("id":"second")");
-  has("c", R"("agreed":true)");
+  wait_until_listed("c", R"("id":"second")");
+  wait_until_listed("c", R"("agreed":true)");
   start_voter(0);
-  serves("a");
+  wait_until_serving("a");
   EXPECT_NE(log_of("a").find("2 gaps of the fleet's list"), std::string::npos) << log_of("a");
   EXPECT_LT(log_of("a").find("gaps of the fleet's list"), log_of("a").find("serving at"));
   for (const char* const each : {"a", "b", "c"}) kill(each);
-  fleet_more = "start_wait_ms = 200\n";
+  extra_fleet_settings = "start_wait_ms = 200\n";
   start_voter(0);
-  serves("a");
+  wait_until_serving("a");
   EXPECT_NE(log_of("a").find("out of reach"), std::string::npos);
-  EXPECT_NE(listed("a").find(R"("id":"exam")"), std::string::npos) << log_of("a");
+  EXPECT_NE(list_gaps("a").find(R"("id":"exam")"), std::string::npos) << log_of("a");
   start_voter(1);
   start_voter(2);
-  has("a", R"("id":"second")");
+  wait_until_listed("a", R"("id":"second")");
 }
 
 // What was told to be in the list is there for ever, whoever dies while more is written.
 TEST_F(FleetGaps, WhatWasAgreedOnIsKeptThroughKillsInTheMiddleOfWrites) {
   start_fleet();
-  for (const char* const each : {"a", "b", "c"}) serves(each);
+  for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   for (int round = 0; round < 4; ++round) {
     const int victim = round % 2 == 0 ? 0 : 2;
     const std::string id = "g" + std::to_string(round);
     announce("b", id + "x", 1);
-    has("b", R"("agreed":true)");
+    wait_until_listed("b", R"("agreed":true)");
     announce("b", id + "y", 2);  // on its way when the voter dies
     kill(voter(victim));
     announce("b", id + "z", 3);
     start_voter(victim);
-    serves(voter(victim));
+    wait_until_serving(voter(victim));
   }
-  until([&] { return listed("b").find(R"("agreed":false)") == std::string::npos; }, "all of them agreed on");
+  until([&] { return list_gaps("b").find(R"("agreed":false)") == std::string::npos; },
+        "all of them agreed on");
   for (const char* const each : {"a", "b", "c"}) kill(each);
   for (int i = 0; i < kVoters; ++i) start_voter(i);
   for (const char* const each : {"a", "b", "c"}) {
-    serves(each);
+    wait_until_serving(each);
     for (int round = 0; round < 4; ++round) {
       for (const char* const part : {"x", "y", "z"}) {
-        has(each, "\"id\":\"g" + std::to_string(round) + part + "\"");
+        wait_until_listed(each, "\"id\":\"g" + std::to_string(round) + part + "\"");
       }
     }
   }
