--- a/tests/duty_clocks_test.cpp
+++ b/tests/duty_clocks_test.cpp
@@ -1,4 +1,5 @@
-// Duties among processes whose clocks are wrong: the wall clock set back, steady clocks that run apart.
+// Duties among processes with wrong clocks: a wall clock that is set back, and steady clocks that run at
+// different rates.
 #include <gtest/gtest.h>
 
 #include "fleet_process.hpp"
@@ -8,7 +9,7 @@
 
 class DutyClocks : public FleetProcess {
  protected:
-  // Each process that is started gets a clock of its own.
+  // Gives the next process to be started a clock of its own.
   void use_clock(const std::string& who, std::int64_t wall_us = 0) {
     set_clock(who, wall_us, rates.count(who) ? rates.at(who) : 1);
     environment = {{"LD_PRELOAD", QUARTZARCH_SKEWED_CLOCK},
@@ -34,15 +35,16 @@
       if (read_effects().empty()) wait_for_holder(who);
     }
   }
-  std::map<std::string, double> rates;  // of the steady clocks, from each start on; 1 if it is not named
+  std::map<std::string, double>
+      rates;  // rates of the steady clocks, by process, as from its next start; 1 if absent
   std::string path(const std::string& who) const { return directory + "/" + who + ".clock"; }
 };
 
 constexpr std::int64_t kHour = 3600LL * 1000 * 1000;
 
-// Nothing that decides looks at the wall clock. A process that starts with an earlier one than its last life
-// had (a lower incarnation) is another session all the same.
-TEST_F(DutyClocks, TheWallClockSetBackAnHourChangesNoHolderAndKeepsNobodyOut) {
+// No decision depends on the wall clock. A process that starts with an earlier wall clock than its
+// predecessor had (a lower incarnation) gets a new session all the same.
+TEST_F(DutyClocks, SettingTheWallClockBackAnHourChangesNoHolderAndExcludesNobody) {
   lease_ms = 2000;
   start_fleet_with_clocks();
   const auto token = read_effects().back().token;
@@ -52,7 +54,7 @@
   EXPECT_EQ(read_effects().back().who, "h1");
   kill("h1");
   wait_for_holder("h2", token);
-  use_clock("h1", -2 * kHour);  // before its last life
+  use_clock("h1", -2 * kHour);  // earlier than in its previous run
   start_holder("h1");
   until(
       [&] {
@@ -65,8 +67,8 @@
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-// A twentieth apart, the holder's the slower: what the lease allows for.
-TEST_F(DutyClocks, SteadyClocksApartByTheDriftLeaveNoTwoHolders) {
+// The rates differ by 5 %, with the holder the slower: the drift that the lease allows for.
+TEST_F(DutyClocks, ClocksWithinTheAllowedDriftCauseNoDoubleHolder) {
   rates = {{"a", 1.024}, {"b", 1.024}, {"c", 1.024}, {"h1", 0.976}};
   start_fleet_with_clocks();
   wait_for_effects(50);
@@ -76,8 +78,9 @@
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-// What is beyond it shows: the rig's clocks are wrong indeed, and the check finds two holders.
-TEST_F(DutyClocks, AClockThatRunsAtAThirdHoldsBeyondItsLease) {
+// With more drift than allowed the checker has to find two holders, which shows that the test's clocks have
+// an effect.
+TEST_F(DutyClocks, AClockAtAThirdOfItsRateOutlivesItsLease) {
   rates = {{"h1", 0.33}};
   start_fleet_with_clocks();
   wait_for_effects(50);
--- a/tests/duty_faults_test.cpp
+++ b/tests/duty_faults_test.cpp
@@ -1,5 +1,5 @@
-// Duties among several processes of the program under faults that last: links that flap and trickle, a full
-// disk, many who ask at once, and all voters restarted one after the other while calls go on.
+// Duties among several processes of the program under lasting faults: links that flap or trickle, a full
+// disk, many candidates at once, and a rolling restart of all voters under calls.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -19,7 +19,7 @@
     for (const Effect& each : read_effects()) tokens.insert(each.token);
     return tokens.size();
   }
-  // One call at that controller, from the request to the word that it stands.
+  // Sends a call to that controller and waits for the message that it is set up.
   void complete_call(const std::string& who) {
     Peer& gateway = gateways_[who];
     if (!gateway) gateway = Peer::connect(caller_address(who[0] - 'a'));
@@ -32,8 +32,8 @@
   CallId last_call_ = 0xaa00;
 };
 
-// Half of the time nothing passes; the links are whole for 200 ms at a time, a renewal's interval is 250 ms.
-TEST_F(DutyFaults, LinksThatFlapChangeTheHolderSeldomAndNeverMakeTwo) {
+// Links pass nothing half of the time and are up for 200 ms at a time; a lease is renewed every 250 ms.
+TEST_F(DutyFaults, FlappingLinksRarelyChangeTheHolderAndNeverCauseTwo) {
   start_fleet();
   start_holder("h1");
   wait_for_holder("h1");
@@ -49,8 +49,8 @@
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-// A byte a millisecond: a renewal and its answer take most of its interval, each way.
-TEST_F(DutyFaults, LinksThatTrickleLeaveOneHolder) {
+// Links pass one byte per millisecond: a renewal and its reply take most of the renewal interval each way.
+TEST_F(DutyFaults, SlowLinksLeaveOneHolder) {
   start_fleet();
   start_holder("h1");
   wait_for_holder("h1");
@@ -66,7 +66,7 @@
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-TEST_F(DutyFaults, OfTwelveThatAskAtOnceOneHoldsAndEachDeathIsFollowedByOne) {
+TEST_F(DutyFaults, OneOfTwelveCandidatesHoldsAndEachKilledHolderHasOneSuccessor) {
   start_fleet();
   for (int i = 1; i <= 12; ++i) start_holder("h" + std::to_string(i));
   until([&] { return !read_effects().empty(); }, "a holder");
@@ -79,8 +79,9 @@
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-// Another leads, the holder stays in office, the process serves calls; started again it votes again.
-TEST_F(DutyFaults, ALeaderWhoseDiskIsFullVotesNoMoreAndServesOn) {
+// A leader whose disk is full stops voting and another voter leads; the holder keeps its duty, the process
+// serves calls, and the voter votes again once there is room.
+TEST_F(DutyFaults, ALeaderWithAFullDiskStopsVotingAndKeepsServing) {
   lease_ms = 4000;
   start_fleet();
   start_holder("h1");
@@ -89,20 +90,20 @@
   Peer server;
   until([&] { return static_cast<bool>(server = listener.accept()); }, "a connection to the setup server");
   fill_disk_of(first);
-  until([&] { return has_state(first, "failed"); }, "the failure told");
+  until([&] { return has_state(first, "failed"); }, "the failure reported");
   until([&] { return leader() != first && !leader().empty(); }, "another leader");
   wait_for_effects(400);  // for longer than two leases
   EXPECT_EQ(count_holdings(), 1u);
   Peer gateway = Peer::connect(caller_address(first[0] - 'a'));
   gateway.say(binary(52, 7, {{208, std::string(1, 0)}}));
   hears(gateway, binary(53, 7).substr(2));
-  free_disk_of(first);  // there is room again: no restart is needed
+  free_disk_of(first);  // the disk has room again: no restart is needed
   wait_for_vote(first);
   wait_for_effects(20);
   EXPECT_EQ(count_holdings(), 1u);
 }
 
-TEST_F(DutyFaults, AllVotersRestartedInTurnUnderLoadFailNoCallAndLeaveTheHolder) {
+TEST_F(DutyFaults, ARollingRestartUnderLoadFailsNoCallAndKeepsTheHolder) {
   standin::SetupServer::Options options;
   options.listen = any_port();
   options.set_up_work = milliseconds(0);
@@ -141,9 +142,9 @@
   EXPECT_GT(last_call_ - 0xaa00, 30u);
 }
 
-// An election takes longer than a lease here: were leadership not handed over, the holder would be restarted
-// of office before the next leader is there.
-TEST_F(DutyFaults, ALeaderStoppedInOrderIsFollowedBeforeAnyLeaseRunsOut) {
+// An election takes longer than a lease here: unless leadership is transferred, the holder's lease ends
+// before the next leader is elected.
+TEST_F(DutyFaults, AnOrderlyStopOfTheLeaderLetsNoLeaseExpire) {
   election_ms = 2500;
   lease_ms = 2000;
   start_fleet();
@@ -163,19 +164,19 @@
       [&] {
         return said = run_command({"fleet", "lead", first}, &code), code == 0;
       },
-      "being handed over by hand");
-  until([&] { return leader() == first; }, "the first leading again");
+      "the requested leadership transfer");
+  until([&] { return leader() == first; }, "the first leader leading again");
   wait_for_effects(20);
   EXPECT_EQ(count_holdings(), 1u) << "the duty changed hands";
   run_command({"fleet", "lead", "nobody"}, &code);
   EXPECT_EQ(code, 1);
 }
 
-// From three voters to five and back while a duty is held, one step at a time.
-TEST_F(DutyFaults, VotersAreAddedAndTakenOutWhileADutyIsHeld) {
+// From three voters to five and back while a duty is held, one membership change at a time.
+TEST_F(DutyFaults, VotersAreAddedAndRemovedWhileADutyIsHeld) {
   lease_ms = 10000;
   start_fleet();
-  voters_in_file = 5;  // whoever holds must reach each that may lead
+  voters_in_file = 5;  // the holder has to reach each voter that may lead
   start_holder("h1");
   wait_for_holder("h1");
   const auto restart = [&](int number) {
@@ -190,7 +191,7 @@
     wait_for_vote(voter(i));
   }
   kill("a");
-  kill("d");  // three of five are there
+  kill("d");  // three of five are up
   wait_for_effects(20);
   start_voter(0);
   start_voter(3);
@@ -208,9 +209,9 @@
   for (int i = 0; i < 3; ++i) restart(i);
   for (const char* const each : {"d", "e"}) {
     kill(each);
-    until([&] { return run_command({"fleet", "remove", each}, &code), code == 0; }, "its being taken out");
+    until([&] { return run_command({"fleet", "remove", each}, &code), code == 0; }, "the removal");
   }
-  kill("b");  // two of three are there
+  kill("b");  // two of three are up
   wait_for_effects(20);
   until(
       [&] {
--- a/tests/duty_history_test.cpp
+++ b/tests/duty_history_test.cpp
@@ -1,5 +1,6 @@
-// Faults drawn by chance among processes of the program, and a history of what clients of the register did
-// and saw meanwhile. QUARTZARCH_SEED draws others; the seed is printed with a failure.
+// Random faults among processes of the program, with a recorded history of the operations of the register's
+// clients that is checked for linearizability. QUARTZARCH_SEED selects the faults; the seed is printed with a
+// failure.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -35,7 +36,7 @@
       client.recorder = std::make_unique<faults::Recorder>(history_, i, ask, seed * 31 + i);
     }
   }
-  // Until so many more operations have begun, with an answer or without.
+  // Runs the clients until that many more operations have begun, whether or not they were answered.
   void record(std::size_t operations) {
     const std::size_t before = history_.operations().size();
     until(
@@ -44,9 +45,9 @@
           loop_.pass(milliseconds(2));
           return history_.operations().size() >= before + operations;
         },
-        "the clients going on");
+        "more operations of the clients");
   }
-  // Reads of every key, each until there is an answer: no write that was acknowledged is lost.
+  // Reads every key until there is a reply: no acknowledged write may be lost.
   void read_all() {
     Client& client = clients_[0];
     for (unsigned key = 0; key < faults::Recorder::kKeys; ++key) {
@@ -64,7 +65,7 @@
     }
   }
 
-  // One fault, and what ends it.
+  // Injects a random fault and returns a function that ends it.
   std::function<void()> inject(std::mt19937_64& random) {
     const std::string victim = voter(static_cast<int>(random() % kVoters));
     const std::string holder = random() % 2 == 0 ? "h1" : "h2";
@@ -90,8 +91,8 @@
         injected_faults_ += " cut off " + victim;
         cut_off(victim, true);
         return [this, victim] { cut_off(victim, false); };
-      case 3: {  // the leader hears nothing of the clients but what arrives late
-        injected_faults_ += " hold what clients say";
+      case 3: {  // what clients send arrives late at the leader
+        injected_faults_ += " delay what clients send";
         std::vector<std::string> clients(everybody.begin() + 3, everybody.end());
         all(clients, [&](const std::string& who) {
           links(who, [](faults::Relay& relay) { relay.hold(faults::Way::there); });
@@ -101,7 +102,7 @@
         };
       }
       case 4:
-        injected_faults_ += " hold what " + victim + " hears back";
+        injected_faults_ += " delay replies to " + victim;
         links(victim, [](faults::Relay& relay) { relay.hold(faults::Way::back); });
         return [=, this] { links(victim, [](faults::Relay& relay) { relay.pass(); }); };
       case 5:
@@ -117,7 +118,7 @@
         kill(holder);
         return [this, holder] { start_holder(holder); };
       default:
-        injected_faults_ += " trickle to " + victim;
+        injected_faults_ += " slow links to " + victim;
         all(everybody, [&](const std::string& who) {
           if (who != victim) link(who, victim).trickle();
         });
@@ -135,7 +136,7 @@
   std::string injected_faults_;  // the faults, in order
 };
 
-TEST_F(DutyHistory, OfRandomFaultsIsOneThatOneRegisterCouldShowAndDutiesDoNotOverlap) {
+TEST_F(DutyHistory, IsLinearizableUnderRandomFaultsAndHoldingsDoNotOverlap) {
   const char* const given = std::getenv("QUARTZARCH_SEED");
   const std::uint64_t seed = given ? std::strtoull(given, nullptr, 10) : 1;
   const char* const how_many = std::getenv("QUARTZARCH_FAULTS");
@@ -156,7 +157,7 @@
   wait_for_effects(20);
   read_all();
   const std::string context =
-      "QUARTZARCH_SEED=" + std::to_string(seed) + " draws these again:" + injected_faults_;
+      "QUARTZARCH_SEED=" + std::to_string(seed) + " reproduces these faults:" + injected_faults_;
   EXPECT_EQ(history_.judge(), "") << context;
   EXPECT_EQ(find_interleaving(read_effects()), "") << context;
   EXPECT_GT(history_.answered(), history_.operations().size() / 2) << context;
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -1,5 +1,6 @@
-// Duties: the register and the lease managers in virtual time under random faults, and the checkers by
-// defects that are switched on here only.
+// Tests of duties: the register and the lease managers in virtual time under random faults, defects that are
+// switched on to show that the checkers detect them, and several processes of the program with faults between
+// them.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -15,7 +16,7 @@
 constexpr std::uint64_t kDefaultWalks = 40;
 #else
 constexpr std::uint64_t kDefaultWalks = 20;
-// libraft loses the 16 bytes of a snapshot's list of buffers where the disk fails under a snapshot.
+// libraft leaks the 16 bytes of a snapshot's list of buffers if the disk fails while the snapshot is stored.
 extern "C" const char* __lsan_default_suppressions() { return "leak:libraft.so\n"; }
 #endif
 
@@ -25,16 +26,16 @@
 using faults::WorldSettings;
 using std::chrono::milliseconds;
 
-// QUARTZARCH_SEED replays one walk and prints its timeline; QUARTZARCH_WALKS sets how many there are.
+// QUARTZARCH_SEED replays one walk and prints its timeline; QUARTZARCH_WALKS sets the number of walks.
 std::uint64_t environment_number(const char* name, std::uint64_t fallback) {
   const char* const text = std::getenv(name);
   return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
-TEST(Walk, NobodyHoldsTwiceNothingIsLostAndAllSettles) {
+TEST(Walk, RandomFaultsCauseNoDoubleHolderAndNoLostWrite) {
   const std::uint64_t replay = environment_number("QUARTZARCH_SEED", 0);
   const std::uint64_t walks = environment_number("QUARTZARCH_WALKS", kDefaultWalks);
-  std::vector<std::uint64_t> seeds = {95, 179, 199, 354};  // showed faults that are mended (docs/duties.md)
+  std::vector<std::uint64_t> seeds = {95, 179, 199, 354};  // found bugs that are fixed now (docs/duties.md)
   for (std::uint64_t seed = 1; seed <= walks; ++seed) seeds.push_back(seed);
   if (replay != 0) seeds = {replay};
   for (const std::uint64_t seed : seeds) {
@@ -47,16 +48,16 @@
     settings.stops_only = seed % 10 == 5;
     if (replay != 0) settings.timeline = stdout;
     const faults::Seen seen = faults::walk(settings);
-    ASSERT_EQ(seen.fault, "") << "QUARTZARCH_SEED=" << seed << " shows it again";
+    ASSERT_EQ(seen.fault, "") << "QUARTZARCH_SEED=" << seed << " reproduces it";
     EXPECT_GT(seen.effects, 100u) << seed;
     EXPECT_GT(seen.increments, 5u) << seed;
     EXPECT_GT(seen.history, 100u) << seed;
   }
 }
 
-// For a minute; a cut breaks every connection that is used in it, and leases of 1.5 s are renewed in the 200
-// ms between two cuts, or lost. The bound is stated in docs/duties.md.
-TEST(Walk, LinksThatFlapForAMinuteChangeTheHolderSeldom) {
+// Links flap for a minute. A cut breaks every connection that is used during it, so leases of 1.5 s are
+// either renewed in the 200 ms between two cuts or lost. The bound is stated in docs/duties.md.
+TEST(Walk, FlappingLinksRarelyChangeTheHolder) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     WorldSettings settings;
     settings.seed = seed;
@@ -69,7 +70,7 @@
   }
 }
 
-// ---- One voter by hand: what libraft 0.15 tells of its log, and the log's end after an undoing
+// ---- A single voter: what libraft 0.15 reports of its log, and the end of the log after a truncation
 
 class LastSent : public reg::Transport {
  public:
@@ -77,7 +78,7 @@
   std::string last;
 };
 
-TEST(Node, TellsANewLeaderOnlyWhatWasComparedWithItsLog) {
+TEST(Node, ReportsOnlyComparedLogEntriesToANewLeader) {
   faults::MemoryDisk disk;
   LastSent sent;
   reg::NodeSettings settings;
@@ -103,14 +104,14 @@
   };
   using Figures = std::vector<std::uint64_t>;  // term, rejected, last index
   EXPECT_EQ(append(2, 1, 1, 4), (Figures{2, 0, 5}));
-  // Of a leader that has none of those four: its heartbeat compares the first entry only.
-  EXPECT_EQ(append(3, 1, 1, 0), (Figures{3, 0, 1})) << "entries 2 to 5 are not this leader's";
+  // From a leader that has none of those four entries: its heartbeat compares the first entry only.
+  EXPECT_EQ(append(3, 1, 1, 0), (Figures{3, 0, 1})) << "entries 2 to 5 are not from this leader";
   EXPECT_EQ(append(3, 1, 1, 2), (Figures{3, 0, 3}));
-  EXPECT_FALSE(node.failed()) << "its log goes on where it was cut";
+  EXPECT_FALSE(node.failed()) << "its log continues where it was truncated";
   EXPECT_EQ(disk.load().entries.size(), 3u);
 }
 
-// ---- The judge of histories, by small ones
+// ---- The checker of histories, on small ones
 
 faults::Operation did(faults::Did what, const char* value, int from, int to) {
   faults::Operation o;
@@ -127,26 +128,27 @@
   return history.judge();
 }
 
-TEST(History, IsJudgedByWhatOneRegisterCouldHaveShown) {
+TEST(History, IsCheckedForLinearizability) {
   using faults::Did;
   const auto a = did(Did::put, "a", 0, 10), b = did(Did::put, "b", 20, 30);
   EXPECT_EQ(check_history({a, b, did(Did::read, "b", 40, 50)}), "");
-  EXPECT_NE(check_history({a, b, did(Did::read, "a", 40, 50)}), "") << "older than what was written before";
-  EXPECT_EQ(check_history({a, b, did(Did::read, "a", 25, 50)}), "") << "beside the write";
+  EXPECT_NE(check_history({a, b, did(Did::read, "a", 40, 50)}), "") << "older than the last completed write";
+  EXPECT_EQ(check_history({a, b, did(Did::read, "a", 25, 50)}), "") << "concurrent with the write";
   EXPECT_NE(check_history({a, b, did(Did::read, "b", 22, 24), did(Did::read, "a", 25, 28)}), "")
-      << "and back";
+      << "a later read returns an older value";
   const auto lost = did(Did::put, "c", 60, 0);
-  EXPECT_EQ(check_history({a, lost, did(Did::read, "a", 70, 80), did(Did::read, "c", 90, 95)}), "") << "late";
+  EXPECT_EQ(check_history({a, lost, did(Did::read, "a", 70, 80), did(Did::read, "c", 90, 95)}), "")
+      << "a lost write may take effect late";
   EXPECT_NE(check_history({a, lost, did(Did::read, "c", 70, 80), did(Did::read, "a", 90, 95)}), "");
-  EXPECT_NE(check_history({a, did(Did::read, "c", 40, 50)}), "") << "written by nobody";
+  EXPECT_NE(check_history({a, did(Did::read, "c", 40, 50)}), "") << "a value that was never written";
   auto swap = did(Did::swap, "d", 40, 50), other = did(Did::swap, "e", 45, 55);
   swap.expected = other.expected = "a";
-  EXPECT_NE(check_history({a, swap, other}), "") << "both in the place of one";
+  EXPECT_NE(check_history({a, swap, other}), "") << "both replaced the same value";
   other.refused = true, other.seen = "d";
   EXPECT_EQ(check_history({a, swap, other}), "");
   auto early = did(Did::put, "f", 0, 10), late = did(Did::put, "g", 20, 30);
   early.revision = 9, late.revision = 8;
-  EXPECT_NE(check_history({early, late}), "") << "revisions only grow";
+  EXPECT_NE(check_history({early, late}), "") << "revisions never decrease";
 }
 
 struct Defect {
@@ -157,21 +159,23 @@
 
 class Defects : public ::testing::TestWithParam<Defect> {};
 
-// Each is found by the same checkers, on days with more faults: the voters' by those among voters.
-TEST_P(Defects, IsFound) {
+// Each defect has to be detected by the checkers of the walks, at a higher rate of faults; those of a voter,
+// at faults among voters only.
+TEST_P(Defects, IsDetected) {
   for (std::uint64_t walks = 1; walks <= 150; ++walks) {
     WorldSettings settings;
     settings.seed = walks;
     settings.faults_a_second = 4;
-    settings.hand_overs = false;  // a library whose ground is gone may stop itself before a checker speaks
+    settings.hand_overs =
+        false;  // with a defective disk the library may abort before a checker reports the defect
     GetParam().seed(settings);
     const std::string fault = faults::walk(settings).fault;
     if (fault.empty()) continue;
-    std::printf("%s: found after %llu walks: %s\n", GetParam().name, static_cast<unsigned long long>(walks),
-                fault.c_str());
+    std::printf("%s: detected after %llu walks: %s\n", GetParam().name,
+                static_cast<unsigned long long>(walks), fault.c_str());
     return;
   }
-  FAIL() << GetParam().name << " was not found";
+  FAIL() << GetParam().name << " was not detected";
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -203,43 +207,44 @@
   }
 };
 
-TEST_F(Duties, AKilledHoldersDutyGoesOnElsewhereUnderANewerToken) {
+TEST_F(Duties, AKilledHoldersDutyContinuesElsewhereUnderANewerToken) {
   start_with_two_holders();
   kill("h1");
   wait_for_holder("h2", read_effects().back().token);
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-// Stopped for longer than its lease, in the middle of its work: its guardian has ended the program.
-TEST_F(Duties, AStoppedHolderWritesNothingOnceAnotherHasBegun) {
+// A holder stopped for longer than its lease, in the middle of its work: its supervisor process has ended the
+// program.
+TEST_F(Duties, AStoppedHolderWritesNothingAfterItsSuccessorBegan) {
   start_with_two_holders();
   signal("h1", SIGSTOP);
   EXPECT_EQ(wait_for_successor("h1"), "h2");
   signal("h1", SIGCONT);
-  until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its own end told");
+  until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its own end in the log");
   signal("h2", SIGTERM);
   wait_for_holder("h1", read_effects().back().token);
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-TEST_F(Duties, AHolderThatIsCutOffFromTheVotersStopsBeforeItsSuccessorBegins) {
+TEST_F(Duties, AHolderCutOffFromTheVotersStopsBeforeItsSuccessorBegins) {
   start_with_two_holders();
   cut_off("h1", true);
   EXPECT_EQ(wait_for_successor("h1"), "h2");
-  cut_off("h1", false);  // what was held arrives late: renewals of a session that is over
+  cut_off("h1", false);  // held-back renewals arrive late, for a session that has ended
   until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its end");
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-// One way: its renewals arrive, the answers do not. It knows of no renewal and must stop.
-TEST_F(Duties, AHolderThatHearsNoAnswersStops) {
+// Renewals arrive at the voters, but no replies come back. The holder knows of no renewal and has to stop.
+TEST_F(Duties, AHolderThatReceivesNoRepliesStops) {
   start_with_two_holders();
   for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).hold(faults::Way::back);
   EXPECT_EQ(wait_for_successor("h1"), "h2");
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-TEST_F(Duties, HandedOnInOrderTheNextBeginsWithoutWaitingForTheLease) {
+TEST_F(Duties, AnOrderlyHandoverDoesNotWaitForTheLease) {
   start_with_two_holders();
   signal("h1", SIGTERM);
   wait_for_holder("h2");
@@ -249,7 +254,7 @@
 }
 
 TEST_F(Duties, TheLeadersDeathLeavesTheHolderInOffice) {
-  lease_ms = 10000;  // many elections long, however slow the machine
+  lease_ms = 10000;  // many election timeouts, so that a slow machine does not let it expire
   start_with_two_holders();
   const std::string first = leader();
   kill(first);
@@ -260,8 +265,9 @@
   EXPECT_EQ(read_effects().back().token, token) << "the duty changed hands although its holder lived";
 }
 
-// Two of three voters gone: nobody may take a duty up, the holder stops, calls are served; all comes back.
-TEST_F(Duties, WithoutAMajorityNobodyHoldsAndCallsGoOn) {
+// With two of three voters dead, no duty can be acquired and the holder stops, but calls are served.
+// Everything recovers when the voters return.
+TEST_F(Duties, WithoutAMajorityNobodyHoldsAndCallsAreServed) {
   start_with_two_holders();
   kill(voter(0));
   kill(voter(1));
@@ -283,7 +289,7 @@
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-TEST_F(Duties, AllVotersKilledAtOnceKnowEverythingWhenTheyStartAgain) {
+TEST_F(Duties, TheRegisterSurvivesKillingAllVoters) {
   start_with_two_holders();
   const auto token = read_effects().back().token;
   for (int i = 0; i < kVoters; ++i) kill(voter(i));
@@ -295,8 +301,9 @@
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
-// An empty disk comes back as a new member; a torn one is told in one line and does not vote.
-TEST_F(Duties, AVoterThatLostItsDiskIsAddedAnewAndATornOneIsToldAtTheStart) {
+// A voter with an empty disk joins as a new member; one with a corrupt disk fails at the start with one line
+// and does not vote.
+TEST_F(Duties, AVoterThatLostItsDiskRejoinsAndACorruptDiskIsReportedAtTheStart) {
   start_with_two_holders();
   const std::string path = directory + "/c.register";
   kill("c");
@@ -310,11 +317,11 @@
       },
       "its vote");
   EXPECT_NE(log_of("c").find("asks to be added"), std::string::npos);
-  kill("a");  // the new one is needed for a majority now
+  kill("a");  // the new voter is needed for a majority now
   signal("h1", SIGTERM);
   wait_for_holder("h2");
   kill("c");
-  // Both files: what is whole in the write-ahead log is not lost with the other.
+  // Both files, since intact data in the write-ahead log would survive the loss of the other.
   for (const char* const file : {"/register.sqlite", "/register.sqlite-wal"}) {
     std::ofstream torn(path + file, std::ios::in | std::ios::out | std::ios::binary);
     torn << std::string(8192, 'x');
@@ -341,7 +348,7 @@
   EXPECT_EQ(code, 1);
 }
 
-TEST(FleetFile, EachMistakeIsToldWithLineAndKey) {
+TEST(FleetFile, ErrorsNameLineAndKey) {
   const std::string good =
       "directory = \"r\"\n[[voter]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n[[voter]]\nname = \"b\"\n"
       "address = \"127.0.0.1:2\"\n[[voter]]\nname = \"c\"\naddress = \"127.0.0.1:3\"\n";
@@ -357,7 +364,7 @@
   for (const auto& [text, said] : bad) {
     try {
       fleet::parse_fleet(text);
-      ADD_FAILURE() << "taken: " << text;
+      ADD_FAILURE() << "accepted: " << text;
     } catch (const ConfigError& error) {
       EXPECT_NE(std::string(error.what()).find(said), std::string::npos) << error.what();
     }
--- a/tests/fleet_process.hpp
+++ b/tests/fleet_process.hpp
@@ -1,6 +1,5 @@
-// The shared helper of the stories of several processes: voters that serve calls, holders of a duty, and a
-// relay on every link from each of them to each voter. Each story waits for what it names; none looks at a
-// clock.
+// Fixture for tests of several processes: voters that serve calls, holders of a duty, and a relay on every
+// link from each process to each voter. Tests wait for the events that they name; none depends on a duration.
 #pragma once
 
 #include <sys/resource.h>
@@ -18,10 +17,10 @@
  protected:
   static constexpr int kVoters = 3;
   static constexpr int kMaxVoters = 5;
-  int voters_in_file = kVoters;  // by the files that are written from now on
+  int voters_in_file = kVoters;  // voters named by the settings files written from now on
   int lease_ms = 1000, election_ms = 200;
-  std::optional<sockaddr_in> setup_server{};  // in the place of the scripted one
-  std::string extra_fleet_settings;           // further lines of the serving processes' file
+  std::optional<sockaddr_in> setup_server{};  // replaces the scripted setup server
+  std::string extra_fleet_settings;           // further lines of the serving processes' settings file
 
   FleetProcess() {
     acme::replace_file(directory + "/config.json", config());
@@ -31,7 +30,7 @@
     if (HasFailure()) print_logs();
     for (const auto& [name, child] : children_) {
       ::kill(child, SIGCONT);
-      ::kill(child, SIGTERM);  // holders end their programs; what does not is killed below
+      ::kill(child, SIGTERM);  // holders end their programs; processes that do not exit are killed below
     }
     for (const auto& [name, child] : children_) {
       for (int i = 0; i < 3000 && ::waitpid(child, nullptr, WNOHANG) == 0; ++i) ::poll(nullptr, 0, 1);
@@ -41,7 +40,7 @@
   }
 
   static std::string voter(int number) { return std::string(1, static_cast<char>('a' + number)); }
-  // The file by which `who` sees the fleet: every voter behind a relay of its own, but itself.
+  // Writes the settings file of `who`, in which every voter but itself is behind a relay of its own.
   std::string fleet_file(const std::string& who, const std::string& more = "") {
     std::string text =
         "directory = \"" + directory + "/" + who + ".register\"\nlease_ms = " + std::to_string(lease_ms) +
@@ -58,6 +57,7 @@
     return path;
   }
   faults::Relay& link(const std::string& from, const std::string& to) { return *relays_.at(from + to); }
+  // Holds back everything on the links of `who`, or passes it on again.
   void cut_off(const std::string& who, bool cut) {
     for (auto& [ends, relay] : relays_) {
       const bool of = ends.substr(0, ends.size() - 1) == who || ends.substr(ends.size() - 1) == who;
@@ -71,7 +71,7 @@
     const pid_t child = spawn({"fleet", "init", "--fleet", file, "--name", voter(number)}, "init");
     ASSERT_EQ(exit_code_of(child), 0) << read_file(directory + "/init");
   }
-  // A serving process that is a voter. Each has a port of its own for callers.
+  // Starts a serving process that is a voter, with a port of its own for callers.
   void start_voter(int number) {
     const std::string name = voter(number);
     std::string text = config();
@@ -89,7 +89,7 @@
     options.insert(options.end(), more.begin(), more.end());
     children_[name] = spawn(options, (name + ".log").c_str(), path);
   }
-  // What else a serving process is started with.
+  // Further options of a serving process.
   virtual std::vector<std::string> extra_options(const std::string&) { return {}; }
   void wait_until_serving(const std::string& name) {
     until([&] { return log_of(name).find("serving at") != std::string::npos; }, "the start");
@@ -103,7 +103,7 @@
     for (int i = 0; i < kVoters; ++i) start_voter(i);
     until([&] { return !leader().empty(); }, "a leader");
   }
-  // Holds the duty "work" and writes its token into the one file of all, again and again.
+  // Starts a process that holds the duty "work" and repeatedly writes its token into a file shared by all.
   void start_holder(const std::string& name) {
     const std::string script =
         "while :; do echo $QUARTZARCH_TOKEN " + name + " >> " + effects() + "; sleep 0.02; done";
@@ -117,13 +117,13 @@
     ::waitpid(children_.at(name), nullptr, 0);
     children_.erase(name);
   }
-  // It has ended by itself.
+  // True once the process has exited by itself.
   bool has_exited(const std::string& name) {
     if (::waitpid(children_.at(name), nullptr, WNOHANG) == 0) return false;
     children_.erase(name);
     return true;
   }
-  // Nothing that it writes reaches its disk any more, as on one that is full.
+  // Makes every write of the process to its files fail, as on a full disk.
   void fill_disk_of(const std::string& name) {
     const rlimit nothing{0, RLIM_INFINITY};
     ASSERT_EQ(::prlimit(children_.at(name), RLIMIT_FSIZE, &nothing, nullptr), 0);
@@ -142,7 +142,7 @@
   }
   std::string log_of(const std::string& name) const { return read_file(directory + "/" + name + ".log"); }
 
-  // ---- What is seen from outside
+  // ---- Observations from outside
 
   std::string effects() const { return directory + "/effects"; }
   struct Effect {
@@ -155,7 +155,7 @@
     for (Effect each; in >> each.token >> each.who;) all.push_back(each);
     return all;
   }
-  // No effect of an older holding after one of a newer.
+  // Describes the first effect of an older holding after one of a newer; empty if there is none.
   static std::string find_interleaving(const std::vector<Effect>& all) {
     for (std::size_t i = 1; i < all.size(); ++i) {
       if (all[i].token < all[i - 1].token) {
@@ -171,14 +171,15 @@
           return !all.empty() && all.back().who == who && all.back().token > token_over;
         },
         ("the duty at " + who).c_str());
-    // What comes next may rely on it so much that the end of the test is never reached.
+    // Later steps may depend on the holder so much that the test never reaches its end, where the logs are
+    // printed.
     if (::testing::Test::HasFatalFailure()) print_logs();
   }
   void wait_for_effects(std::size_t effects) {
     const std::size_t before = read_effects().size();
     until([&] { return read_effects().size() > before + effects; }, "the work going on");
   }
-  // Somebody else than `who` has it, under a newer token.
+  // Waits until another controller than `who` holds the duty, under a newer token, and returns it.
   std::string wait_for_successor(const std::string& who) {
     std::string now;
     const auto before = read_effects().back().token;
@@ -199,7 +200,7 @@
     if (code) *code = ended;
     return read_file(directory + "/asked");
   }
-  // What the processes said at the end, for whoever reads a failure in CI: the files are gone then.
+  // Prints the ends of the processes' logs, for a failure in CI, where the files are gone afterwards.
   void print_logs() const {
     for (const auto& entry : std::filesystem::directory_iterator(directory)) {
       const std::string file = entry.path().filename();
@@ -209,8 +210,8 @@
                   text.substr(text.size() - std::min<std::size_t>(text.size(), 1500)).c_str());
     }
   }
-  // By the voters' logs: what any of those that run told of the highest term. One whose disk failed tells of
-  // no later one.
+  // The leader according to the logs of the running voters: the one reported for the highest term. A voter
+  // whose disk failed reports no later term.
   std::string leader() {
     unsigned long long newest = 0;
     std::string leads;
--- a/tests/shared_certificates_test.cpp
+++ b/tests/shared_certificates_test.cpp
@@ -1,4 +1,4 @@
-// Certificates that a fleet shares: three serving processes, one authority, and faults in the middle of an
+// Certificates shared by a fleet: three serving processes, one authority, and faults in the middle of an
 // order.
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 
 using standin::Fault;
 
-TEST(Seal, OpensWhatItClosedUnderThatNameAndNothingElse) {
+TEST(Seal, OpensOnlyWhatItSealedUnderTheSameNameAndKey) {
   const auto seal = fleet::Seal::from_hex(std::string(64, 'a'));
   ASSERT_TRUE(seal);
   const std::string closed = seal->close("certificate/sip.current.pem", "a key");
@@ -67,22 +67,22 @@
     std::ifstream file(directory + "/" + who + ".certs/sip.current.pem");
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  // All three have the same, and another than `before`.
+  // Waits until all three have the same certificate, other than `before`.
   void wait_for_same_certificate(const std::string& before = "") {
     until(
         [&] {
           const std::string a = certificate("a");
           return !a.empty() && a != before && a == certificate("b") && a == certificate("c");
         },
-        "one certificate everywhere");
+        "the same certificate everywhere");
   }
   std::string holder() {
     const std::string text = run_command({"duty", "show", "certificates", "--json"});
     const auto at = text.find("\"holder\":\"");
     return at == std::string::npos ? "" : text.substr(at + 10, text.find('"', at + 10) - at - 10);
   }
-  // Who has an order that the authority has taken and does not get on with. The challenge is over by then: a
-  // stopped process has the port on which it is answered.
+  // Waits for a holder whose finalized order the authority does not complete, and returns it. The challenge
+  // is over by then, so that stopping the process does not block the port on which challenges are answered.
   std::string wait_for_stuck_order() {
     std::string who;
     until(
@@ -102,11 +102,11 @@
   std::optional<standin::Authority> authority;
 };
 
-TEST_F(FleetCertificates, OneOrdersAllServeAndOneThatIsNewHasItFromTheRegister) {
+TEST_F(FleetCertificates, OneControllerOrdersAllServeAndANewOneReadsTheRegister) {
   start_fleet();
   wait_for_same_certificate();
   EXPECT_EQ(authority->counts().orders, 1);
-  // Nothing of it can be read in the voters' disks.
+  // The voters' disks must not contain the key in plain text.
   std::ifstream disk(directory + "/a.register/register.sqlite", std::ios::binary);
   const std::string bytes(std::istreambuf_iterator<char>(disk), {});
   EXPECT_EQ(bytes.find("PRIVATE KEY"), std::string::npos);
@@ -116,7 +116,7 @@
   start_voter(2);
   wait_for_same_certificate();
   EXPECT_EQ(certificate("c"), first);
-  // By hand, at a machine that is none of the three: the duty goes there and comes back.
+  // Renewed by an operator on a machine that is none of the three: the duty moves there and back.
   std::filesystem::create_directory(directory + "/hand.certs");
   std::filesystem::permissions(directory + "/hand.certs", std::filesystem::perms::owner_all);
   const std::string file = fleet_file("hand", extra_fleet_settings);
@@ -127,7 +127,7 @@
   EXPECT_EQ(authority->counts().certificates, 2);
 }
 
-TEST_F(FleetCertificates, AHolderKilledInAnOrderIsFollowedByOneThatFinishesIt) {
+TEST_F(FleetCertificates, TheSuccessorOfAHolderKilledDuringAnOrderCompletesTheOrder) {
   authority->add({Fault::silent, "/certificate/", -1});
   start_fleet();
   const std::string first = wait_for_stuck_order();
@@ -139,7 +139,7 @@
   wait_for_same_certificate();
 }
 
-TEST_F(FleetCertificates, AHolderStoppedInAnOrderChangesNothingWhenItGoesOn) {
+TEST_F(FleetCertificates, AHolderStoppedDuringAnOrderChangesNothingAfterItResumes) {
   authority->add({Fault::silent, "/certificate/", -1});
   start_fleet();
   const std::string first = wait_for_stuck_order();
@@ -150,13 +150,13 @@
   until([&] { return !certificate(other).empty(); }, "a certificate");
   const std::string taken = certificate(other);
   signal(first, SIGCONT);
-  until([&] { return certificate(first) == taken; }, "what the other got");
+  until([&] { return certificate(first) == taken; }, "the certificate that its successor obtained");
   wait_for_same_certificate();
   EXPECT_EQ(certificate("c"), taken);
   EXPECT_EQ(authority->counts().certificates, 1);
 }
 
-TEST_F(FleetCertificates, WithoutVotersTheyAreServedAndNothingIsRenewed) {
+TEST_F(FleetCertificates, WithoutVotersCertificatesAreServedAndNotRenewed) {
   start_fleet();
   wait_for_same_certificate();
   const std::string first = certificate("a");
@@ -172,11 +172,11 @@
   EXPECT_EQ(authority->counts().orders, 1);
 }
 
-TEST_F(FleetCertificates, WhatOneHadBeforeIsEverybodysAndAnotherSecretChangesNothing) {
-  // Of before: a process by itself, with its own directory.
+TEST_F(FleetCertificates, ExistingCertificatesAreSharedAndAnotherSecretChangesNothing) {
+  // A single process with its own directory, before there is a fleet.
   acme::replace_file(directory + "/config.json", config());
   const pid_t alone = spawn({"--certs", certs_file("a")}, "alone");
-  until([&] { return !certificate("a").empty(); }, "a certificate of before");
+  until([&] { return !certificate("a").empty(); }, "a certificate before the fleet");
   ::kill(alone, SIGKILL);
   exit_code_of(alone);
   const std::string first = certificate("a");
@@ -185,17 +185,17 @@
   without_certificates = {"b"};
   start_voter(1);
   until([&] { return certificate("a") == first && log_of("a").find("begins with") != std::string::npos; },
-        "the register's beginning");
+        "the import into the register");
   write_secret("other.key", 'b');
   extra_fleet_settings = "secret_file = \"" + directory + "/other.key\"\nstart_wait_ms = 300\n";
   start_voter(2);
   until([&] { return log_of("c").find("not sealed with this controller's secret") != std::string::npos; },
-        "the complaint");
+        "the report of the wrong secret");
   EXPECT_EQ(certificate("c"), "");
   kill("c");
   extra_fleet_settings = "secret_file = \"" + directory + "/fleet.key\"\nstart_wait_ms = 300\n";
   start_voter(2);
-  until([&] { return certificate("c") == first; }, "the certificate of before");
+  until([&] { return certificate("c") == first; }, "the existing certificate");
   EXPECT_EQ(authority->counts().orders, 1);
 }
 
--- a/tests/shared_gaps_test.cpp
+++ b/tests/shared_gaps_test.cpp
@@ -1,5 +1,5 @@
-// Gaps that a fleet shares: the list by itself in virtual time, and three serving processes with links cut
-// between them.
+// Gaps shared by a fleet: the ledger in virtual time, and three serving processes with links cut between
+// them.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -17,19 +17,18 @@
 using gap::Ledger;
 using std::chrono::milliseconds;
 
-// ---- The list by itself
+// ---- The ledger alone
 
-// Controllers with a list between them that takes writes as the register does: with the place expected or not
-// at all. Answers and news are late, lost and told twice; controllers are cut off and start anew from what
-// they kept.
+// Controllers around a list that accepts writes as the register does: only with the expected place. Replies
+// and updates are delayed, lost or repeated; controllers are cut off and restart from what they stored.
 class SimulatedFleet {
  public:
-  // The defect: whoever starts anew takes what it kept for news of its own.
+  // `restores_as_unagreed`: a defect, a restarted controller takes stored entries for changes of its own.
   SimulatedFleet(std::uint64_t seed, bool restores_as_unagreed)
       : random_(seed), restores_as_unagreed_(restores_as_unagreed) {
     for (int i = 0; i < 4; ++i) nodes_.push_back(std::make_unique<Node>());
   }
-  // Empty if all ended alike and nothing that was lifted is in force.
+  // Returns what went wrong; empty if all controllers end with the same list and no lifted gap is in force.
   std::string run() {
     for (int i = 0; i < 400; ++i) {
       now_ += milliseconds(100);
@@ -43,11 +42,11 @@
       deliver(true);
     }
     for (const auto& node : nodes_) {
-      if (node->ledger.waiting() > 0) return "a change never came into the list";
-      if (node->table != active_entries()) return "a controller has another list in the end";
+      if (node->ledger.waiting() > 0) return "a change never reached the list";
+      if (node->table != active_entries()) return "a controller ended with a different list";
     }
     for (const auto& [id, item] : list_) {
-      if (lifted_.count(item.first.rule) > 0) return "a gap came back that was lifted";
+      if (lifted_.count(item.first.rule) > 0) return "a lifted gap returned";
     }
     return {};
   }
@@ -57,7 +56,7 @@
     Ledger ledger{Ledger::Bounds{}};
     std::map<std::string, Entry> table{};  // in force
     bool cut = false;
-    bool synced = false;  // has had the whole list since its start
+    bool synced = false;  // has received the complete list since its start
     std::deque<std::vector<Ledger::Shown>> updates{};
   };
   std::size_t random_below(std::size_t below) {
@@ -104,9 +103,9 @@
       }
       case 3:
         node.cut = !node.cut;
-        if (!node.cut) node.synced = false;  // its watch begins anew
+        if (!node.cut) node.synced = false;  // its watch starts again
         break;
-      case 4: {  // started anew, from what it kept
+      case 4: {  // restarts from what it stored
         Ledger fresh{Ledger::Bounds{}};
         for (const auto& [each, entry] : node.table)
           fresh.restore(each, entry, node.ledger.agreed(each) && !restores_as_unagreed_);
@@ -115,7 +114,7 @@
         node.synced = false;
         break;
       }
-      case 5: {  // the list-keeper takes out what was lifted long ago
+      case 5: {  // the holder of the duty removes entries lifted long ago
         if (node.cut || !node.synced) break;
         for (const auto& each : node.ledger.sweep(now_)) write(each);
         for (const auto& each : node.ledger.sweep(now_ + std::chrono::hours(25))) write(each);
@@ -125,7 +124,7 @@
         send_due(node);
     }
   }
-  // The place that it has then, or 0.
+  // Returns the entry's new place, or 0 if the write was refused.
   Ledger::Place write(const Ledger::Write& write) {
     const auto found = list_.find(write.id);
     const Ledger::Place present = found == list_.end() ? 0 : found->second.second;
@@ -147,7 +146,7 @@
   void send_due(Node& node) {
     for (const auto& each : node.ledger.due(now_)) {
       if (node.cut || random_below(6) == 0) {
-        if (!node.cut && random_below(2) == 0) write(each);  // its answer is lost
+        if (!node.cut && random_below(2) == 0) write(each);  // the reply is lost
         node.ledger.answered(now_, each.id, Ledger::Outcome::lost);
         continue;
       }
@@ -177,23 +176,23 @@
   Time now_ = std::chrono::hours(1);
   std::vector<std::unique_ptr<Node>> nodes_;
   std::map<std::string, std::pair<Entry, Ledger::Place>> list_;
-  std::set<std::string> lifted_;  // rules that were in the list
+  std::set<std::string> lifted_;  // lifted rules that were in the list
   std::map<std::string, std::uint64_t> highest_;
-  std::size_t rate_ = 0;  // of the last announced: no two are alike
+  std::size_t rate_ = 0;  // rate of the last announced rule; no two are alike
   Ledger::Place place_ = 0;
 };
 
-TEST(SharedGaps, ApartOrNotAllEndWithOneListAndNothingLiftedComesBack) {
+TEST(SharedGaps, PartitionedControllersConvergeAndNoLiftedGapReturns) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     ASSERT_EQ(SimulatedFleet(seed, false).run(), "") << "seed " << seed;
   }
 }
 
-TEST(SharedGaps, ThatWhatWasKeptIsTakenForNewsIsFound) {
+TEST(SharedGaps, TakingStoredEntriesForChangesIsDetected) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     if (!SimulatedFleet(seed, true).run().empty()) return;
   }
-  FAIL() << "no walk showed it";
+  FAIL() << "no walk detected it";
 }
 
 // ---- Serving processes
@@ -226,7 +225,7 @@
   std::map<std::string, sockaddr_in> control_;
 };
 
-TEST_F(FleetGaps, AnnouncedAnywhereTheyReachAllAndOneThatWasCutOffHearsOfThemLater) {
+TEST_F(FleetGaps, GapsReachAllControllersAndAPartitionedOneCatchesUp) {
   start_fleet();
   for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   announce("a", "exam", 20);
@@ -237,7 +236,7 @@
   gap("b", {"lift", "exam", "--who", "b"});
   wait_until_listed("c", R"("id":"second")");
   wait_until_unlisted("c", R"("id":"exam")");
-  announce("a", "third", 7);  // in force where it was announced, at once
+  announce("a", "third", 7);  // in force at once where it was announced
   EXPECT_NE(list_gaps("a").find(R"("id":"exam")"), std::string::npos);
   EXPECT_NE(list_gaps("a").find(R"("agreed":false)"), std::string::npos);
   EXPECT_EQ(list_gaps("c").find("third"), std::string::npos);
@@ -247,7 +246,7 @@
   wait_until_listed("c", R"("id":"third")");
 }
 
-TEST_F(FleetGaps, OfTwoAnnouncedApartOneHoldsEverywhere) {
+TEST_F(FleetGaps, OneOfTwoConflictingGapsWinsEverywhere) {
   start_fleet();
   for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   cut_off("a", true);
@@ -259,7 +258,7 @@
   EXPECT_NE(log_of("a").find("does not hold"), std::string::npos);
 }
 
-TEST_F(FleetGaps, AStartHasTheFleetsBeforeCallsAndWithTheVotersOutOfReachItsOwnOfBefore) {
+TEST_F(FleetGaps, AStartLoadsTheFleetsGapsBeforeCallsOrItsStoredOnesWithoutVoters) {
   start_fleet();
   for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   announce("b", "exam", 20);
@@ -269,7 +268,7 @@
         std::ifstream file(directory + "/a.control/gaps.rules");
         return std::string(std::istreambuf_iterator<char>(file), {}).find("agreed") != std::string::npos;
       },
-      "the own file");
+      "the stored entry");
   kill("a");
   announce("b", "second", 5);
   wait_until_listed("c", R"("id":"second")");
@@ -289,8 +288,8 @@
   wait_until_listed("a", R"("id":"second")");
 }
 
-// What was told to be in the list is there for ever, whoever dies while more is written.
-TEST_F(FleetGaps, WhatWasAgreedOnIsKeptThroughKillsInTheMiddleOfWrites) {
+// An entry reported as agreed is kept, whichever voter dies while more is written.
+TEST_F(FleetGaps, AgreedGapsSurviveKillsDuringWrites) {
   start_fleet();
   for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   for (int round = 0; round < 4; ++round) {
@@ -298,14 +297,14 @@
     const std::string id = "g" + std::to_string(round);
     announce("b", id + "x", 1);
     wait_until_listed("b", R"("agreed":true)");
-    announce("b", id + "y", 2);  // on its way when the voter dies
+    announce("b", id + "y", 2);  // in flight when the voter dies
     kill(voter(victim));
     announce("b", id + "z", 3);
     start_voter(victim);
     wait_until_serving(voter(victim));
   }
   until([&] { return list_gaps("b").find(R"("agreed":false)") == std::string::npos; },
-        "all of them agreed on");
+        "agreement on all of them");
   for (const char* const each : {"a", "b", "c"}) kill(each);
   for (int i = 0; i < kVoters; ++i) start_voter(i);
   for (const char* const each : {"a", "b", "c"}) {
