--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -37,8 +37,8 @@
       const std::string name = "certs-by-hand-" + std::to_string(acme::random_bits());
       member_.emplace(log, fleet, name, acme::random_bits(),
                       std::vector<std::string>{fleet::kCertificatesDuty});
-      kept = fleet::kept_by_fleet(settings, log, *member_, fleet::read_seal(fleet), fleet.start_wait,
-                                  [] { return false; });
+      kept = fleet::open_fleet_store(settings, log, *member_, fleet::read_seal(fleet), fleet.start_wait,
+                                     [] { return false; });
       reg::Command move;
       move.op = reg::Op::move;
       move.name = fleet::kCertificatesDuty;
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -102,8 +102,8 @@
     Certificates::KeepIn keep_in;
     if (member) {
       keep_in = [&](const acme::Settings& settings, std::function<bool()> stopped) {
-        return fleet::kept_by_fleet(settings, to, *member, *seal, fleet_settings.start_wait,
-                                    std::move(stopped));
+        return fleet::open_fleet_store(settings, to, *member, *seal, fleet_settings.start_wait,
+                                       std::move(stopped));
       };
     }
     return std::make_unique<Certificates>(to, path, tls_port, std::move(keep_in));
--- a/src/fleet/certificate_store.cpp
+++ b/src/fleet/certificate_store.cpp
@@ -10,10 +10,10 @@
 
 constexpr std::string_view kPrefix = "certificate/";
 // Kept once a fleet's certificates are in the register: what a controller has besides is of before.
-constexpr const char* kBegun = "begun";
-constexpr Duration kPatience = std::chrono::seconds(5);
-constexpr std::chrono::milliseconds kLook{20};
-constexpr Duration kMakeAnew = std::chrono::seconds(10);
+constexpr const char* kInitialized = "begun";
+constexpr Duration kRequestTimeout = std::chrono::seconds(5);
+constexpr std::chrono::milliseconds kPollInterval{20};
+constexpr Duration kRewatchInterval = std::chrono::seconds(10);
 
 std::string key_of(const std::string& name) { return std::string(kPrefix) + name; }
 std::string name_of(const std::string& key) { return key.substr(kPrefix.size()); }
@@ -25,7 +25,7 @@
                                    std::function<bool()> stopped)
     : log_(log),
       fleet_(fleet),
-      office_(fleet.office(kCertificatesDuty)),
+      duty_handle_(fleet.duty_handle(kCertificatesDuty)),
       seal_(std::move(seal)),
       copy_(directory, [&log](const std::string& line) { log.line("certificates: %s", line.c_str()); }),
       stopped_(std::move(stopped)) {
@@ -34,34 +34,34 @@
 
 void CertificateStore::watch() {
   fleet_.watch(std::string(kPrefix),
-               [inbox = inbox_](reg::Revision at, const std::vector<reg::Change>& changes, bool whole) {
+               [inbox = inbox_](reg::Revision at, const std::vector<reg::Change>& changes, bool complete) {
                  const std::lock_guard lock(inbox->mutex);
-                 if (whole) inbox->told.clear();
-                 inbox->told.push_back({at, changes, whole});
+                 if (complete) inbox->updates.clear();
+                 inbox->updates.push_back({at, changes, complete});
                });
 }
 
-bool CertificateStore::wait_first(Duration patience) {
-  for (const Time until = steady_time() + patience; !first_ && steady_time() < until && !stopped_();) {
-    std::this_thread::sleep_for(kLook);
+bool CertificateStore::wait_for_contents(Duration timeout) {
+  for (const Time until = steady_time() + timeout; !received_all_ && steady_time() < until && !stopped_();) {
+    std::this_thread::sleep_for(kPollInterval);
     look();
   }
-  return first_;
+  return received_all_;
 }
 
 // ---- What others have changed
 
 void CertificateStore::look() {
-  office_.report_progress();
-  std::vector<Told> told;
+  duty_handle_.report_progress();
+  std::vector<WatchUpdate> updates;
   {
     const std::lock_guard lock(inbox_->mutex);
-    told.swap(inbox_->told);
+    updates.swap(inbox_->updates);
   }
-  for (const Told& each : told) take_all(each);
-  if (copy_lacks_ && steady_time() - made_anew_ >= kMakeAnew) {
-    copy_lacks_ = false;
-    made_anew_ = steady_time();
+  for (const WatchUpdate& each : updates) apply_update(each);
+  if (copy_incomplete_ && steady_time() - rewatched_at_ >= kRewatchInterval) {
+    copy_incomplete_ = false;
+    rewatched_at_ = steady_time();
     watch();
   }
 }
@@ -70,47 +70,50 @@
   auto text = copy_.read(name);
   const auto known = known_.find(name);
   // Torn on this controller's disk: the register has it.
-  if (!text && known != known_.end() && known->second.stands != 0 && unusable_.count(name) == 0) {
-    copy_lacks_ = true;
+  if (!text && known != known_.end() && known->second.value_revision != 0 &&
+      rejected_digests_.count(name) == 0) {
+    copy_incomplete_ = true;
   }
   return text;
 }
 
-void CertificateStore::take_all(const Told& told) {
-  first_ = first_ || told.whole;
-  std::set<std::string> there;
-  for (const reg::Change& each : told.changes) {
+void CertificateStore::apply_update(const WatchUpdate& update) {
+  received_all_ = received_all_ || update.complete;
+  std::set<std::string> present;
+  for (const reg::Change& each : update.changes) {
     const std::string name = name_of(each.key);
-    there.insert(name);
+    present.insert(name);
     Known& known = known_[name];
-    if (each.revision < known.changed) continue;  // told late
+    if (each.revision < known.changed) continue;  // update late
     known = {each.revision, each.value ? each.revision : 0};
     if (!each.value) {
       copy_.remove(name);
       continue;
     }
-    const auto text = seal_.open(each.key, *each.value);
+    const auto text = seal_.decrypt(each.key, *each.value);
     if (!text) {
-      if (!std::exchange(told_unsealed_, true)) {
+      if (!std::exchange(logged_unsealed_, true)) {
         log_.line("certificates: %s in the fleet's register is not sealed with this controller's secret",
                   name.c_str());
       }
-    } else if (name == kBegun) {
-      begun_ = true;
-    } else if (unusable_.count(name) == 0 || unusable_.at(name) != acme::sha256(text->view())) {
-      take(name, text->view());
+    } else if (name == kInitialized) {
+      initialized_ = true;
+    } else if (rejected_digests_.count(name) == 0 ||
+               rejected_digests_.at(name) != acme::sha256(text->view())) {
+      update_copy(name, text->view());
     }
   }
-  if (!told.whole || !begun_) return;
+  if (!update.complete || !initialized_) return;
   for (auto& [name, known] : known_) {
-    if (there.count(name) == 0 && known.changed <= told.at) known = {told.at, 0};
+    if (present.count(name) == 0 && known.changed <= update.at) known = {update.at, 0};
   }
-  for (const std::string& name : copied()) {
-    // A certificate in use is served until there is another.
-    if (there.count(name) > 0 || known_[name].stands != 0 || name.ends_with(".current.pem")) continue;
-    const bool passing = name.starts_with("challenge-") || name.find(".key-") != std::string::npos ||
-                         name.ends_with(".order.json");
-    if (passing) {
+  for (const std::string& name : copied_names()) {
+    // A certificate in use is served until present is another.
+    if (present.count(name) > 0 || known_[name].value_revision != 0 || name.ends_with(".current.pem"))
+      continue;
+    const bool transient = name.starts_with("challenge-") || name.find(".key-") != std::string::npos ||
+                           name.ends_with(".order.json");
+    if (transient) {
       copy_.remove(name);
     } else {
       copy_.put_aside(name, "is not in the fleet's register");
@@ -118,7 +121,7 @@
   }
 }
 
-std::vector<std::string> CertificateStore::copied() const {
+std::vector<std::string> CertificateStore::copied_names() const {
   auto names = copy_.list("", ".pem");
   for (std::string& each : copy_.list("", ".json")) names.push_back(std::move(each));
   return names;
@@ -130,7 +133,7 @@
   return text ? std::optional<acme::Secret>(std::in_place, std::move(*text)) : std::nullopt;
 }
 
-void CertificateStore::take(const std::string& name, std::string_view text) {
+void CertificateStore::update_copy(const std::string& name, std::string_view text) {
   const auto present = copy_of(name);
   if (present && present->view() == text) return;
   if (is_pem(name)) {
@@ -140,20 +143,20 @@
   }
 }
 
-bool CertificateStore::catch_up(duty::Token token) {
+bool CertificateStore::reload(duty::Token token) {
   token_ = token;
-  sure_ = false;
+  consistent_ = false;
   reg::Command command;
   command.op = reg::Op::list;
   command.name = std::string(kPrefix);
-  Told all;
-  all.whole = true;
+  WatchUpdate all;
+  all.complete = true;
   for (bool more = true; more;) {
     const auto reply =
-        fleet_.ask_and_wait(command, kPatience, [&] { return stopped_() || !office_.holds(); });
+        fleet_.ask_and_wait(command, kRequestTimeout, [&] { return stopped_() || !duty_handle_.holds(); });
     if (!reply || reply->code != reg::Code::ok) return false;
     for (const reg::Item& item : reply->items) {
-      if (!seal_.open(item.key, item.value)) {
+      if (!seal_.decrypt(item.key, item.value)) {
         throw acme::StateError("the fleet's certificates are sealed with another secret: nothing is changed");
       }
       all.changes.push_back({item.revision, item.key, item.value});
@@ -163,44 +166,44 @@
     if (more) command.value = reply->items.back().key;
   }
   known_.clear();  // what others may have done under their tokens is in the list
-  take_all(all);
-  sure_ = true;
-  if (!begun_) bring_in();
+  apply_update(all);
+  consistent_ = true;
+  if (!initialized_) import_copy();
   return true;
 }
 
-void CertificateStore::bring_in() {
-  std::size_t brought = 0;
-  for (const std::string& name : copied()) {
+void CertificateStore::import_copy() {
+  std::size_t imported = 0;
+  for (const std::string& name : copied_names()) {
     const auto text = name.starts_with("challenge-") ? std::nullopt : copy_of(name);
     if (!text) continue;
     put(name, text->view());
-    ++brought;
+    ++imported;
   }
-  put(kBegun, "1");
-  begun_ = true;
-  log_.line("certificates: the fleet's register begins with %zu records of this controller", brought);
+  put(kInitialized, "1");
+  initialized_ = true;
+  log_.line("certificates: the fleet's register begins with %zu records of this controller", imported);
 }
 
 // ---- Changes
 
 void CertificateStore::change(reg::Command command) {
-  const auto token = office_.holds();
+  const auto token = duty_handle_.holds();
   if (!token || *token != token_) throw acme::TurnLost{};
-  if (!sure_) throw acme::StateError("the fleet's register has to be read again first");
+  if (!consistent_) throw acme::StateError("the fleet's register has to be read again first");
   Known& known = known_[name_of(command.name)];
-  command.expected = known.stands;
+  command.expected = known.value_revision;
   command.fence = reg::Fence{kCertificatesDuty, *token};
   const bool put = command.op == reg::Op::put;
-  const auto reply =
-      fleet_.ask_and_wait(command, kPatience, [&] { return stopped_() || office_.holds() != token; });
-  const auto unsure = [&](const std::string& what) {
-    sure_ = false;
+  const auto reply = fleet_.ask_and_wait(command, kRequestTimeout,
+                                         [&] { return stopped_() || duty_handle_.holds() != token; });
+  const auto inconsistent = [&](const std::string& what) {
+    consistent_ = false;
     throw acme::StateError("the fleet's register " + what);
   };
   if (!reply) {
-    if (office_.holds() != token) throw acme::TurnLost{};
-    return unsure("does not answer");  // it may have been done or not
+    if (duty_handle_.holds() != token) throw acme::TurnLost{};
+    return inconsistent("does not answer");  // it may have been done or not
   }
   switch (reply->code) {
     case reg::Code::ok:
@@ -219,7 +222,7 @@
         known = {reply->revision, 0};
         return;
       }
-      return unsure("has another " + command.name);
+      return inconsistent("has another " + command.name);
     default:
       throw acme::StateError("the fleet's register: " + command.name + ": " + reg::code_text(reply->code));
   }
@@ -229,7 +232,7 @@
   reg::Command command;
   command.op = reg::Op::put;
   command.name = key_of(name);
-  command.value = seal_.close(command.name, text);
+  command.value = seal_.encrypt(command.name, text);
   change(std::move(command));
 }
 
@@ -255,30 +258,30 @@
 void CertificateStore::put_aside(const std::string& name, const std::string& why) {
   const auto content = copy_of(name);
   copy_.put_aside(name, why);
-  unusable_[name] = acme::sha256(content ? content->view() : std::string_view{});
-  copy_lacks_ = true;
-  sure_ = false;
+  rejected_digests_[name] = acme::sha256(content ? content->view() : std::string_view{});
+  copy_incomplete_ = true;
+  consistent_ = false;
 }
 
 // ---- Whose turn
 
 bool DutyTurn::take(acme::Instant) {
-  const auto token = office_.holds();
+  const auto token = duty_handle_.holds();
   if (!token) return false;
-  office_.busy(true);
-  if ((store_.token() == *token && store_.sure()) || store_.catch_up(*token)) return true;
-  office_.busy(false);
+  duty_handle_.busy(true);
+  if ((store_.token() == *token && store_.consistent()) || store_.reload(*token)) return true;
+  duty_handle_.busy(false);
   return false;
 }
 
 bool DutyTurn::keep(acme::Instant) {
-  office_.report_progress();
-  const auto token = office_.holds();
+  duty_handle_.report_progress();
+  const auto token = duty_handle_.holds();
   return token && *token == store_.token();
 }
 
 std::optional<acme::Turn::Holder> DutyTurn::holder(acme::Instant now) const {
-  return Holder{"whoever holds the fleet's duty \"" + office_.name() + "\"", now};
+  return Holder{"whoever holds the fleet's duty \"" + duty_handle_.name() + "\"", now};
 }
 
 Seal read_seal(const FleetSettings& settings) {
@@ -293,15 +296,15 @@
   }
 }
 
-acme::Kept kept_by_fleet(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
-                         Duration patience, std::function<bool()> stopped) {
+acme::Kept open_fleet_store(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
+                            Duration timeout, std::function<bool()> stopped) {
   auto store =
       std::make_unique<CertificateStore>(log, fleet, std::move(seal), settings.directory, std::move(stopped));
-  if (!store->wait_first(patience)) {
+  if (!store->wait_for_contents(timeout)) {
     log.line("certificates: the fleet's register is out of reach: what is in %s is served",
              settings.directory.c_str());
   }
-  auto turn = std::make_unique<DutyTurn>(fleet.office(kCertificatesDuty), *store);
+  auto turn = std::make_unique<DutyTurn>(fleet.duty_handle(kCertificatesDuty), *store);
   return {std::move(store), std::move(turn)};
 }
 
--- a/src/fleet/certificate_store.hpp
+++ b/src/fleet/certificate_store.hpp
@@ -26,14 +26,14 @@
   CertificateStore(Logger& log, Membership& fleet, Seal seal, const std::string& directory,
                    std::function<bool()> stopped);
 
-  // Waits until the register's were told once; false: it is out of reach, the copy is what there is.
-  bool wait_first(Duration patience);
+  // Waits until the register's were updates once; false: it is out of reach, the copy is what there is.
+  bool wait_for_contents(Duration timeout);
   // Everything as the register has it, ahead of the first change under that token. False: out of reach.
-  bool catch_up(duty::Token token);
-  // Of the last catch_up(); 0: there was none.
+  bool reload(duty::Token token);
+  // Of the last reload(); 0: there was none.
   duty::Token token() const { return token_; }
   // No change since then may or may not have been done.
-  bool sure() const { return sure_; }
+  bool consistent() const { return consistent_; }
 
   std::optional<std::string> read(const std::string& name) const override;
   void write(const std::string& name, std::string_view text) override;
@@ -50,70 +50,70 @@
   void look() override;
 
  private:
-  struct Told {
+  struct WatchUpdate {
     reg::Revision at = 0;
     std::vector<reg::Change> changes{};
-    bool whole = false;
+    bool complete = false;
   };
   struct Known {
-    reg::Revision changed = 0;  // the last change that was told or made
-    reg::Revision stands = 0;   // what a write has to expect; 0: it is not there
+    reg::Revision changed = 0;         // the last change that was updates or made
+    reg::Revision value_revision = 0;  // what a write has to expect; 0: it is not there
   };
   // Filled on the fleet's thread, emptied on the keeper's.
   struct Inbox {
     std::mutex mutex;
-    std::vector<Told> told;
+    std::vector<WatchUpdate> updates;
   };
 
   void watch();
   // To the register. Throws StateError, TurnLost.
   void change(reg::Command command);
   void put(const std::string& name, std::string_view text);
-  std::vector<std::string> copied() const;  // names
+  std::vector<std::string> copied_names() const;  // names
   std::optional<acme::Secret> copy_of(const std::string& name) const;
   // Into the copy, if it differs.
-  void take(const std::string& name, std::string_view text);
-  void take_all(const Told& told);
+  void update_copy(const std::string& name, std::string_view text);
+  void apply_update(const WatchUpdate& update);
   // What a controller had before it was of a fleet: the first holder's is everybody's.
-  void bring_in();
+  void import_copy();
 
   Logger& log_;
   Membership& fleet_;
-  Office& office_;
+  DutyHandle& duty_handle_;
   Seal seal_;
   acme::StateDirectory copy_;
   std::function<bool()> stopped_;
   std::shared_ptr<Inbox> inbox_ = std::make_shared<Inbox>();
   std::map<std::string, Known> known_;
-  std::map<std::string, std::string> unusable_;  // digests of what was put aside: not taken again
-  bool begun_ = false;                           // the register has a fleet's certificates
-  bool first_ = false;                           // they were told once
-  bool told_unsealed_ = false;
+  std::map<std::string, std::string> rejected_digests_;  // digests of what was put aside: not taken again
+  bool initialized_ = false;                             // the register has a fleet's certificates
+  bool received_all_ = false;                            // they were updates once
+  bool logged_unsealed_ = false;
   duty::Token token_ = 0;
-  bool sure_ = false;
-  mutable bool copy_lacks_ = false;  // it is to be made anew from the register
-  Time made_anew_{};
+  bool consistent_ = false;
+  mutable bool copy_incomplete_ = false;  // it is to be made anew from the register
+  Time rewatched_at_{};
 };
 
 // Whose turn it is to change the certificates: the duty's holder's.
 class DutyTurn : public acme::Turn {
  public:
-  DutyTurn(Office& office, CertificateStore& store) : office_(office), store_(store) {}
-  ~DutyTurn() override { office_.busy(false); }
+  DutyTurn(DutyHandle& duty_handle, CertificateStore& store) : duty_handle_(duty_handle), store_(store) {}
+  ~DutyTurn() override { duty_handle_.busy(false); }
 
   bool take(acme::Instant now) override;
   bool keep(acme::Instant now) override;
-  void give_back() override { office_.busy(false); }
+  void give_back() override { duty_handle_.busy(false); }
   std::optional<Holder> holder(acme::Instant now) const override;
 
  private:
-  Office& office_;
+  DutyHandle& duty_handle_;
   CertificateStore& store_;
 };
 
 // The seal of the file that the settings name. Throws ConfigError if there is none, or no such file.
 Seal read_seal(const FleetSettings& settings);
-acme::Kept kept_by_fleet(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
-                         Duration patience, std::function<bool()> stopped);
+acme::Kept open_fleet_store(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
+                            Duration timeout, std::function<bool()> stopped);
 
 }  // namespace quartzarch::fleet
--- a/src/fleet/gap_list.cpp
+++ b/src/fleet/gap_list.cpp
@@ -4,9 +4,9 @@
 namespace {
 
 constexpr std::string_view kPrefix = "gap/";
-constexpr Duration kAgain = std::chrono::milliseconds(100);
-constexpr Duration kSweep = std::chrono::seconds(2);
-constexpr Duration kPass = std::chrono::milliseconds(20);
+constexpr Duration kRetryInterval = std::chrono::milliseconds(100);
+constexpr Duration kSweepInterval = std::chrono::seconds(2);
+constexpr Duration kMaxPoll = std::chrono::milliseconds(20);
 
 gap::Ledger::Outcome outcome_of(const std::optional<reg::Reply>& reply) {
   using Outcome = gap::Ledger::Outcome;
@@ -24,13 +24,13 @@
 
 }  // namespace
 
-GapList::GapList(Logger& log, Membership& fleet, Duration patience)
-    : log_(log), fleet_(fleet), patience_(patience) {}
+GapList::GapList(Logger& log, Membership& fleet, Duration start_timeout)
+    : log_(log), fleet_(fleet), start_timeout_(start_timeout) {}
 
 GapList::~GapList() {
   if (!loop_) return;
-  if (again_) loop_->cancel(*again_);
-  if (sweep_) loop_->cancel(*sweep_);
+  if (retry_timer_) loop_->cancel(*retry_timer_);
+  if (sweep_timer_) loop_->cancel(*sweep_timer_);
   mailbox_->close();
 }
 
@@ -39,18 +39,20 @@
   take_ = std::move(take);
   mailbox_ = std::make_shared<Mailbox>(loop);
   for (Known& each : known) ledger_.restore(each.id, std::move(each.entry), each.agreed);
-  fleet_.watch(std::string(kPrefix), [this, mailbox = mailbox_](
-                                         reg::Revision, const std::vector<reg::Change>& changes, bool whole) {
-    mailbox->post([this, changes, whole] { told(changes, whole); });
-  });
-  for (const Time until = loop.now() + patience_; !known_ && loop.now() < until;) loop.pass(kPass);
+  fleet_.watch(
+      std::string(kPrefix),
+      [this, mailbox = mailbox_](reg::Revision, const std::vector<reg::Change>& changes, bool complete) {
+        mailbox->post([this, changes, complete] { on_changes(changes, complete); });
+      });
+  for (const Time until = loop.now() + start_timeout_; !list_received_ && loop.now() < until;)
+    loop.pass(kMaxPoll);
   sweep();
-  return known_;
+  return list_received_;
 }
 
-std::optional<gap::Ledger::Shown> GapList::shown(const std::string& key,
-                                                 const std::optional<std::string>& value,
-                                                 reg::Revision revision) {
+std::optional<gap::Ledger::Shown> GapList::parse_change(const std::string& key,
+                                                        const std::optional<std::string>& value,
+                                                        reg::Revision revision) {
   gap::Ledger::Shown shown{key.substr(kPrefix.size()), std::nullopt, revision};
   if (!value) return shown;
   shown.entry = gap::parse_entry(*value);
@@ -60,14 +62,15 @@
   return std::nullopt;
 }
 
-void GapList::told(const std::vector<reg::Change>& changes, bool whole) {
+void GapList::on_changes(const std::vector<reg::Change>& changes, bool complete) {
   std::vector<gap::Ledger::Shown> entries;
   for (const reg::Change& change : changes) {
-    if (auto entry = shown(change.key, change.value, change.revision)) entries.push_back(std::move(*entry));
+    if (auto entry = parse_change(change.key, change.value, change.revision))
+      entries.push_back(std::move(*entry));
   }
-  known_ = known_ || whole;
-  const auto news = ledger_.shown(entries, whole);
-  if (!news.empty()) take_(news);
+  list_received_ = list_received_ || complete;
+  const auto updates = ledger_.shown(entries, complete);
+  if (!updates.empty()) take_(updates);
   pump();
 }
 
@@ -78,10 +81,10 @@
 
 void GapList::pump() {
   for (const auto& each : ledger_.due(loop_->now())) write(each, std::nullopt);
-  if (again_) loop_->cancel(*std::exchange(again_, std::nullopt));
+  if (retry_timer_) loop_->cancel(*std::exchange(retry_timer_, std::nullopt));
   if (ledger_.waiting() == 0) return;
-  again_ = loop_->at(loop_->now() + kAgain, [this] {
-    again_.reset();
+  retry_timer_ = loop_->at(loop_->now() + kRetryInterval, [this] {
+    retry_timer_.reset();
     pump();
   });
 }
@@ -95,20 +98,20 @@
   command.fence = std::move(fence);
   fleet_.ask(std::move(command),
              [this, mailbox = mailbox_, id = write.id](const std::optional<reg::Reply>& reply) {
-               mailbox->post([this, id, reply] { answered(id, reply); });
+               mailbox->post([this, id, reply] { on_reply(id, reply); });
              });
 }
 
-void GapList::answered(const std::string& id, const std::optional<reg::Reply>& reply) {
+void GapList::on_reply(const std::string& id, const std::optional<reg::Reply>& reply) {
   if (reply && reply->code == reg::Code::changed && !reply->items.empty()) {
     const reg::Item& item = reply->items.front();
-    if (auto entry = shown(item.key, item.value, item.revision)) {
-      const auto news = ledger_.shown({std::move(*entry)}, false);
-      if (!news.empty()) take_(news);
+    if (auto entry = parse_change(item.key, item.value, item.revision)) {
+      const auto updates = ledger_.shown({std::move(*entry)}, false);
+      if (!updates.empty()) take_(updates);
     }
   }
   const auto outcome = outcome_of(reply);
-  if (outcome == gap::Ledger::Outcome::refused && !std::exchange(told_refused_, true)) {
+  if (outcome == gap::Ledger::Outcome::refused && !std::exchange(logged_refusal_, true)) {
     log_.line("gap=%s event=not_spread why=\"%s\"", id.c_str(), reg::code_text(reply->code));
   }
   ledger_.answered(loop_->now(), id, outcome, reply ? reply->revision : 0);
@@ -118,16 +121,16 @@
 
 // The list-keeper's work.
 void GapList::sweep() {
-  Office& office = fleet_.office(kGapsDuty);
-  office.report_progress();
-  if (const auto token = office.holds()) {
+  DutyHandle& duty = fleet_.duty_handle(kGapsDuty);
+  duty.report_progress();
+  if (const auto token = duty.holds()) {
     for (const auto& each : ledger_.sweep(loop_->now())) {
       log_.line("gap=%s event=taken_out token=%llu", each.id.c_str(),
                 static_cast<unsigned long long>(*token));
       write(each, reg::Fence{kGapsDuty, *token});
     }
   }
-  sweep_ = loop_->at(loop_->now() + kSweep, [this] { sweep(); });
+  sweep_timer_ = loop_->at(loop_->now() + kSweepInterval, [this] { sweep(); });
 }
 
 }  // namespace quartzarch::fleet
--- a/src/fleet/gap_list.hpp
+++ b/src/fleet/gap_list.hpp
@@ -14,8 +14,8 @@
 
 class GapList : public gap::Sharing {
  public:
-  // `patience`: how long a start waits for the list. The membership must live longer.
-  GapList(Logger& log, Membership& fleet, Duration patience);
+  // `start_timeout`: how long a start waits for the list. The membership must live longer.
+  GapList(Logger& log, Membership& fleet, Duration start_timeout);
   ~GapList() override;
 
   bool begin(Loop& loop, std::vector<Known> known, Take take) override;
@@ -23,25 +23,26 @@
   bool agreed(const std::string& id) const override { return ledger_.agreed(id); }
 
  private:
-  void told(const std::vector<reg::Change>& changes, bool whole);
-  void answered(const std::string& id, const std::optional<reg::Reply>& reply);
+  void on_changes(const std::vector<reg::Change>& changes, bool complete);
+  void on_reply(const std::string& id, const std::optional<reg::Reply>& reply);
   void pump();
   void write(const gap::Ledger::Write& write, std::optional<reg::Fence> fence);
   void sweep();
-  std::optional<gap::Ledger::Shown> shown(const std::string& key, const std::optional<std::string>& value,
-                                          reg::Revision revision);
+  std::optional<gap::Ledger::Shown> parse_change(const std::string& key,
+                                                 const std::optional<std::string>& value,
+                                                 reg::Revision revision);
 
   Logger& log_;
   Membership& fleet_;
-  const Duration patience_;
+  const Duration start_timeout_;
   gap::Ledger ledger_{{}};
   Loop* loop_ = nullptr;
   Take take_;
   // Shared with what runs on the fleet's thread.
   std::shared_ptr<Mailbox> mailbox_;
-  std::optional<Loop::TimerId> again_, sweep_;
-  bool known_ = false;
-  bool told_refused_ = false;
+  std::optional<Loop::TimerId> retry_timer_, sweep_timer_;
+  bool list_received_ = false;
+  bool logged_refusal_ = false;
 };
 
 }  // namespace quartzarch::fleet
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -13,15 +13,15 @@
 namespace {
 
 // How long the end waits for what is handed on in order.
-constexpr Duration kLeaving = std::chrono::milliseconds(1000);
-constexpr Duration kPass = std::chrono::milliseconds(500);
+constexpr Duration kLeaveTimeout = std::chrono::milliseconds(1000);
+constexpr Duration kMaxPoll = std::chrono::milliseconds(500);
 // And for another voter to lead; it is asked again meanwhile.
-constexpr Duration kResigning = std::chrono::milliseconds(1000);
-constexpr Duration kResignAgain = std::chrono::milliseconds(50);
+constexpr Duration kResignTimeout = std::chrono::milliseconds(1000);
+constexpr Duration kResignInterval = std::chrono::milliseconds(50);
 // Without a word from the work of the program's own duties, unless the file has another time.
-constexpr Duration kOwnProgress = std::chrono::seconds(120);
+constexpr Duration kDefaultProgress = std::chrono::seconds(120);
 // Between two askings for the same.
-constexpr std::chrono::milliseconds kAskAgain{50};
+constexpr std::chrono::milliseconds kRetryInterval{50};
 
 }  // namespace
 
@@ -55,11 +55,12 @@
   return duty;
 }
 
-// What lives on the thread's loop; made before the thread begins, so that a bad disk is told at the start.
-class Membership::Parts {
+// What lives on the thread's loop; made before the thread begins, so that a bad disk is on_changes at the
+// start.
+class Membership::LoopState {
  public:
-  Parts(Logger& log, const FleetSettings& settings, const std::string& name, std::uint64_t seed,
-        const std::vector<std::string>& duties)
+  LoopState(Logger& log, const FleetSettings& settings, const std::string& name, std::uint64_t seed,
+            const std::vector<std::string>& duties)
       : loop(steady_time), mailbox(loop) {
     if (const VoterAddress* const own = settings.voter(name)) {
       reg::VoterServer::Settings voter_settings;
@@ -72,13 +73,13 @@
       voter = std::make_unique<reg::VoterServer>(loop, log, voter_settings, seed);
       log.line("fleet: voter %s at %s", name.c_str(), address_text(voter->address()).c_str());
     }
-    std::vector<duty::DutySettings> does;
+    std::vector<duty::DutySettings> duty_list;
     for (const std::string& duty : duties) {
-      does.push_back(duty_settings(settings, duty, name));
-      if (does.back().progress == Duration{0}) does.back().progress = kOwnProgress;
+      duty_list.push_back(duty_settings(settings, duty, name));
+      if (duty_list.back().progress == Duration{0}) duty_list.back().progress = kDefaultProgress;
     }
     member = std::make_unique<duty::Member>(loop, log, addresses(settings), lease_settings(settings, name),
-                                            std::move(does), seed);
+                                            std::move(duty_list), seed);
   }
   Loop loop;
   Mailbox mailbox;
@@ -89,7 +90,7 @@
 Membership::Membership(Logger& log, const FleetSettings& settings, const std::string& name,
                        std::uint64_t seed, const std::vector<std::string>& duties) {
   try {
-    parts_ = std::make_unique<Parts>(log, settings, name, seed, duties);
+    state_ = std::make_unique<LoopState>(log, settings, name, seed, duties);
   } catch (const reg::StorageError& error) {
     throw ConfigError(std::string("\"directory\": ") + error.what());
   } catch (const std::system_error& error) {
@@ -98,8 +99,8 @@
     throw ConfigError(error.what());
   }
   for (const std::string& duty : duties) {
-    auto& office = offices_[duty] = std::make_unique<Office>(duty, settings.ending);
-    office->attach(parts_->loop, parts_->mailbox, *parts_->member);
+    auto& duty_handle = handles_[duty] = std::make_unique<DutyHandle>(duty, settings.ending);
+    duty_handle->attach(state_->loop, state_->mailbox, *state_->member);
   }
   // Signals are the main loop's.
   sigset_t all, before;
@@ -116,70 +117,70 @@
 
 void Membership::stop() {
   stopping_ = true;
-  parts_->mailbox.post([] {});  // the pass that waits ends
+  state_->mailbox.post([] {});  // the pass that waits ends
 }
 
 void Membership::ask(reg::Command command, reg::ClientProtocol::Done done) {
-  parts_->mailbox.post([this, command = std::move(command), done = std::move(done)]() mutable {
-    if (!parts_->member) return;
-    parts_->member->client().ask(std::move(command), std::move(done));
-    parts_->member->client().pump();
+  state_->mailbox.post([this, command = std::move(command), done = std::move(done)]() mutable {
+    if (!state_->member) return;
+    state_->member->client().ask(std::move(command), std::move(done));
+    state_->member->client().pump();
   });
 }
 
-void Membership::watch(const std::string& prefix, reg::ClientProtocol::OnChanges told) {
-  parts_->mailbox.post([this, prefix, told = std::move(told)]() mutable {
-    if (!parts_->member) return;
-    parts_->member->client().watch(prefix, std::move(told));
-    parts_->member->client().pump();
+void Membership::watch(const std::string& prefix, reg::ClientProtocol::OnChanges on_changes) {
+  state_->mailbox.post([this, prefix, on_changes = std::move(on_changes)]() mutable {
+    if (!state_->member) return;
+    state_->member->client().watch(prefix, std::move(on_changes));
+    state_->member->client().pump();
   });
 }
 
-std::optional<reg::Reply> Membership::ask_and_wait(const reg::Command& command, Duration patience,
-                                                   const std::function<bool()>& given_up) {
+std::optional<reg::Reply> Membership::ask_and_wait(const reg::Command& command, Duration timeout,
+                                                   const std::function<bool()>& cancelled) {
   struct Answer {
     std::mutex mutex;
-    std::condition_variable came;
+    std::condition_variable arrived;
     bool over = false;
     std::optional<reg::Reply> reply;
   };
-  const Time until = steady_time() + patience;
-  while (steady_time() < until && !(given_up && given_up())) {
+  const Time until = steady_time() + timeout;
+  while (steady_time() < until && !(cancelled && cancelled())) {
     const auto answer = std::make_shared<Answer>();
     ask(command, [answer](const std::optional<reg::Reply>& reply) {
       const std::lock_guard lock(answer->mutex);
       answer->reply = reply;
       answer->over = true;
-      answer->came.notify_one();
+      answer->arrived.notify_one();
     });
     std::unique_lock lock(answer->mutex);
-    while (!answer->over && steady_time() < until && !(given_up && given_up())) {
-      answer->came.wait_for(lock, kAskAgain);
+    while (!answer->over && steady_time() < until && !(cancelled && cancelled())) {
+      answer->arrived.wait_for(lock, kRetryInterval);
     }
     if (answer->reply) return answer->reply;
     // Nobody was there, or it was lost on the way.
-    if (answer->over) answer->came.wait_for(lock, kAskAgain, [] { return false; });
+    if (answer->over) answer->arrived.wait_for(lock, kRetryInterval, [] { return false; });
   }
   return std::nullopt;
 }
 
 void Membership::run() {
-  Loop& loop = parts_->loop;
-  parts_->member->start();
-  while (!stopping_) loop.pass(kPass);
-  parts_->member->leave();
-  for (const Time until = loop.now() + kLeaving; !parts_->member->left() && loop.now() < until;) {
+  Loop& loop = state_->loop;
+  state_->member->start();
+  while (!stopping_) loop.pass(kMaxPoll);
+  state_->member->leave();
+  for (const Time until = loop.now() + kLeaveTimeout; !state_->member->left() && loop.now() < until;) {
     loop.pass(std::chrono::milliseconds(10));
   }
-  parts_->member.reset();
+  state_->member.reset();
   // The others elect by themselves if this comes to nothing.
-  for (const Time until = loop.now() + kResigning;
-       parts_->voter && parts_->voter->resign() && loop.now() < until;) {
-    for (const Time again = loop.now() + kResignAgain; loop.now() < again;) {
+  for (const Time until = loop.now() + kResignTimeout;
+       state_->voter && state_->voter->resign() && loop.now() < until;) {
+    for (const Time again = loop.now() + kResignInterval; loop.now() < again;) {
       loop.pass(std::chrono::milliseconds(10));
     }
   }
-  parts_->voter.reset();
+  state_->voter.reset();
 }
 
 }  // namespace quartzarch::fleet
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -2,8 +2,8 @@
 // can do. On a thread and loop of its own, by the steady clock: a disk that takes its time holds no call up,
 // and calls go on as they are whatever becomes of the fleet.
 //
-// What else the process has shares the register through it: ask() and watch() from any thread, and an Office
-// for each duty.
+// What else the process has shares the register through it: ask() and watch() from any thread, and an
+// DutyHandle for each duty.
 #pragma once
 
 #include <atomic>
@@ -23,14 +23,14 @@
 
 // A duty as the threads that do its work see it. Every act is a write to the register under the token, which
 // refuses it once the holding is over: the work need not be awaited longer than `ending` when it is to end.
-class Office : public duty::Work {
+class DutyHandle : public duty::Work {
  public:
-  Office(std::string name, Duration ending) : name_(std::move(name)), ending_(ending) {}
+  DutyHandle(std::string name, Duration ending) : name_(std::move(name)), ending_(ending) {}
 
   // The token under which may be acted at this moment; any thread.
   std::optional<duty::Token> holds() const;
   // While the work is at something, its end is awaited, for a while. Any thread.
-  void busy(bool at_work);
+  void busy(bool is_busy);
   // The work gets on. Without a word for the duty's time of progress it goes to another controller. Any
   // thread.
   void report_progress();
@@ -42,7 +42,7 @@
   void begin(duty::Token token) override;
   void end(duty::Token token, duty::EndReason why, Time until) override;
   void lease_extended(duty::Token token, Time until) override;
-  void told_to_end();
+  void finish_ending();
 
   const std::string name_;
   const Duration ending_;
@@ -56,34 +56,34 @@
   mutable std::mutex mutex_;
   duty::Token token_ = 0;  // 0: nothing may be begun
   Time until_{};
-  bool at_work_ = false;
-  Time told_progress_{};
+  bool busy_ = false;
+  Time last_report_{};
 };
 
 class Membership : public Extension {
  public:
-  // `duties`: what this process does when it holds them. Throws ConfigError if this voter's disk or address
-  // cannot be had: told at the start, not later.
+  // `duties`: what this process duty_list when it holds them. Throws ConfigError if this voter's disk or
+  // address cannot be had: on_changes at the start, not later.
   Membership(Logger& log, const FleetSettings& settings, const std::string& name, std::uint64_t seed,
              const std::vector<std::string>& duties = {});
   ~Membership() override;
   void stop() override;
 
-  // Any thread; `done` and `told` run on the fleet's thread, and never after this object's end.
+  // Any thread; `done` and `on_changes` run on the fleet's thread, and never after this object's end.
   void ask(reg::Command command, reg::ClientProtocol::Done done);
-  void watch(const std::string& prefix, reg::ClientProtocol::OnChanges told);
-  // Asks until there is an answer, `patience` is over or `given_up` says so; not on the fleet's thread. For
+  void watch(const std::string& prefix, reg::ClientProtocol::OnChanges on_changes);
+  // Asks until there is an answer, `timeout` is over or `cancelled` says so; not on the fleet's thread. For
   // commands that may come twice.
-  std::optional<reg::Reply> ask_and_wait(const reg::Command& command, Duration patience,
-                                         const std::function<bool()>& given_up = {});
-  Office& office(const std::string& duty) { return *offices_.at(duty); }
+  std::optional<reg::Reply> ask_and_wait(const reg::Command& command, Duration timeout,
+                                         const std::function<bool()>& cancelled = {});
+  DutyHandle& duty_handle(const std::string& duty) { return *handles_.at(duty); }
 
  private:
-  class Parts;
+  class LoopState;
   void run();
 
-  std::map<std::string, std::unique_ptr<Office>> offices_;
-  std::unique_ptr<Parts> parts_;
+  std::map<std::string, std::unique_ptr<DutyHandle>> handles_;
+  std::unique_ptr<LoopState> state_;
   std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
--- a/src/fleet/seal.cpp
+++ b/src/fleet/seal.cpp
@@ -11,7 +11,7 @@
 
 // The version stands first, so that another way of sealing can be told apart.
 constexpr char kVersion = 1;
-constexpr std::size_t kKey = 32, kNonce = 12, kTag = 16;
+constexpr std::size_t kKeyBytes = 32, kNonceBytes = 12, kTagBytes = 16;
 
 using Context = std::unique_ptr<EVP_CIPHER_CTX, decltype(&EVP_CIPHER_CTX_free)>;
 
@@ -26,9 +26,9 @@
 }  // namespace
 
 std::optional<Seal> Seal::from_hex(std::string_view text) {
-  if (text.size() != 2 * kKey) return std::nullopt;
-  std::string key(kKey, '\0');
-  for (std::size_t i = 0; i < kKey; ++i) {
+  if (text.size() != 2 * kKeyBytes) return std::nullopt;
+  std::string key(kKeyBytes, '\0');
+  for (std::size_t i = 0; i < kKeyBytes; ++i) {
     unsigned value = 0;
     const char* const end = text.data() + 2 * i + 2;
     if (std::from_chars(text.data() + 2 * i, end, value, 16).ptr != end) return std::nullopt;
@@ -37,35 +37,36 @@
   return Seal(acme::Secret(std::move(key)));
 }
 
-std::string Seal::close(std::string_view name, std::string_view text) const {
-  std::string sealed(1 + kNonce + text.size() + kTag, kVersion);
+std::string Seal::encrypt(std::string_view name, std::string_view text) const {
+  std::string sealed(1 + kNonceBytes + text.size() + kTagBytes, kVersion);
   const Context context(EVP_CIPHER_CTX_new(), EVP_CIPHER_CTX_free);
   int written = 0;
-  if (!context || RAND_bytes(bytes(sealed, 1), kNonce) != 1 ||
+  if (!context || RAND_bytes(bytes(sealed, 1), kNonceBytes) != 1 ||
       EVP_EncryptInit_ex(context.get(), EVP_aes_256_gcm(), nullptr, bytes(key_.view()), bytes(sealed, 1)) !=
           1 ||
       EVP_EncryptUpdate(context.get(), nullptr, &written, bytes(name), length(name)) != 1 ||
-      EVP_EncryptUpdate(context.get(), bytes(sealed, 1 + kNonce), &written, bytes(text), length(text)) != 1 ||
-      EVP_EncryptFinal_ex(context.get(), bytes(sealed, 1 + kNonce + text.size()), &written) != 1 ||
-      EVP_CIPHER_CTX_ctrl(context.get(), EVP_CTRL_GCM_GET_TAG, kTag, bytes(sealed, sealed.size() - kTag)) !=
-          1) {
+      EVP_EncryptUpdate(context.get(), bytes(sealed, 1 + kNonceBytes), &written, bytes(text), length(text)) !=
+          1 ||
+      EVP_EncryptFinal_ex(context.get(), bytes(sealed, 1 + kNonceBytes + text.size()), &written) != 1 ||
+      EVP_CIPHER_CTX_ctrl(context.get(), EVP_CTRL_GCM_GET_TAG, kTagBytes,
+                          bytes(sealed, sealed.size() - kTagBytes)) != 1) {
     throw acme::CryptoError("a value cannot be sealed");
   }
   return sealed;
 }
 
-std::optional<acme::Secret> Seal::open(std::string_view name, std::string_view sealed) const {
-  if (sealed.size() < 1 + kNonce + kTag || sealed[0] != kVersion) return std::nullopt;
-  const std::string_view nonce = sealed.substr(1, kNonce);
-  const std::string_view text = sealed.substr(1 + kNonce, sealed.size() - 1 - kNonce - kTag);
-  std::string tag(sealed.substr(sealed.size() - kTag)), plain(text.size(), '\0');
+std::optional<acme::Secret> Seal::decrypt(std::string_view name, std::string_view sealed) const {
+  if (sealed.size() < 1 + kNonceBytes + kTagBytes || sealed[0] != kVersion) return std::nullopt;
+  const std::string_view nonce = sealed.substr(1, kNonceBytes);
+  const std::string_view text = sealed.substr(1 + kNonceBytes, sealed.size() - 1 - kNonceBytes - kTagBytes);
+  std::string tag(sealed.substr(sealed.size() - kTagBytes)), plain(text.size(), '\0');
   const Context context(EVP_CIPHER_CTX_new(), EVP_CIPHER_CTX_free);
   int written = 0;
   if (!context ||
       EVP_DecryptInit_ex(context.get(), EVP_aes_256_gcm(), nullptr, bytes(key_.view()), bytes(nonce)) != 1 ||
       EVP_DecryptUpdate(context.get(), nullptr, &written, bytes(name), length(name)) != 1 ||
       EVP_DecryptUpdate(context.get(), bytes(plain), &written, bytes(text), length(text)) != 1 ||
-      EVP_CIPHER_CTX_ctrl(context.get(), EVP_CTRL_GCM_SET_TAG, kTag, bytes(tag)) != 1 ||
+      EVP_CIPHER_CTX_ctrl(context.get(), EVP_CTRL_GCM_SET_TAG, kTagBytes, bytes(tag)) != 1 ||
       EVP_DecryptFinal_ex(context.get(), bytes(plain, plain.size()), &written) != 1) {
     return std::nullopt;
   }
--- a/src/fleet/seal.hpp
+++ b/src/fleet/seal.hpp
@@ -20,9 +20,9 @@
   Seal& operator=(Seal&&) = default;
 
   // Throws acme::CryptoError if there are no random bytes.
-  std::string close(std::string_view name, std::string_view text) const;
+  std::string encrypt(std::string_view name, std::string_view text) const;
   // Nothing if it was not sealed with this secret, under this name.
-  std::optional<acme::Secret> open(std::string_view name, std::string_view sealed) const;
+  std::optional<acme::Secret> decrypt(std::string_view name, std::string_view sealed) const;
 
  private:
   explicit Seal(acme::Secret key) : key_(std::move(key)) {}
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -74,13 +74,13 @@
                  settings.drift = static_cast<double>(number(n, k, 0, 20)) / 100;
                }}},
              {"voter", "directory"});
-    const auto wrong = [&](const char* key, const std::string& what) {
+    const auto reject = [&](const char* key, const std::string& what) {
       const toml::node* const at = table.get(key);
       fail(at ? *at : static_cast<const toml::node&>(table), key, what);
     };
-    if (settings.voters.size() != 3 && settings.voters.size() != 5) wrong("voter", "is there 3 or 5 times");
-    if (settings.heartbeat * 3 > settings.election) wrong("heartbeat_ms", "is over a third of election_ms");
-    if (settings.ending * 3 > settings.ttl) wrong("ending_ms", "is over a third of lease_ms");
+    if (settings.voters.size() != 3 && settings.voters.size() != 5) reject("voter", "is there 3 or 5 times");
+    if (settings.heartbeat * 3 > settings.election) reject("heartbeat_ms", "is over a third of election_ms");
+    if (settings.ending * 3 > settings.ttl) reject("ending_ms", "is over a third of lease_ms");
   });
   return settings;
 }
--- a/tests/shared_certificates_test.cpp
+++ b/tests/shared_certificates_test.cpp
@@ -16,18 +16,18 @@
 TEST(Seal, OpensOnlyWhatItSealedUnderTheSameNameAndKey) {
   const auto seal = fleet::Seal::from_hex(std::string(64, 'a'));
   ASSERT_TRUE(seal);
-  const std::string closed = seal->close("certificate/sip.current.pem", "a key");
+  const std::string closed = seal->encrypt("certificate/sip.current.pem", "a key");
   EXPECT_EQ(closed.find("a key"), std::string::npos);
-  EXPECT_EQ(seal->open("certificate/sip.current.pem", closed)->view(), "a key");
-  EXPECT_NE(closed, seal->close("certificate/sip.current.pem", "a key"));
-  EXPECT_FALSE(seal->open("certificate/other.pem", closed));
+  EXPECT_EQ(seal->decrypt("certificate/sip.current.pem", closed)->view(), "a key");
+  EXPECT_NE(closed, seal->encrypt("certificate/sip.current.pem", "a key"));
+  EXPECT_FALSE(seal->decrypt("certificate/other.pem", closed));
   EXPECT_FALSE(
-      fleet::Seal::from_hex(std::string(63, 'a') + "b")->open("certificate/sip.current.pem", closed));
+      fleet::Seal::from_hex(std::string(63, 'a') + "b")->decrypt("certificate/sip.current.pem", closed));
   for (std::size_t at = 0; at < closed.size(); ++at) {
     std::string changed = closed;
     changed[at] = static_cast<char>(changed[at] ^ 1);
-    EXPECT_FALSE(seal->open("certificate/sip.current.pem", changed)) << at;
-    EXPECT_FALSE(seal->open("certificate/sip.current.pem", closed.substr(0, at))) << at;
+    EXPECT_FALSE(seal->decrypt("certificate/sip.current.pem", changed)) << at;
+    EXPECT_FALSE(seal->decrypt("certificate/sip.current.pem", closed.substr(0, at))) << at;
   }
   EXPECT_FALSE(fleet::Seal::from_hex("aa"));
   EXPECT_FALSE(fleet::Seal::from_hex(std::string(63, 'a') + "x"));
