--- a/src/fleet/certificate_store.cpp
+++ b/src/fleet/certificate_store.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr std::string_view kPrefix = "certificate/";
-// Kept once a fleet's certificates are in the register: what a controller has besides is of before.
+// Exists once the fleet's certificates are in the register; other local records of a controller are from
+// before.
 constexpr const char* kInitialized = "begun";
 constexpr Duration kRequestTimeout = std::chrono::seconds(5);
 constexpr std::chrono::milliseconds kPollInterval{20};
@@ -49,7 +50,7 @@
   return received_all_;
 }
 
-// ---- What others have changed
+// ---- Changes by other controllers
 
 void CertificateStore::look() {
   duty_handle_.report_progress();
@@ -69,7 +70,7 @@
 std::optional<std::string> CertificateStore::read(const std::string& name) const {
   auto text = copy_.read(name);
   const auto known = known_.find(name);
-  // Torn on this controller's disk: the register has it.
+  // The local copy is corrupt or missing, but the register has the record.
   if (!text && known != known_.end() && known->second.value_revision != 0 &&
       rejected_digests_.count(name) == 0) {
     copy_incomplete_ = true;
@@ -84,7 +85,7 @@
     const std::string name = name_of(each.key);
     present.insert(name);
     Known& known = known_[name];
-    if (each.revision < known.changed) continue;  // update late
+    if (each.revision < known.changed) continue;  // an outdated change that arrived late
     known = {each.revision, each.value ? each.revision : 0};
     if (!each.value) {
       copy_.remove(name);
@@ -108,7 +109,7 @@
     if (present.count(name) == 0 && known.changed <= update.at) known = {update.at, 0};
   }
   for (const std::string& name : copied_names()) {
-    // A certificate in use is served until present is another.
+    // A certificate in use is served until it is replaced.
     if (present.count(name) > 0 || known_[name].value_revision != 0 || name.ends_with(".current.pem"))
       continue;
     const bool transient = name.starts_with("challenge-") || name.find(".key-") != std::string::npos ||
@@ -157,7 +158,8 @@
     if (!reply || reply->code != reg::Code::ok) return false;
     for (const reg::Item& item : reply->items) {
       if (!seal_.decrypt(item.key, item.value)) {
-        throw acme::StateError("the fleet's certificates are sealed with another secret: nothing is changed");
+        throw acme::StateError(
+            "the fleet's certificates are encrypted with another secret: nothing is changed");
       }
       all.changes.push_back({item.revision, item.key, item.value});
     }
@@ -165,7 +167,7 @@
     more = reply->more;
     if (more) command.value = reply->items.back().key;
   }
-  known_.clear();  // what others may have done under their tokens is in the list
+  known_.clear();  // the list includes what others did under their tokens
   apply_update(all);
   consistent_ = true;
   if (!initialized_) import_copy();
@@ -190,7 +192,7 @@
 void CertificateStore::change(reg::Command command) {
   const auto token = duty_handle_.holds();
   if (!token || *token != token_) throw acme::TurnLost{};
-  if (!consistent_) throw acme::StateError("the fleet's register has to be read again first");
+  if (!consistent_) throw acme::StateError("the fleet's register has to be reloaded first");
   Known& known = known_[name_of(command.name)];
   command.expected = known.value_revision;
   command.fence = reg::Fence{kCertificatesDuty, *token};
@@ -203,7 +205,7 @@
   };
   if (!reply) {
     if (duty_handle_.holds() != token) throw acme::TurnLost{};
-    return inconsistent("does not answer");  // it may have been done or not
+    return inconsistent("does not answer");  // it may or may not have been applied
   }
   switch (reply->code) {
     case reg::Code::ok:
@@ -213,7 +215,8 @@
     case reg::Code::fenced:
       throw acme::TurnLost{};
     case reg::Code::changed:
-      // By an earlier asking, whose answer was lost; or it is not what was known here.
+      // The change may have been applied by an earlier attempt whose reply was lost; otherwise the record is
+      // not as expected.
       if (put && !reply->items.empty() && reply->items.front().value == command.value) {
         known = {reply->items.front().revision, reply->items.front().revision};
         return;
@@ -222,7 +225,7 @@
         known = {reply->revision, 0};
         return;
       }
-      return inconsistent("has another " + command.name);
+      return inconsistent("has an unexpected " + command.name);
     default:
       throw acme::StateError("the fleet's register: " + command.name + ": " + reg::code_text(reply->code));
   }
@@ -254,7 +257,7 @@
   copy_.remove(name);
 }
 
-// Here only. What the register has comes into the copy again, unless it is the same.
+// Affects this controller's copy only. The register's record is copied again unless it is the same.
 void CertificateStore::put_aside(const std::string& name, const std::string& why) {
   const auto content = copy_of(name);
   copy_.put_aside(name, why);
@@ -263,7 +266,7 @@
   consistent_ = false;
 }
 
-// ---- Whose turn
+// ---- Turns
 
 bool DutyTurn::take(acme::Instant) {
   const auto token = duty_handle_.holds();
--- a/src/fleet/certificate_store.hpp
+++ b/src/fleet/certificate_store.hpp
@@ -1,9 +1,9 @@
-// A fleet's certificates, keys and orders in the register, sealed, with a copy in each controller's
+// A fleet's certificates, keys and orders: encrypted in the register, with a copy in each controller's
 // directory.
 //
-// Reads come from the copy, so that certificates are served whatever becomes of the voters. A change goes to
-// the register first, under the token of the duty and the revision at which the value was known, then to the
-// copy: one that was held up on the way does nothing, neither after the holding nor after a later change.
+// Reads use the copy, so that certificates are served even if the voters are unreachable. A change goes to
+// the register first, with the fencing token of the duty and the revision that the value is expected to have,
+// and then to the copy: a delayed change has no effect, neither after the holding nor after a later change.
 #pragma once
 
 #include <map>
@@ -20,19 +20,21 @@
 
 inline constexpr const char* kCertificatesDuty = "certificates";
 
+// The store of the ACME client of a fleet's controller.
 class CertificateStore : public acme::Store {
  public:
-  // `stopped`: ends waiting for the register.
+  // `stopped`: returns true to end waiting for the register.
   CertificateStore(Logger& log, Membership& fleet, Seal seal, const std::string& directory,
                    std::function<bool()> stopped);
 
-  // Waits until the register's were updates once; false: it is out of reach, the copy is what there is.
+  // Waits until the register's contents were received once. False: it is out of reach, and only the copy is
+  // available.
   bool wait_for_contents(Duration timeout);
-  // Everything as the register has it, ahead of the first change under that token. False: out of reach.
+  // Reads everything from the register, before the first change under that token. False: it is out of reach.
   bool reload(duty::Token token);
-  // Of the last reload(); 0: there was none.
+  // The token of the last reload(); 0: there was none.
   duty::Token token() const { return token_; }
-  // No change since then may or may not have been done.
+  // False after a change whose outcome is unknown: reload() has to be called before the next one.
   bool consistent() const { return consistent_; }
 
   std::optional<std::string> read(const std::string& name) const override;
@@ -56,25 +58,25 @@
     bool complete = false;
   };
   struct Known {
-    reg::Revision changed = 0;         // the last change that was updates or made
-    reg::Revision value_revision = 0;  // what a write has to expect; 0: it is not there
+    reg::Revision changed = 0;         // revision of the last change received or made
+    reg::Revision value_revision = 0;  // revision that a write has to expect; 0: the value does not exist
   };
-  // Filled on the fleet's thread, emptied on the keeper's.
+  // Filled on the fleet's thread, emptied on the thread of the ACME client.
   struct Inbox {
     std::mutex mutex;
     std::vector<WatchUpdate> updates;
   };
 
   void watch();
-  // To the register. Throws StateError, TurnLost.
+  // Applies a change to the register. Throws StateError, TurnLost.
   void change(reg::Command command);
   void put(const std::string& name, std::string_view text);
   std::vector<std::string> copied_names() const;  // names
   std::optional<acme::Secret> copy_of(const std::string& name) const;
-  // Into the copy, if it differs.
+  // Writes to the copy, if it differs.
   void update_copy(const std::string& name, std::string_view text);
   void apply_update(const WatchUpdate& update);
-  // What a controller had before it was of a fleet: the first holder's is everybody's.
+  // Imports this controller's records from before the fleet: those of the first holder become everybody's.
   void import_copy();
 
   Logger& log_;
@@ -85,17 +87,18 @@
   std::function<bool()> stopped_;
   std::shared_ptr<Inbox> inbox_ = std::make_shared<Inbox>();
   std::map<std::string, Known> known_;
-  std::map<std::string, std::string> rejected_digests_;  // digests of what was put aside: not taken again
-  bool initialized_ = false;                             // the register has a fleet's certificates
-  bool received_all_ = false;                            // they were updates once
+  std::map<std::string, std::string>
+      rejected_digests_;       // digests of records put aside, which are not copied again
+  bool initialized_ = false;   // the register holds the fleet's certificates
+  bool received_all_ = false;  // the complete contents were received once
   bool logged_unsealed_ = false;
   duty::Token token_ = 0;
   bool consistent_ = false;
-  mutable bool copy_incomplete_ = false;  // it is to be made anew from the register
+  mutable bool copy_incomplete_ = false;  // the copy has to be completed from the register
   Time rewatched_at_{};
 };
 
-// Whose turn it is to change the certificates: the duty's holder's.
+// The turn to change the certificates, which is the duty's holder's.
 class DutyTurn : public acme::Turn {
  public:
   DutyTurn(DutyHandle& duty_handle, CertificateStore& store) : duty_handle_(duty_handle), store_(store) {}
@@ -111,8 +114,10 @@
   CertificateStore& store_;
 };
 
-// The seal of the file that the settings name. Throws ConfigError if there is none, or no such file.
+// Reads the encryption key from the file that the settings name. Throws ConfigError if none is named, or the
+// file does not hold one.
 Seal read_seal(const FleetSettings& settings);
+// The store and the turn for a controller of a fleet; waits `timeout` for the register's contents.
 acme::Kept open_fleet_store(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
                             Duration timeout, std::function<bool()> stopped);
 
--- a/src/fleet/duty_handle.cpp
+++ b/src/fleet/duty_handle.cpp
@@ -68,7 +68,6 @@
   });
 }
 
-// The work has come to its end before the time that it had.
 void DutyHandle::finish_ending() {
   const duty::Token ended = std::exchange(ending_token_, 0);
   if (ended == 0) return;
--- a/src/fleet/gap_list.cpp
+++ b/src/fleet/gap_list.cpp
@@ -119,7 +119,7 @@
   pump();
 }
 
-// The list-keeper's work.
+// The work of the duty's holder: removes ended entries.
 void GapList::sweep() {
   DutyHandle& duty = fleet_.duty_handle(kGapsDuty);
   duty.report_progress();
--- a/src/fleet/gap_list.hpp
+++ b/src/fleet/gap_list.hpp
@@ -1,5 +1,5 @@
-// The gaps of a fleet: announced at any controller, in force at all of them, through the register. One
-// controller, which holds the duty, takes out what is over.
+// The gaps of a fleet: announced at any controller and in force at all of them, through the register. The
+// controller that holds the duty removes entries that have ended.
 #pragma once
 
 #include <memory>
@@ -12,9 +12,10 @@
 
 inline constexpr const char* kGapsDuty = "gaps";
 
+// A controller's view of the shared list; runs on its main loop.
 class GapList : public gap::Sharing {
  public:
-  // `start_timeout`: how long a start waits for the list. The membership must live longer.
+  // `start_timeout`: how long begin() waits for the list. The membership must outlive this object.
   GapList(Logger& log, Membership& fleet, Duration start_timeout);
   ~GapList() override;
 
@@ -38,7 +39,7 @@
   gap::Ledger ledger_{{}};
   Loop* loop_ = nullptr;
   Take take_;
-  // Shared with what runs on the fleet's thread.
+  // Shared with callbacks that run on the fleet's thread.
   std::shared_ptr<Mailbox> mailbox_;
   std::optional<Loop::TimerId> retry_timer_, sweep_timer_;
   bool list_received_ = false;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -12,15 +12,15 @@
 namespace quartzarch::fleet {
 namespace {
 
-// How long the end waits for what is handed on in order.
+// How long the end of the process waits for its duties to be handed over.
 constexpr Duration kLeaveTimeout = std::chrono::milliseconds(1000);
 constexpr Duration kMaxPoll = std::chrono::milliseconds(500);
-// And for another voter to lead; it is asked again meanwhile.
+// How long it waits for another voter to lead, and how often it requests the transfer meanwhile.
 constexpr Duration kResignTimeout = std::chrono::milliseconds(1000);
 constexpr Duration kResignInterval = std::chrono::milliseconds(50);
-// Without a word from the work of the program's own duties, unless the file has another time.
+// Progress time of the program's own duties, unless the settings file names another.
 constexpr Duration kDefaultProgress = std::chrono::seconds(120);
-// Between two askings for the same.
+// Between two attempts of the same command.
 constexpr std::chrono::milliseconds kRetryInterval{50};
 
 }  // namespace
@@ -34,7 +34,7 @@
 duty::Settings lease_settings(const FleetSettings& settings, const std::string& name) {
   duty::Settings leases;
   leases.name = name;
-  // Later starts have a higher one; two within a microsecond are one process.
+  // Later starts get a higher one; two processes started within the same microsecond would count as one.
   leases.incarnation = static_cast<std::uint64_t>(unix_time().count());
   leases.ttl = settings.ttl;
   leases.drift = settings.drift;
@@ -55,7 +55,7 @@
   return duty;
 }
 
-// What lives on the thread's loop; made before the thread begins, so that a bad disk is on_changes at the
+// What lives on the thread's loop; created before the thread starts, so that a bad disk is reported at the
 // start.
 class Membership::LoopState {
  public:
@@ -102,7 +102,7 @@
     auto& duty_handle = handles_[duty] = std::make_unique<DutyHandle>(duty, settings.ending);
     duty_handle->attach(state_->loop, state_->mailbox, *state_->member);
   }
-  // Signals are the main loop's.
+  // Signals are handled by the main loop only.
   sigset_t all, before;
   sigfillset(&all);
   pthread_sigmask(SIG_SETMASK, &all, &before);
@@ -117,7 +117,7 @@
 
 void Membership::stop() {
   stopping_ = true;
-  state_->mailbox.post([] {});  // the pass that waits ends
+  state_->mailbox.post([] {});  // wakes the waiting pass of the loop
 }
 
 void Membership::ask(reg::Command command, reg::ClientProtocol::Done done) {
@@ -158,7 +158,7 @@
       answer->arrived.wait_for(lock, kRetryInterval);
     }
     if (answer->reply) return answer->reply;
-    // Nobody was there, or it was lost on the way.
+    // No voter was reached, or the reply was lost.
     if (answer->over) answer->arrived.wait_for(lock, kRetryInterval, [] { return false; });
   }
   return std::nullopt;
@@ -173,7 +173,7 @@
     loop.pass(std::chrono::milliseconds(10));
   }
   state_->member.reset();
-  // The others elect by themselves if this comes to nothing.
+  // If the transfer fails, the other voters elect a leader by themselves.
   for (const Time until = loop.now() + kResignTimeout;
        state_->voter && state_->voter->resign() && loop.now() < until;) {
     for (const Time again = loop.now() + kResignInterval; loop.now() < again;) {
--- a/src/fleet/seal.cpp
+++ b/src/fleet/seal.cpp
@@ -9,7 +9,7 @@
 namespace quartzarch::fleet {
 namespace {
 
-// The version stands first, so that another way of sealing can be told apart.
+// The format version is the first byte, so that a later format can be told apart.
 constexpr char kVersion = 1;
 constexpr std::size_t kKeyBytes = 32, kNonceBytes = 12, kTagBytes = 16;
 
@@ -50,7 +50,7 @@
       EVP_EncryptFinal_ex(context.get(), bytes(sealed, 1 + kNonceBytes + text.size()), &written) != 1 ||
       EVP_CIPHER_CTX_ctrl(context.get(), EVP_CTRL_GCM_GET_TAG, kTagBytes,
                           bytes(sealed, sealed.size() - kTagBytes)) != 1) {
-    throw acme::CryptoError("a value cannot be sealed");
+    throw acme::CryptoError("a value cannot be encrypted");
   }
   return sealed;
 }
--- a/src/fleet/seal.hpp
+++ b/src/fleet/seal.hpp
@@ -1,6 +1,6 @@
-// Sealed values: what is kept in the register, which voters store and send as it is, can be read and made by
-// those only that have the fleet's secret. AES-256-GCM (NIST SP 800-38D) with a nonce drawn for each value,
-// bound to the name under which it is kept. No I/O.
+// Authenticated encryption of values in the register, so that voters, which store and send them as they are,
+// can neither read nor forge them without the fleet's secret. AES-256-GCM (NIST SP 800-38D) with a random
+// nonce for each value, bound to the name under which it is stored. No I/O.
 #pragma once
 
 #include <optional>
@@ -11,17 +11,18 @@
 
 namespace quartzarch::fleet {
 
+// The fleet's encryption key.
 class Seal {
  public:
-  // 64 hexadecimal digits; nothing if the text is not that.
+  // `text`: 64 hexadecimal digits; returns nothing otherwise.
   static std::optional<Seal> from_hex(std::string_view text);
   Seal(const Seal& other) : key_(other.key_.text()) {}
   Seal(Seal&&) = default;
   Seal& operator=(Seal&&) = default;
 
-  // Throws acme::CryptoError if there are no random bytes.
+  // Throws acme::CryptoError if the cipher or the random number generator fails.
   std::string encrypt(std::string_view name, std::string_view text) const;
-  // Nothing if it was not sealed with this secret, under this name.
+  // Returns nothing if the value was not encrypted with this key under this name.
   std::optional<acme::Secret> decrypt(std::string_view name, std::string_view sealed) const;
 
  private:
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -38,7 +38,7 @@
                {{"name", [&](const toml::node& n, const std::string& k) { duty.name = text(n, k); }},
                 {"preferred",
                  [&](const toml::node& n, const std::string& k) {
-                   if (!n.is_array()) fail(n, k, "is no list of controllers' names");
+                   if (!n.is_array()) fail(n, k, "is not a list of controllers' names");
                    for (const toml::node& each : *n.as_array()) duty.preferred.push_back(text(each, k));
                  }},
                 {"progress_ms",
@@ -78,7 +78,8 @@
       const toml::node* const at = table.get(key);
       fail(at ? *at : static_cast<const toml::node&>(table), key, what);
     };
-    if (settings.voters.size() != 3 && settings.voters.size() != 5) reject("voter", "is there 3 or 5 times");
+    if (settings.voters.size() != 3 && settings.voters.size() != 5)
+      reject("voter", "must occur 3 or 5 times");
     if (settings.heartbeat * 3 > settings.election) reject("heartbeat_ms", "is over a third of election_ms");
     if (settings.ending * 3 > settings.ttl) reject("ending_ms", "is over a third of lease_ms");
   });
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -1,4 +1,4 @@
-// deploy/fleet.toml: who votes, how long leases are, and which duties there are.
+// The fleet's settings file (deploy/fleet.toml): the voters, the lease times and the duties.
 #pragma once
 
 #include <netinet/in.h>
@@ -19,23 +19,25 @@
 
 struct Duty {
   std::string name{};
-  std::vector<std::string> preferred{};  // controllers; empty: any
-  Duration progress{};                   // 0: it need not tell any
+  std::vector<std::string> preferred{};  // preferred controllers; empty: any
+  Duration progress{};                   // longest time between two progress reports; 0: none are needed
 };
 
 struct FleetSettings {
   std::vector<VoterAddress> voters{};  // 3 or 5
-  std::string directory{};             // of a voter's register: mode 0700
-  // Where this process listens if it is a voter; absent: at its address above. For processes that reach each
-  // other by another way than they listen.
+  std::string directory{};             // directory of a voter's register, mode 0700
+  // The address at which this process listens if it is a voter; absent: its address above. For processes that
+  // reach each other at other addresses than they listen at.
   std::optional<sockaddr_in> listen{};
   Duration ttl = std::chrono::milliseconds(3000);
   Duration election = std::chrono::milliseconds(500);
   Duration heartbeat = std::chrono::milliseconds(100);
   Duration ending = std::chrono::milliseconds(300);
-  Duration start_wait = std::chrono::milliseconds(2000);  // for what is shared, before calls are taken
+  Duration start_wait = std::chrono::milliseconds(
+      2000);  // how long a start waits for the shared state before calls are accepted
   double drift = 0.05;
-  std::string secret_file{};  // with what is in it certificates' keys are sealed in the register; empty: none
+  std::string
+      secret_file{};  // file with the secret that encrypts certificates' keys in the register; empty: none
   std::vector<Duty> duties{};
 
   const VoterAddress* voter(std::string_view name) const;
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -357,7 +357,7 @@
       {"lease_ms = 5\n" + good, "line 1: \"lease_ms\""},
       {"leese_ms = 5000\n" + good, "line 1: \"leese_ms\" is unknown"},
       {"heartbeat_ms = 400\n" + good, "line 1: \"heartbeat_ms\" is over a third"},
-      {good + "[[voter]]\nname = \"d\"\naddress = \"127.0.0.1:4\"\n", "\"voter\" is there 3 or 5 times"},
+      {good + "[[voter]]\nname = \"d\"\naddress = \"127.0.0.1:4\"\n", "\"voter\" must occur 3 or 5 times"},
       {good + "[[voter]]\nname = \"a\"\naddress = \"127.0.0.1:4\"\n", "names a voter twice"},
       {good + "[[duty]]\nname = 3\n", "\"name\" is no text"},
       {good + "x", "no TOML"}};
