--- a/src/duty/member.hpp
+++ b/src/duty/member.hpp
@@ -62,7 +62,7 @@
   std::optional<Loop::TimerId> timer_;
   bool driving_ = false;
   bool drive_again_ = false;  // drive() was called while it ran
-  Time announced_until_{};    // the lease end that the work was last told
+  Time announced_until_{};    // the end of the lease that was last passed to the work
 };
 
 }  // namespace quartzarch::duty
--- a/src/register/node.cpp
+++ b/src/register/node.cpp
@@ -324,10 +324,10 @@
         changed);
   }
 
-  // Sends Raft's TimeoutNow; the receiver starts an election that voters do not refuse on account of the
-  // present leader. The library's own raft_transfer() is not used: it keeps a request at the leader that does
-  // not survive a change of voters or of the leader meanwhile (it crashed in the random walk of
-  // tests/duty_test.cpp).
+  // Chooses the successor. It is sent Raft's TimeoutNow, on which it starts an election that voters do not
+  // refuse on account of the present leader. The library's own raft_transfer() is not used: it keeps a
+  // request at the leader that does not survive a change of voters or of the leader meanwhile (it crashed in
+  // the random walk of tests/duty_test.cpp).
   bool transfer_leadership(Time now, VoterId to) {
     now_ = std::max(now_, now);
     if (!leads()) return false;
