--- a/src/fleet/certificate_store.cpp
+++ b/src/fleet/certificate_store.cpp
@@ -80,10 +80,10 @@
 
 void CertificateStore::apply_update(const WatchUpdate& update) {
   received_all_ = received_all_ || update.complete;
-  std::set<std::string> present;
+  std::set<std::string> listed;
   for (const reg::Change& each : update.changes) {
     const std::string name = name_of(each.key);
-    present.insert(name);
+    listed.insert(name);
     Known& known = known_[name];
     if (each.revision < known.changed) continue;  // an outdated change that arrived late
     known = {each.revision, each.value ? each.revision : 0};
@@ -106,11 +106,11 @@
   }
   if (!update.complete || !initialized_) return;
   for (auto& [name, known] : known_) {
-    if (present.count(name) == 0 && known.changed <= update.at) known = {update.at, 0};
+    if (listed.count(name) == 0 && known.changed <= update.at) known = {update.at, 0};
   }
   for (const std::string& name : copied_names()) {
     // A certificate in use is served until it is replaced.
-    if (present.count(name) > 0 || known_[name].value_revision != 0 || name.ends_with(".current.pem"))
+    if (listed.count(name) > 0 || known_[name].value_revision != 0 || name.ends_with(".current.pem"))
       continue;
     const bool transient = name.starts_with("challenge-") || name.find(".key-") != std::string::npos ||
                            name.ends_with(".order.json");
--- a/tests/duty_history_test.cpp
+++ b/tests/duty_history_test.cpp
@@ -102,7 +102,7 @@
         };
       }
       case 4:
-        injected_faults_ += " delay replies to " + victim;
+        injected_faults_ += " delay what " + victim + " receives";
         links(victim, [](faults::Relay& relay) { relay.hold(faults::Way::back); });
         return [=, this] { links(victim, [](faults::Relay& relay) { relay.pass(); }); };
       case 5:
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -137,8 +137,7 @@
   EXPECT_NE(check_history({a, b, did(Did::read, "b", 22, 24), did(Did::read, "a", 25, 28)}), "")
       << "a later read returns an older value";
   const auto lost = did(Did::put, "c", 60, 0);
-  EXPECT_EQ(check_history({a, lost, did(Did::read, "a", 70, 80), did(Did::read, "c", 90, 95)}), "")
-      << "a lost write may take effect late";
+  EXPECT_EQ(check_history({a, lost, did(Did::read, "a", 70, 80), did(Did::read, "c", 90, 95)}), "") << "late";
   EXPECT_NE(check_history({a, lost, did(Did::read, "c", 70, 80), did(Did::read, "a", 90, 95)}), "");
   EXPECT_NE(check_history({a, did(Did::read, "c", 40, 50)}), "") << "a value that was never written";
   auto swap = did(Did::swap, "d", 40, 50), other = did(Did::swap, "e", 45, 55);
