--- a/src/fleet/gap_list.hpp
+++ b/src/fleet/gap_list.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "fleet/membership.hpp"
-#include "gap/sharing.hpp"
+#include "gap/shared_list.hpp"
 
 namespace quartzarch::fleet {
 
--- a/src/gap/ledger.cpp
+++ b/src/gap/list_replica.cpp
@@ -1,4 +1,4 @@
-#include "gap/ledger.hpp"
+#include "gap/list_replica.hpp"
 
 #include <simdjson.h>
 
--- a/src/gap/sharing.hpp
+++ b/src/gap/shared_list.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "gap/ledger.hpp"
+#include "gap/list_replica.hpp"
 #include "net/loop.hpp"
 
 namespace quartzarch::gap {
--- a/src/operation.hpp
+++ b/src/operation.hpp
@@ -10,7 +10,7 @@
 #include "control/writer.hpp"
 #include "core/planner.hpp"
 #include "gap/gate.hpp"
-#include "gap/sharing.hpp"
+#include "gap/shared_list.hpp"
 #include "serve.hpp"
 
 namespace quartzarch {
--- a/tests/shared_gaps_test.cpp
+++ b/tests/shared_gaps_test.cpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "fleet_process.hpp"
-#include "gap/ledger.hpp"
+#include "gap/list_replica.hpp"
 #include "gap/rule.hpp"
 
 namespace quartzarch::test {
