--- a/src/fleet/gap_list.cpp
+++ b/src/fleet/gap_list.cpp
@@ -8,15 +8,15 @@
 constexpr Duration kSweep = std::chrono::seconds(2);
 constexpr Duration kPass = std::chrono::milliseconds(20);
 
-gap::Ledger::Outcome outcome_of(const std::optional<reg::Reply>& reply) {
-  using Outcome = gap::Ledger::Outcome;
+gap::ListReplica::Outcome outcome_of(const std::optional<reg::Reply>& reply) {
+  using Outcome = gap::ListReplica::Outcome;
   if (!reply) return Outcome::lost;
   switch (reply->code) {
     case reg::Code::ok:
       return Outcome::done;
     case reg::Code::changed:
     case reg::Code::absent:
-      return Outcome::changed;
+      return Outcome::conflict;
     default:
       return Outcome::refused;
   }
@@ -48,10 +48,10 @@
   return known_;
 }
 
-std::optional<gap::Ledger::Shown> GapList::shown(const std::string& key,
-                                                 const std::optional<std::string>& value,
-                                                 reg::Revision revision) {
-  gap::Ledger::Shown shown{key.substr(kPrefix.size()), std::nullopt, revision};
+std::optional<gap::ListReplica::ListedEntry> GapList::shown(const std::string& key,
+                                                            const std::optional<std::string>& value,
+                                                            reg::Revision revision) {
+  gap::ListReplica::ListedEntry shown{key.substr(kPrefix.size()), std::nullopt, revision};
   if (!value) return shown;
   shown.entry = gap::parse_entry(*value);
   if (shown.entry) return shown;
@@ -61,12 +61,12 @@
 }
 
 void GapList::told(const std::vector<reg::Change>& changes, bool whole) {
-  std::vector<gap::Ledger::Shown> entries;
+  std::vector<gap::ListReplica::ListedEntry> entries;
   for (const reg::Change& change : changes) {
     if (auto entry = shown(change.key, change.value, change.revision)) entries.push_back(std::move(*entry));
   }
   known_ = known_ || whole;
-  const auto news = ledger_.shown(entries, whole);
+  const auto news = ledger_.apply(entries, whole);
   if (!news.empty()) take_(news);
   pump();
 }
@@ -77,16 +77,16 @@
 }
 
 void GapList::pump() {
-  for (const auto& each : ledger_.due(loop_->now())) write(each, std::nullopt);
+  for (const auto& each : ledger_.next_writes(loop_->now())) write(each, std::nullopt);
   if (again_) loop_->cancel(*std::exchange(again_, std::nullopt));
-  if (ledger_.waiting() == 0) return;
+  if (ledger_.pending_count() == 0) return;
   again_ = loop_->at(loop_->now() + kAgain, [this] {
     again_.reset();
     pump();
   });
 }
 
-void GapList::write(const gap::Ledger::Write& write, std::optional<reg::Fence> fence) {
+void GapList::write(const gap::ListReplica::Write& write, std::optional<reg::Fence> fence) {
   reg::Command command;
   command.op = write.entry ? reg::Op::put : reg::Op::erase;
   command.name = std::string(kPrefix) + write.id;
@@ -103,16 +103,16 @@
   if (reply && reply->code == reg::Code::changed && !reply->items.empty()) {
     const reg::Item& item = reply->items.front();
     if (auto entry = shown(item.key, item.value, item.revision)) {
-      const auto news = ledger_.shown({std::move(*entry)}, false);
+      const auto news = ledger_.apply({std::move(*entry)}, false);
       if (!news.empty()) take_(news);
     }
   }
   const auto outcome = outcome_of(reply);
-  if (outcome == gap::Ledger::Outcome::refused && !std::exchange(told_refused_, true)) {
+  if (outcome == gap::ListReplica::Outcome::refused && !std::exchange(told_refused_, true)) {
     log_.line("gap=%s event=not_spread why=\"%s\"", id.c_str(), reg::code_text(reply->code));
   }
-  ledger_.answered(loop_->now(), id, outcome, reply ? reply->revision : 0);
-  if (outcome == gap::Ledger::Outcome::done) take_({});
+  ledger_.complete_write(loop_->now(), id, outcome, reply ? reply->revision : 0);
+  if (outcome == gap::ListReplica::Outcome::done) take_({});
   pump();
 }
 
--- a/src/fleet/gap_list.hpp
+++ b/src/fleet/gap_list.hpp
@@ -26,15 +26,16 @@
   void told(const std::vector<reg::Change>& changes, bool whole);
   void answered(const std::string& id, const std::optional<reg::Reply>& reply);
   void pump();
-  void write(const gap::Ledger::Write& write, std::optional<reg::Fence> fence);
+  void write(const gap::ListReplica::Write& write, std::optional<reg::Fence> fence);
   void sweep();
-  std::optional<gap::Ledger::Shown> shown(const std::string& key, const std::optional<std::string>& value,
-                                          reg::Revision revision);
+  std::optional<gap::ListReplica::ListedEntry> shown(const std::string& key,
+                                                     const std::optional<std::string>& value,
+                                                     reg::Revision revision);
 
   Logger& log_;
   Membership& fleet_;
   const Duration patience_;
-  gap::Ledger ledger_{{}};
+  gap::ListReplica ledger_{{}};
   Loop* loop_ = nullptr;
   Take take_;
   // Shared with what runs on the fleet's thread.
--- a/src/gap/list_replica.cpp
+++ b/src/gap/list_replica.cpp
@@ -29,19 +29,19 @@
   return entry;
 }
 
-void Ledger::settle_own(State& state, bool wanted) {
-  if (state.own.has_value() && !wanted) {
-    state.own.reset();
-    --own_;
-  } else if (!state.own.has_value() && wanted) {
-    state.own.emplace();
-    ++own_;
+void ListReplica::set_pending(State& state, bool wanted) {
+  if (state.pending.has_value() && !wanted) {
+    state.pending.reset();
+    --pending_count_;
+  } else if (!state.pending.has_value() && wanted) {
+    state.pending.emplace();
+    ++pending_count_;
   }
 }
 
-void Ledger::stands(State& state, const Entry& entry, Place place) {
-  state.place = place;
-  state.held_here = false;
+void ListReplica::set_listed(State& state, const Entry& entry, Version version) {
+  state.version = version;
+  state.restored = false;
   if (state.listed == entry) return;
   state.listed = entry;
   state.over_since.reset();
@@ -54,107 +54,109 @@
   }
 }
 
-void Ledger::restore(const std::string& id, Entry entry, bool agreed) {
+void ListReplica::restore(const std::string& id, Entry entry, bool agreed) {
   if (!agreed) return change(id, std::move(entry));
   State& state = states_[id];
-  state.held_here = true;
+  state.restored = true;
   state.listed = std::move(entry);
 }
 
-void Ledger::change(const std::string& id, Entry entry) {
+void ListReplica::change(const std::string& id, Entry entry) {
   State& state = states_[id];
-  settle_own(state, true);
-  state.own = std::move(entry);
+  set_pending(state, true);
+  state.pending = std::move(entry);
   state.not_before = Time{};
 }
 
-std::vector<Ledger::News> Ledger::shown(const std::vector<Shown>& entries, bool whole) {
-  std::vector<News> news;
-  const auto gone = [&](const std::string& id, State& state) {
+std::vector<ListReplica::Update> ListReplica::apply(const std::vector<ListedEntry>& entries, bool full) {
+  std::vector<Update> updates;
+  const auto remove = [&](const std::string& id, State& state) {
     // What was changed here meanwhile holds here, and comes into the list.
-    if (state.listed && !state.own) news.push_back({id, std::nullopt, false});
+    if (state.listed && !state.pending) updates.push_back({id, std::nullopt, false});
     state.listed.reset();
-    state.held_here = false;
-    state.place = 0;
+    state.restored = false;
+    state.version = 0;
   };
-  if (whole) {
+  if (full) {
     list_known_ = true;
-    std::set<std::string_view> there;
-    for (const Shown& each : entries) there.insert(each.id);
+    std::set<std::string_view> ids;
+    for (const ListedEntry& each : entries) ids.insert(each.id);
     for (auto& [id, state] : states_) {
-      if (there.count(id) == 0) gone(id, state);
+      if (ids.count(id) == 0) remove(id, state);
     }
   }
-  for (const Shown& each : entries) {
+  for (const ListedEntry& each : entries) {
     State& state = states_[each.id];
-    if (each.place < state.place) continue;  // a part of the list that was told late
+    if (each.version < state.version) continue;  // a part of the list that was told late
     if (!each.entry) {
-      gone(each.id, state);
+      remove(each.id, state);
       continue;
     }
     const bool same = state.listed == each.entry;
-    stands(state, *each.entry, each.place);
-    if (state.own && state.own->revision > each.entry->revision) continue;  // ours will take its place
-    const bool ours = state.own == each.entry;
-    const bool superseded = state.own.has_value() && !ours;
-    settle_own(state, false);
-    if (!ours && (!same || superseded)) news.push_back({each.id, each.entry, superseded});
+    set_listed(state, *each.entry, each.version);
+    if (state.pending && state.pending->revision > each.entry->revision)
+      continue;  // ours will take its place
+    const bool ours = state.pending == each.entry;
+    const bool superseded = state.pending.has_value() && !ours;
+    set_pending(state, false);
+    if (!ours && (!same || superseded)) updates.push_back({each.id, each.entry, superseded});
   }
-  std::erase_if(
-      states_, [](const auto& each) { return !each.second.listed && !each.second.own && !each.second.sent; });
-  return news;
+  std::erase_if(states_, [](const auto& each) {
+    return !each.second.listed && !each.second.pending && !each.second.sent;
+  });
+  return updates;
 }
 
-std::vector<Ledger::Write> Ledger::due(Time now) {
+std::vector<ListReplica::Write> ListReplica::next_writes(Time now) {
   std::vector<Write> writes;
   // Before the list is known, it is not known either what a change takes the place of.
-  if (!list_known_ || own_ == 0) return writes;
+  if (!list_known_ || pending_count_ == 0) return writes;
   for (auto& [id, state] : states_) {
-    if (on_way_ >= bounds_.on_way) break;
-    if (!state.own || state.sent || now < state.not_before) continue;
-    state.sent = state.own;
-    ++on_way_;
-    writes.push_back({id, state.own, state.listed ? state.place : 0});
+    if (in_flight_ >= bounds_.max_in_flight) break;
+    if (!state.pending || state.sent || now < state.not_before) continue;
+    state.sent = state.pending;
+    ++in_flight_;
+    writes.push_back({id, state.pending, state.listed ? state.version : 0});
   }
   return writes;
 }
 
-void Ledger::answered(Time now, const std::string& id, Outcome outcome, Place place) {
+void ListReplica::complete_write(Time now, const std::string& id, Outcome outcome, Version version) {
   const auto found = states_.find(id);
   if (found == states_.end() || !found->second.sent) return;
   State& state = found->second;
   const Entry sent = *std::exchange(state.sent, std::nullopt);
-  --on_way_;
+  --in_flight_;
   switch (outcome) {
     case Outcome::done:
       // Not if somebody's later one was shown meanwhile.
-      if (place > state.place) stands(state, sent, place);
-      if (state.own == sent) settle_own(state, false);
+      if (version > state.version) set_listed(state, sent, version);
+      if (state.pending == sent) set_pending(state, false);
       return;
     case Outcome::refused:
-      state.not_before = now + bounds_.again * 20;
+      state.not_before = now + bounds_.retry_delay * 20;
       return;
-    case Outcome::changed:
+    case Outcome::conflict:
     case Outcome::lost:
-      state.not_before = now + bounds_.again;
+      state.not_before = now + bounds_.retry_delay;
   }
 }
 
-bool Ledger::agreed(const std::string& id) const {
+bool ListReplica::agreed(const std::string& id) const {
   const auto found = states_.find(id);
-  return found != states_.end() && found->second.listed && !found->second.own;
+  return found != states_.end() && found->second.listed && !found->second.pending;
 }
 
-std::vector<Ledger::Write> Ledger::sweep(Time now) {
+std::vector<ListReplica::Write> ListReplica::sweep(Time now) {
   std::vector<Write> writes;
   for (auto& [id, state] : states_) {
-    if (!state.listed || state.held_here || state.own) continue;
+    if (!state.listed || state.restored || state.pending) continue;
     const bool over = state.listed->lifted() || (state.ends && *state.ends <= now);
-    if (!over || writes.size() >= bounds_.on_way) continue;
+    if (!over || writes.size() >= bounds_.max_in_flight) continue;
     if (!state.over_since) state.over_since = now;
     if (now - *state.over_since < (state.listed->lifted() ? bounds_.keep_lifted : bounds_.keep_ended))
       continue;
-    writes.push_back({id, std::nullopt, state.place});
+    writes.push_back({id, std::nullopt, state.version});
   }
   return writes;
 }
--- a/src/gap/list_replica.hpp
+++ b/src/gap/list_replica.hpp
@@ -28,16 +28,16 @@
 std::string entry_text(const Entry& entry);
 std::optional<Entry> parse_entry(std::string_view text);
 
-class Ledger {
+class ListReplica {
  public:
   // Where an entry stands in the list; grows with each change of it. 0: it is not there.
-  using Place = std::uint64_t;
-  struct Shown {
+  using Version = std::uint64_t;
+  struct ListedEntry {
     std::string id{};
     std::optional<Entry> entry{};  // none: it was taken out
-    Place place = 0;
+    Version version = 0;
   };
-  struct News {
+  struct Update {
     std::string id{};
     std::optional<Entry> entry{};  // what holds now; none: the list has it no more
     bool superseded = false;       // a change made here does not hold
@@ -45,34 +45,34 @@
   struct Write {
     std::string id{};
     std::optional<Entry> entry{};  // none: to be taken out
-    Place expected = 0;
+    Version expected = 0;
   };
   struct Bounds {
-    std::size_t on_way = 32;
-    Duration again = std::chrono::milliseconds(500);
+    std::size_t max_in_flight = 32;
+    Duration retry_delay = std::chrono::milliseconds(500);
     // How long a lifted one stays in the list, so that who was cut off hears of it; and one that has ended,
     // which all know by its end.
     Duration keep_lifted = std::chrono::hours(24);
     Duration keep_ended = std::chrono::seconds(60);
   };
   // What became of a write. `refused`: the list is full, or the entry too large for it.
-  enum class Outcome { done, changed, refused, lost };
+  enum class Outcome { done, conflict, refused, lost };
 
-  explicit Ledger(Bounds bounds) : bounds_(bounds) {}
+  explicit ListReplica(Bounds bounds) : bounds_(bounds) {}
 
   // What this controller has from before, ahead of all else. `agreed`: the list had it then.
   void restore(const std::string& id, Entry entry, bool agreed);
   // Changed here, by an operator or by its end.
   void change(const std::string& id, Entry entry);
   // The list: everything in it, or changes in order. What follows here.
-  std::vector<News> shown(const std::vector<Shown>& entries, bool whole);
+  std::vector<Update> apply(const std::vector<ListedEntry>& entries, bool full);
   // Writes to be made now; each is answered once.
-  std::vector<Write> due(Time now);
+  std::vector<Write> next_writes(Time now);
   // `place`: where it stands now, if it was done.
-  void answered(Time now, const std::string& id, Outcome outcome, Place place = 0);
+  void complete_write(Time now, const std::string& id, Outcome outcome, Version version = 0);
 
   bool agreed(const std::string& id) const;
-  std::size_t waiting() const { return own_; }
+  std::size_t pending_count() const { return pending_count_; }
 
   // For the one that keeps the list: what is to be taken out of it, Unix time `now`. An entry's time counts
   // from when it was first seen here as over.
@@ -81,21 +81,21 @@
  private:
   struct State {
     std::optional<Entry> listed{};
-    Place place = 0;
-    std::optional<Entry> own{};   // to be written
-    std::optional<Entry> sent{};  // on its way
-    bool held_here = false;       // agreed in an earlier life, and not seen in the list since
+    Version version = 0;
+    std::optional<Entry> pending{};  // to be written
+    std::optional<Entry> sent{};     // on its way
+    bool restored = false;           // agreed in an earlier life, and not seen in the list since
     Time not_before{};
     std::optional<Time> ends{};
     std::optional<Time> over_since{};
   };
-  static void stands(State& state, const Entry& entry, Place place);
-  void settle_own(State& state, bool wanted);
+  static void set_listed(State& state, const Entry& entry, Version version);
+  void set_pending(State& state, bool wanted);
 
   Bounds bounds_;
   std::map<std::string, State> states_;
-  std::size_t own_ = 0;
-  std::size_t on_way_ = 0;
+  std::size_t pending_count_ = 0;
+  std::size_t in_flight_ = 0;
   bool list_known_ = false;
 };
 
--- a/src/gap/shared_list.hpp
+++ b/src/gap/shared_list.hpp
@@ -12,7 +12,7 @@
 
 class Sharing {
  public:
-  using Take = std::function<void(const std::vector<Ledger::News>& news)>;
+  using Take = std::function<void(const std::vector<ListReplica::Update>& news)>;
   struct Known {
     std::string id{};
     Entry entry{};
--- a/src/operation.cpp
+++ b/src/operation.cpp
@@ -168,7 +168,7 @@
   }
 }
 
-void Operation::take(const std::vector<gap::Ledger::News>& news) {
+void Operation::take(const std::vector<gap::ListReplica::Update>& news) {
   const Time now = loop_.now();
   std::vector<std::string> fresh;
   for (const auto& each : news) {
--- a/src/operation.hpp
+++ b/src/operation.hpp
@@ -46,7 +46,7 @@
   std::string suggest(Element request);
   std::vector<gap::Sharing::Known> restore();
   void share(std::vector<gap::Sharing::Known> known);
-  void take(const std::vector<gap::Ledger::News>& news);
+  void take(const std::vector<gap::ListReplica::Update>& news);
   void reconsider(const std::vector<std::string>& fresh);
   void keep();  // the rules in force, on disk
   void audit(const std::string& what, const std::string& id, std::uint64_t revision, const std::string& who,
--- a/tests/shared_gaps_test.cpp
+++ b/tests/shared_gaps_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using gap::Entry;
-using gap::Ledger;
+using gap::ListReplica;
 using std::chrono::milliseconds;
 
 // ---- The list by itself
@@ -42,7 +42,7 @@
       deliver(true);
     }
     for (const auto& node : nodes_) {
-      if (node->ledger.waiting() > 0) return "a change never came into the list";
+      if (node->ledger.pending_count() > 0) return "a change never came into the list";
       if (node->table != in_list()) return "a controller has another list in the end";
     }
     for (const auto& [id, item] : list_) {
@@ -53,11 +53,11 @@
 
  private:
   struct Node {
-    Ledger ledger{Ledger::Bounds{}};
+    ListReplica ledger{ListReplica::Bounds{}};
     std::map<std::string, Entry> table{};  // in force
     bool cut = false;
     bool told = false;  // has had the whole list since its start
-    std::deque<std::vector<Ledger::Shown>> news{};
+    std::deque<std::vector<ListReplica::ListedEntry>> news{};
   };
   std::size_t pick(std::size_t below) {
     return std::uniform_int_distribution<std::size_t>(0, below - 1)(random_);
@@ -73,7 +73,7 @@
     }
     return all;
   }
-  static void take(Node& node, const std::vector<Ledger::News>& news) {
+  static void take(Node& node, const std::vector<ListReplica::Update>& news) {
     for (const auto& each : news) {
       node.table.erase(each.id);
       if (each.entry && !each.entry->lifted()) node.table[each.id] = *each.entry;
@@ -106,7 +106,7 @@
         if (!node.cut) node.told = false;  // its watch begins anew
         break;
       case 4: {  // started anew, from what it kept
-        Ledger fresh{Ledger::Bounds{}};
+        ListReplica fresh{ListReplica::Bounds{}};
         for (const auto& [each, entry] : node.table)
           fresh.restore(each, entry, node.ledger.agreed(each) && !forgets_agreed_);
         node.ledger = std::move(fresh);
@@ -125,9 +125,9 @@
     }
   }
   // The place that it has then, or 0.
-  Ledger::Place write(const Ledger::Write& write) {
+  ListReplica::Version write(const ListReplica::Write& write) {
     const auto found = list_.find(write.id);
-    const Ledger::Place present = found == list_.end() ? 0 : found->second.second;
+    const ListReplica::Version present = found == list_.end() ? 0 : found->second.second;
     if (present != write.expected) return 0;
     ++place_;
     if (write.entry) {
@@ -144,14 +144,15 @@
     return place_;
   }
   void send(Node& node) {
-    for (const auto& each : node.ledger.due(now_)) {
+    for (const auto& each : node.ledger.next_writes(now_)) {
       if (node.cut || pick(6) == 0) {
         if (!node.cut && pick(2) == 0) write(each);  // its answer is lost
-        node.ledger.answered(now_, each.id, Ledger::Outcome::lost);
+        node.ledger.complete_write(now_, each.id, ListReplica::Outcome::lost);
         continue;
       }
-      const Ledger::Place place = write(each);
-      node.ledger.answered(now_, each.id, place ? Ledger::Outcome::done : Ledger::Outcome::changed, place);
+      const ListReplica::Version place = write(each);
+      node.ledger.complete_write(now_, each.id,
+                                 place ? ListReplica::Outcome::done : ListReplica::Outcome::conflict, place);
     }
   }
   void deliver(bool all) {
@@ -159,13 +160,13 @@
       if (node->cut) continue;
       if (!node->told) {
         node->news.clear();
-        std::vector<Ledger::Shown> whole;
+        std::vector<ListReplica::ListedEntry> whole;
         for (const auto& [id, item] : list_) whole.push_back({id, item.first, item.second});
-        take(*node, node->ledger.shown(whole, true));
+        take(*node, node->ledger.apply(whole, true));
         node->told = true;
       }
       while (!node->news.empty() && (all || pick(3) == 0)) {
-        take(*node, node->ledger.shown(node->news.front(), false));
+        take(*node, node->ledger.apply(node->news.front(), false));
         node->news.pop_front();
       }
     }
@@ -175,11 +176,11 @@
   const bool forgets_agreed_;
   Time now_ = std::chrono::hours(1);
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::map<std::string, std::pair<Entry, Ledger::Place>> list_;
+  std::map<std::string, std::pair<Entry, ListReplica::Version>> list_;
   std::set<std::string> lifted_;  // rules that were in the list
   std::map<std::string, std::uint64_t> highest_;
   std::size_t rate_ = 0;  // of the last announced: no two are alike
-  Ledger::Place place_ = 0;
+  ListReplica::Version place_ = 0;
 };
 
 TEST(SharedGaps, ApartOrNotAllEndWithOneListAndNothingLiftedComesBack) {
