--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -111,7 +111,7 @@
   serve_options.make_operation = [&](Loop& loop, Logger& to, Planner& planner, const std::string& path,
                                      std::uint64_t seed) {
     ControlSettings settings = parse_control(read_file(path));
-    std::unique_ptr<gap::Sharing> sharing;
+    std::unique_ptr<gap::SharedList> sharing;
     if (member) sharing = std::make_unique<fleet::GapList>(to, *member, fleet_settings.start_wait);
     return std::make_unique<Operation>(loop, to, planner, settings, seed, std::move(sharing));
   };
--- a/src/fleet/gap_list.cpp
+++ b/src/fleet/gap_list.cpp
@@ -34,11 +34,11 @@
   mailbox_->close();
 }
 
-bool GapList::begin(Loop& loop, std::vector<Known> known, Take take) {
+bool GapList::begin(Loop& loop, std::vector<LocalEntry> known, UpdateHandler take) {
   loop_ = &loop;
   take_ = std::move(take);
   mailbox_ = std::make_shared<Mailbox>(loop);
-  for (Known& each : known) ledger_.restore(each.id, std::move(each.entry), each.agreed);
+  for (LocalEntry& each : known) ledger_.restore(each.id, std::move(each.entry), each.agreed);
   fleet_.watch(std::string(kPrefix), [this, mailbox = mailbox_](
                                          reg::Revision, const std::vector<reg::Change>& changes, bool whole) {
     mailbox->post([this, changes, whole] { told(changes, whole); });
--- a/src/fleet/gap_list.hpp
+++ b/src/fleet/gap_list.hpp
@@ -12,13 +12,13 @@
 
 inline constexpr const char* kGapsDuty = "gaps";
 
-class GapList : public gap::Sharing {
+class GapList : public gap::SharedList {
  public:
   // `patience`: how long a start waits for the list. The membership must live longer.
   GapList(Logger& log, Membership& fleet, Duration patience);
   ~GapList() override;
 
-  bool begin(Loop& loop, std::vector<Known> known, Take take) override;
+  bool begin(Loop& loop, std::vector<LocalEntry> known, UpdateHandler take) override;
   void change(const std::string& id, gap::Entry entry) override;
   bool agreed(const std::string& id) const override { return ledger_.agreed(id); }
 
@@ -37,7 +37,7 @@
   const Duration patience_;
   gap::ListReplica ledger_{{}};
   Loop* loop_ = nullptr;
-  Take take_;
+  UpdateHandler take_;
   // Shared with what runs on the fleet's thread.
   std::shared_ptr<Mailbox> mailbox_;
   std::optional<Loop::TimerId> again_, sweep_;
--- a/src/gap/shared_list.hpp
+++ b/src/gap/shared_list.hpp
@@ -10,20 +10,20 @@
 
 namespace quartzarch::gap {
 
-class Sharing {
+class SharedList {
  public:
-  using Take = std::function<void(const std::vector<ListReplica::Update>& news)>;
-  struct Known {
+  using UpdateHandler = std::function<void(const std::vector<ListReplica::Update>& updates)>;
+  struct LocalEntry {
     std::string id{};
     Entry entry{};
     bool agreed = false;  // the list had it
   };
 
-  virtual ~Sharing() = default;
+  virtual ~SharedList() = default;
   // Begins with what is known here. News go to `take`, on the loop's thread; none of them: what was changed
   // here is agreed now. Waits for the list for a while,
   // in which the loop goes on; false: it is out of reach, and comes when it can.
-  virtual bool begin(Loop& loop, std::vector<Known> known, Take take) = 0;
+  virtual bool begin(Loop& loop, std::vector<LocalEntry> known, UpdateHandler on_update) = 0;
   virtual void change(const std::string& id, Entry entry) = 0;
   // Whether the list has it as it is here.
   virtual bool agreed(const std::string& id) const = 0;
--- a/src/operation.cpp
+++ b/src/operation.cpp
@@ -84,7 +84,7 @@
 }
 
 Operation::Operation(Loop& loop, Logger& log, Planner& planner, const ControlSettings& settings,
-                     std::uint64_t seed, std::unique_ptr<gap::Sharing> sharing)
+                     std::uint64_t seed, std::unique_ptr<gap::SharedList> shared_list)
     : loop_(loop),
       log_(log),
       planner_(planner),
@@ -92,9 +92,9 @@
       gate_(settings.gaps, settings.sketch, seed),
       writer_([&log](const std::string& line) { log.line("control: not written: %s", line.c_str()); }),
       control_(loop, log, settings.listen),
-      sharing_(std::move(sharing)) {
+      shared_list_(std::move(shared_list)) {
   auto known = restore();
-  if (sharing_) share(std::move(known));
+  if (shared_list_) share(std::move(known));
   planner_.guard(&gate_);
   control_.on("gap.add", [this](Element request) { return add(request); });
   control_.on("gap.lift", [this](Element request) { return lift(request); });
@@ -122,8 +122,8 @@
   sweep_timer_ = loop_.at(loop_.now() + kSweep, [this] { sweep(); });
 }
 
-std::vector<gap::Sharing::Known> Operation::restore() {
-  std::vector<gap::Sharing::Known> known;
+std::vector<gap::SharedList::LocalEntry> Operation::restore() {
+  std::vector<gap::SharedList::LocalEntry> known;
   const auto text = state_.read(kRules);
   if (!text) return known;
   std::istringstream lines(*text);
@@ -159,9 +159,9 @@
 
 // ---- Shared with other controllers
 
-void Operation::share(std::vector<gap::Sharing::Known> known) {
+void Operation::share(std::vector<gap::SharedList::LocalEntry> known) {
   const std::size_t own = gate_.table().size();
-  if (sharing_->begin(loop_, std::move(known), [this](const auto& news) { take(news); })) {
+  if (shared_list_->begin(loop_, std::move(known), [this](const auto& news) { take(news); })) {
     log_.line("control: %zu gaps of the fleet's list", gate_.table().size());
   } else {
     log_.line("control: the fleet's list of gaps is out of reach: %zu of the own file are in force", own);
@@ -221,7 +221,7 @@
 void Operation::keep() {
   std::string text;
   const auto agreed = [&](const std::string& id) {
-    if (sharing_ && sharing_->agreed(id)) text += "{\"id\":" + in_quotes(id) + ",\"agreed\":true}\n";
+    if (shared_list_ && shared_list_->agreed(id)) text += "{\"id\":" + in_quotes(id) + ",\"agreed\":true}\n";
   };
   for (const gap::Rule& each : gate_.table().rules()) {
     text += gap::to_json(each) + "\n";
@@ -274,14 +274,14 @@
     // Without a revision it is the next one of its id.
     if (rule.revision == 0) rule.revision = gate_.table().revision(rule.id) + 1;
     const std::string id = rule.id, who = rule.who, why = rule.why, control = rule.control.str(),
-                      number = rule.number, text = sharing_ ? gap::to_json(rule) : std::string();
+                      number = rule.number, text = shared_list_ ? gap::to_json(rule) : std::string();
     const std::uint64_t revision = last_revision = rule.revision;
     switch (gate_.table().announce(std::move(rule), now)) {
       case gap::Table::Taken::taken:
         ++taken;
         fresh.push_back(id);
         lifted_.erase(id);
-        if (sharing_) sharing_->change(id, {revision, text});
+        if (shared_list_) shared_list_->change(id, {revision, text});
         audit("announced", id, revision, who, why);
         if (rules.size() <= 10) {
           log_.line("gap %s: announced by %s: %s to %s", id.c_str(), who.c_str(), control.c_str(),
@@ -313,7 +313,7 @@
   const bool lifted = gate_.table().lift(id, revision, loop_.now());
   if (lifted) {
     lifted_[id] = revision;
-    if (sharing_) sharing_->change(id, {revision, {}});
+    if (shared_list_) shared_list_->change(id, {revision, {}});
     keep();
     audit("lifted", id, revision, who, why);
     log_.line("gap %s: lifted by %s", id.c_str(), who.c_str());
@@ -341,7 +341,8 @@
     all += (all.empty() ? "" : ",") + std::string("{\"rule\":") + gap::to_json(rule) +
            ",\"says\":" + in_quotes(rule.control.str()) +
            ",\"in_force\":" + (gap::in_force(rule, loop_.now()) ? "true" : "false") +
-           (sharing_ ? std::string(",\"agreed\":") + (sharing_->agreed(rule.id) ? "true" : "false") : "") +
+           (shared_list_ ? std::string(",\"agreed\":") + (shared_list_->agreed(rule.id) ? "true" : "false")
+                         : "") +
            figure("offered", counts->offered) + figure("passed", counts->passed) +
            figure("refused", counts->refused) + figure("first", counts->first) +
            figure("repeated", counts->repeated) + figure("exempt", counts->exempt) +
--- a/src/operation.hpp
+++ b/src/operation.hpp
@@ -30,7 +30,7 @@
   // Takes up the rules in force before any call comes: those of `sharing`, which may be null, or if they are
   // out of reach its own of before. Throws std::system_error or acme::StateError.
   Operation(Loop& loop, Logger& log, Planner& planner, const ControlSettings& settings, std::uint64_t seed,
-            std::unique_ptr<gap::Sharing> sharing = nullptr);
+            std::unique_ptr<gap::SharedList> shared_list = nullptr);
   ~Operation() override;
 
   sockaddr_in address() const { return control_.address(); }
@@ -44,8 +44,8 @@
   std::string list(Element request);
   std::string test(Element request);
   std::string suggest(Element request);
-  std::vector<gap::Sharing::Known> restore();
-  void share(std::vector<gap::Sharing::Known> known);
+  std::vector<gap::SharedList::LocalEntry> restore();
+  void share(std::vector<gap::SharedList::LocalEntry> known);
   void take(const std::vector<gap::ListReplica::Update>& news);
   void reconsider(const std::vector<std::string>& fresh);
   void keep();  // the rules in force, on disk
@@ -64,7 +64,7 @@
   control::Server control_;
   Loop::TimerId sweep_timer_ = 0;
   bool keep_due_ = false;
-  std::unique_ptr<gap::Sharing> sharing_;
+  std::unique_ptr<gap::SharedList> shared_list_;
 };
 
 }  // namespace quartzarch
