--- a/src/gap/gate.cpp
+++ b/src/gap/gate.cpp
@@ -19,7 +19,7 @@
 }
 
 std::optional<Duration> GapGate::turned_away_by(const std::string& id, const Request& request, Time now) {
-  const Verdict verdict = table_.offer_to(id, now, call_of(request));
+  const Verdict verdict = table_.offer_to_rule(id, now, call_of(request));
   if (verdict.pass) return std::nullopt;
   hitters_.refused(now, request.number);
   return verdict.wait;
--- a/src/gap/table.cpp
+++ b/src/gap/table.cpp
@@ -11,11 +11,11 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr double kHardly = 1e-9;
+constexpr double kEpsilon = 1e-9;
 constexpr Duration kShortestWait = milliseconds(1);
-constexpr Duration kRefusedFor = std::chrono::seconds(60);  // what a percentage remembers of a first try
-constexpr double kLeastKept = 0.3;                          // of slots, for overbooking
-constexpr std::size_t kMostRevisions = 100000;
+constexpr Duration kRefusalMemory = std::chrono::seconds(60);  // what a percentage remembers of a first try
+constexpr double kMinClaimRate = 0.3;                          // of slots, for overbooking
+constexpr std::size_t kMaxRevisions = 100000;
 
 auto wait_histogram() {
   return histogram::make_histogram(
@@ -50,16 +50,16 @@
   double tokens = 1;
   Time filled{};
 
-  std::multiset<Time> slots{};                               // not claimed yet
-  std::unordered_map<std::uint64_t, std::deque<Time>> of{};  // whose they are
-  double kept = 1;                                           // share of slots claimed, lately
+  std::multiset<Time> slots{};                                         // not claimed yet
+  std::unordered_map<std::uint64_t, std::deque<Time>> slots_by_key{};  // whose they are
+  double claim_rate = 1;                                               // share of slots claimed, lately
   // Until when those were told to stay away for whom there was no slot.
-  std::unordered_map<std::uint64_t, std::deque<Time>> away{};
-  std::size_t away_remembered = 1024;
+  std::unordered_map<std::uint64_t, std::deque<Time>> no_slot_until{};
+  std::size_t no_slot_cleanup_size = 1024;
 
-  double owed = 0;  // percentage: what first tries have gathered
-  std::unordered_map<std::uint64_t, std::deque<Time>> turned_away{};
-  std::size_t remembered = 1024;  // of those, before they are gone through
+  double credit = 0;  // percentage: what first tries have gathered
+  std::unordered_map<std::uint64_t, std::deque<Time>> refused_first_tries{};
+  std::size_t refused_cleanup_size = 1024;  // of those, before they are gone through
 
   bool metered() const {
     return rule.control.kind == Control::Kind::interval || rule.control.kind == Control::Kind::bucket;
@@ -82,19 +82,19 @@
     return std::min(burst, tokens + std::max(gained, 0.0));
   }
   // Slots whose time has come and that may still be claimed.
-  double due(Time now, Duration grace) const {
+  double due_slots(Time now, Duration grace) const {
     return static_cast<double>(
-        std::distance(slots.lower_bound(now - kept_back(grace)), slots.upper_bound(now)));
+        std::distance(slots.lower_bound(now - hold_time(grace)), slots.upper_bound(now)));
   }
   // How long the allowance waits for whoever has a slot, before it goes to anybody: the shorter, the fewer
   // come.
-  Duration kept_back(Duration grace) const {
+  Duration hold_time(Duration grace) const {
     const Duration longest = std::min(grace, std::max<Duration>(period / 2, milliseconds(20)));
-    return Duration(std::llround(static_cast<double>(longest.count()) * kept));
+    return Duration(std::llround(static_cast<double>(longest.count()) * claim_rate));
   }
-  bool holds_due(std::uint64_t key, Time now, Duration grace) const {
-    const auto found = of.find(key);
-    if (found == of.end()) return false;
+  bool has_due_slot(std::uint64_t key, Time now, Duration grace) const {
+    const auto found = slots_by_key.find(key);
+    if (found == slots_by_key.end()) return false;
     return std::any_of(found->second.begin(), found->second.end(),
                        [&](Time at) { return at <= now && at >= now - grace; });
   }
@@ -105,27 +105,28 @@
 
 // ---- Rules
 
-Table::Taken Table::announce(Rule rule, Time given) {
-  const Time now = forward(given);
+Table::AnnounceResult Table::announce(Rule rule, Time given) {
+  const Time now = advance_clock(given);
   const auto known = revisions_.find(rule.id);
   const auto state = states_.find(rule.id);
   if (known != revisions_.end() && rule.revision <= known->second) {
-    return rule.revision == known->second && state != states_.end() ? Taken::same : Taken::older;
+    return rule.revision == known->second && state != states_.end() ? AnnounceResult::same
+                                                                    : AnnounceResult::older;
   }
-  if (state == states_.end() && states_.size() >= bounds_.rules) return Taken::full;
-  if (revisions_.size() >= kMostRevisions && known == revisions_.end()) return Taken::full;
+  if (state == states_.end() && states_.size() >= bounds_.rules) return AnnounceResult::full;
+  if (revisions_.size() >= kMaxRevisions && known == revisions_.end()) return AnnounceResult::full;
   revisions_[rule.id] = rule.revision;
   auto& made = states_[rule.id];
   if (!made) made = std::make_unique<State>();
   // A rule that changes keeps its counts, and what it has promised.
   made->rule = std::move(rule);
   made->set(share_, now);
-  stale_ = true;
-  return Taken::taken;
+  index_stale_ = true;
+  return AnnounceResult::taken;
 }
 
 bool Table::lift(const std::string& id, std::uint64_t revision, Time given) {
-  forward(given);
+  advance_clock(given);
   auto& known = revisions_[id];
   if (revision <= known) return false;
   known = revision;
@@ -133,27 +134,27 @@
   if (found == states_.end()) return false;
   slots_ -= found->second->slots.size();
   states_.erase(found);
-  stale_ = true;
+  index_stale_ = true;
   return true;
 }
 
-Table::Taken Table::settle(Rule rule, Time now) {
+Table::AnnounceResult Table::apply_listed(Rule rule, Time now) {
   const auto state = states_.find(rule.id);
   if (state != states_.end() && state->second->rule.revision == rule.revision &&
       to_json(state->second->rule) == to_json(rule)) {
-    return Taken::same;
+    return AnnounceResult::same;
   }
   revisions_.erase(rule.id);
   return announce(std::move(rule), now);
 }
 
-bool Table::settle_lifted(const std::string& id, std::uint64_t revision, Time now) {
+bool Table::apply_listed_lift(const std::string& id, std::uint64_t revision, Time now) {
   revisions_.erase(id);
   return lift(id, std::max<std::uint64_t>(revision, 1), now);
 }
 
 std::vector<std::string> Table::expire(Time given) {
-  const Time now = forward(given);
+  const Time now = advance_clock(given);
   std::vector<std::string> ended;
   for (auto at = states_.begin(); at != states_.end();) {
     if (at->second->rule.end && *at->second->rule.end <= now) {
@@ -161,28 +162,28 @@
       ended.push_back(at->first);
       at = states_.erase(at);
     } else {
-      advance(*at->second, now);
+      drop_expired(*at->second, now);
       ++at;
     }
   }
-  if (!ended.empty()) stale_ = true;
+  if (!ended.empty()) index_stale_ = true;
   return ended;
 }
 
-void Table::share(double part) {
-  share_ = std::clamp(part, 1e-6, 1.0);
+void Table::set_share(double share) {
+  share_ = std::clamp(share, 1e-6, 1.0);
   for (auto& [id, state] : states_) {
     if (state->metered()) {
-      state->tokens = state->available(last_);
-      state->filled = last_;
+      state->tokens = state->available(last_time_);
+      state->filled = last_time_;
     }
-    state->set(share_, last_);
+    state->set(share_, last_time_);
   }
 }
 
 // The rules change rarely and the index is made anew then: a call only reads it.
 void Table::rebuild() const {
-  stale_ = false;
+  index_stale_ = false;
   numbers_ = Trie();
   callers_ = Trie();
   entries_.clear();
@@ -199,8 +200,8 @@
   }
 }
 
-void Table::gather(Time now, const Call& call, std::vector<State*>& found) const {
-  if (stale_) rebuild();
+void Table::find_applicable(Time now, const Call& call, std::vector<State*>& found) const {
+  if (index_stale_) rebuild();
   std::vector<Trie::Entry> hits;
   numbers_.find(call.number, hits);
   if (callers_.nodes() > 1) callers_.find(bits_of(call.caller), hits);
@@ -218,12 +219,12 @@
 // ---- Calls
 
 // Slots that nobody claimed are given up, and what callers make of slots is learnt.
-void Table::advance(State& state, Time now) {
+void Table::drop_expired(State& state, Time now) {
   while (!state.slots.empty() && *state.slots.begin() < now - bounds_.grace) {
     state.slots.erase(state.slots.begin());
     --slots_;
     ++state.counts.lapsed;
-    state.kept += (0 - state.kept) * 0.02;
+    state.claim_rate += (0 - state.claim_rate) * 0.02;
   }
   const auto forget = [](auto& map, Time before) {
     for (auto at = map.begin(); at != map.end();) {
@@ -231,36 +232,37 @@
       at = at->second.empty() ? map.erase(at) : std::next(at);
     }
   };
-  if (state.of.size() > 2 * state.slots.size() + 16) forget(state.of, now - bounds_.grace);
-  if (state.away.size() > state.away_remembered) {
-    forget(state.away, now - bounds_.grace);
-    state.away_remembered = 2 * state.away.size() + 1024;
+  if (state.slots_by_key.size() > 2 * state.slots.size() + 16)
+    forget(state.slots_by_key, now - bounds_.grace);
+  if (state.no_slot_until.size() > state.no_slot_cleanup_size) {
+    forget(state.no_slot_until, now - bounds_.grace);
+    state.no_slot_cleanup_size = 2 * state.no_slot_until.size() + 1024;
   }
-  if (state.turned_away.size() > state.remembered) {
-    forget(state.turned_away, now - kRefusedFor);
-    state.remembered = 2 * state.turned_away.size() + 1024;
+  if (state.refused_first_tries.size() > state.refused_cleanup_size) {
+    forget(state.refused_first_tries, now - kRefusalMemory);
+    state.refused_cleanup_size = 2 * state.refused_first_tries.size() + 1024;
   }
 }
 
-bool Table::lets_pass(const State& state, Time now, const Call& call, std::uint64_t key) const {
+bool Table::admits(const State& state, Time now, const Call& call, std::uint64_t key) const {
   if (exempts(state.rule, call)) return true;
   switch (state.rule.control.kind) {
     case Control::Kind::block:
       return false;
     case Control::Kind::percentage: {
-      const auto found = state.turned_away.find(key);
-      const bool again = call.repeat && found != state.turned_away.end() &&
-                         std::any_of(found->second.begin(), found->second.end(),
-                                     [&](Time at) { return at + kRefusedFor >= now; });
-      return !again && state.owed + state.rule.control.percentage / 100 >= 1 - kHardly;
+      const auto found = state.refused_first_tries.find(key);
+      const bool refused_before = call.repeat && found != state.refused_first_tries.end() &&
+                                  std::any_of(found->second.begin(), found->second.end(),
+                                              [&](Time at) { return at + kRefusalMemory >= now; });
+      return !refused_before && state.credit + state.rule.control.percentage / 100 >= 1 - kEpsilon;
     }
     case Control::Kind::interval:
     case Control::Kind::bucket:
       break;
   }
   const double available = state.available(now);
-  if (call.repeat && state.holds_due(key, now, bounds_.grace)) return available >= 1 - kHardly;
-  return available - state.due(now, bounds_.grace) >= 1 - kHardly;
+  if (call.repeat && state.has_due_slot(key, now, bounds_.grace)) return available >= 1 - kEpsilon;
+  return available - state.due_slots(now, bounds_.grace) >= 1 - kEpsilon;
 }
 
 void Table::commit(State& state, Time now, const Call& call, std::uint64_t key) {
@@ -270,15 +272,15 @@
     return;
   }
   if (state.rule.control.kind == Control::Kind::percentage) {
-    state.owed += state.rule.control.percentage / 100 - 1;
+    state.credit += state.rule.control.percentage / 100 - 1;
     return;
   }
   if (!state.metered()) return;
   state.tokens = state.available(now) - 1;
   state.filled = now;
   if (!call.repeat) return;
-  const auto found = state.of.find(key);
-  if (found == state.of.end()) return;
+  const auto found = state.slots_by_key.find(key);
+  if (found == state.slots_by_key.end()) return;
   // The slot that is claimed is the oldest that is due.
   auto& slots = found->second;
   const auto at = std::find_if(slots.begin(), slots.end(),
@@ -289,12 +291,12 @@
     --slots_;
   }
   slots.erase(at);
-  if (slots.empty()) state.of.erase(found);
+  if (slots.empty()) state.slots_by_key.erase(found);
   ++state.counts.kept;
-  state.kept += (1 - state.kept) * 0.02;
+  state.claim_rate += (1 - state.claim_rate) * 0.02;
 }
 
-Duration Table::spread(Duration longest) {
+Duration Table::jittered(Duration longest) {
   const Duration half = longest / 2;
   return half + Duration(std::uniform_int_distribution<std::int64_t>(
                     0, std::max<std::int64_t>(half.count(), 1))(random_));
@@ -303,35 +305,35 @@
 Verdict Table::refuse(State& state, Time now, const Call& call, std::uint64_t key) {
   Verdict verdict{false, state.rule.id, {}, false};
   ++state.counts.refused;
-  const auto tell = [&](Duration wait) {
+  const auto with_wait = [&](Duration wait) {
     verdict.wait = std::clamp(wait, kShortestWait, bounds_.longest_wait);
     state.waits(static_cast<double>(verdict.wait.count()) / 1000);
     return verdict;
   };
   if (state.rule.control.kind == Control::Kind::percentage) {
-    auto& times = state.turned_away[key];
+    auto& times = state.refused_first_tries[key];
     if (!call.repeat) {
-      state.owed += state.rule.control.percentage / 100;
+      state.credit += state.rule.control.percentage / 100;
       times.push_back(now);
     }
-    while (!times.empty() && times.front() + kRefusedFor < now) times.pop_front();
+    while (!times.empty() && times.front() + kRefusalMemory < now) times.pop_front();
     if (times.size() > 1000) times.pop_front();
-    return tell(spread(bounds_.longest_wait));
+    return with_wait(jittered(bounds_.longest_wait));
   }
   if (!state.metered()) {
     const Duration until = state.rule.end ? *state.rule.end - now : bounds_.longest_wait;
-    return tell(std::min(spread(bounds_.longest_wait), std::max(until, kShortestWait)));
+    return with_wait(std::min(jittered(bounds_.longest_wait), std::max(until, kShortestWait)));
   }
-  bool in_time = false;
+  bool came_in_time = false;
   if (call.repeat) {
     // It pushes: it is told what is left, and has gained nothing.
-    if (const auto found = state.of.find(key); found != state.of.end()) {
+    if (const auto found = state.slots_by_key.find(key); found != state.slots_by_key.end()) {
       const auto next =
           std::find_if(found->second.begin(), found->second.end(), [&](Time at) { return at > now; });
       if (next != found->second.end()) {
         ++state.counts.early;
         verdict.slot = true;
-        return tell(*next - now);
+        return with_wait(*next - now);
       }
       // It came in time and there was none left for it, for more slots are given than calls: it is the next
       // one.
@@ -343,85 +345,85 @@
           --slots_;
         }
         found->second.erase(due);
-        in_time = true;
+        came_in_time = true;
       }
     }
   }
   if (call.repeat) {
-    if (const auto found = state.away.find(key); found != state.away.end()) {
+    if (const auto found = state.no_slot_until.find(key); found != state.no_slot_until.end()) {
       auto& times = found->second;
       std::erase_if(times, [&](Time at) { return at < now - bounds_.grace; });
       if (!times.empty() && times.front() > now) {
         ++state.counts.early;
-        return tell(times.front() - now);
+        return with_wait(times.front() - now);
       }
       if (!times.empty()) times.pop_front();  // it has waited: it gets the next slot there is
-      if (times.empty()) state.away.erase(found);
+      if (times.empty()) state.no_slot_until.erase(found);
     }
   }
   const double missing = std::max(1 - state.available(now), 0.0);
   Time at = now + Duration(std::llround(missing * static_cast<double>(state.period.count())));
-  if (!state.slots.empty() && !in_time) {
+  if (!state.slots.empty() && !came_in_time) {
     // More slots than calls, by as much as lately went unclaimed.
-    const double part = std::clamp(state.kept, kLeastKept, 1.0);
+    const double part = std::clamp(state.claim_rate, kMinClaimRate, 1.0);
     at = std::max(
         at, *state.slots.rbegin() + Duration(std::llround(part * static_cast<double>(state.period.count()))));
   }
   if (at - now > bounds_.longest_wait || slots_ >= bounds_.slots) {
-    const Verdict told = tell(spread(bounds_.longest_wait));
-    if (state.away.size() < bounds_.slots) state.away[key].push_back(now + told.wait);
-    return told;
+    const Verdict refusal = with_wait(jittered(bounds_.longest_wait));
+    if (state.no_slot_until.size() < bounds_.slots) state.no_slot_until[key].push_back(now + refusal.wait);
+    return refusal;
   }
   state.slots.insert(at);
-  state.of[key].push_back(at);
+  state.slots_by_key[key].push_back(at);
   ++slots_;
   ++state.counts.slots;
   verdict.slot = true;
-  return tell(at - now);
+  return with_wait(at - now);
 }
 
 Verdict Table::offer(Time given, const Call& call) {
-  const Time now = forward(given);
+  const Time now = advance_clock(given);
   std::vector<State*> rules;
-  gather(now, call, rules);
+  find_applicable(now, call, rules);
   if (rules.empty()) return {};
   const std::uint64_t key = key_of(call);
-  State* against = nullptr;
+  State* refusing = nullptr;
   for (State* const each : rules) {
-    advance(*each, now);
+    drop_expired(*each, now);
     ++each->counts.offered;
     ++(call.repeat ? each->counts.repeated : each->counts.first);
-    if (!against && !lets_pass(*each, now, call, key)) against = each;
+    if (!refusing && !admits(*each, now, call, key)) refusing = each;
   }
-  if (against) return refuse(*against, now, call, key);
+  if (refusing) return refuse(*refusing, now, call, key);
   for (State* const each : rules) commit(*each, now, call, key);
   return {};
 }
 
-Verdict Table::offer_to(const std::string& id, Time given, const Call& call) {
-  const Time now = forward(given);
+Verdict Table::offer_to_rule(const std::string& id, Time given, const Call& call) {
+  const Time now = advance_clock(given);
   const auto found = states_.find(id);
   if (found == states_.end()) return {};
   State& state = *found->second;
   if (!in_force(state.rule, now) || !covers(state.rule, call)) return {};
   const std::uint64_t key = key_of(call);
-  advance(state, now);
+  drop_expired(state, now);
   ++state.counts.offered;
   ++(call.repeat ? state.counts.repeated : state.counts.first);
-  if (!lets_pass(state, now, call, key)) return refuse(state, now, call, key);
+  if (!admits(state, now, call, key)) return refuse(state, now, call, key);
   commit(state, now, call, key);
   return {};
 }
 
 Verdict Table::test(Time given, const Call& call, std::vector<std::string>* asked) const {
-  const Time now = std::max(given, last_);
+  const Time now = std::max(given, last_time_);
   std::vector<State*> rules;
-  gather(now, call, rules);
+  find_applicable(now, call, rules);
   const std::uint64_t key = key_of(call);
   Verdict verdict;
   for (const State* const each : rules) {
     if (asked) asked->push_back(each->rule.id);
-    if (verdict.pass && !lets_pass(*each, now, call, key)) verdict = {false, each->rule.id, {}, false};
+    if (verdict.pass && !admits(*each, now, call, key)) verdict = {false, each->rule.id, {}, false};
   }
   return verdict;
 }
--- a/src/gap/table.hpp
+++ b/src/gap/table.hpp
@@ -48,14 +48,14 @@
   Table(const Bounds& bounds, std::uint64_t seed);
   ~Table();
 
-  enum class Taken { taken, same, older, full };
+  enum class AnnounceResult { taken, same, older, full };
   // Of one id the highest revision holds; a lifted rule comes back only with a higher one.
-  Taken announce(Rule rule, Time now);
+  AnnounceResult announce(Rule rule, Time now);
   // With the revision of the lifting; true if it lifted something.
   bool lift(const std::string& id, std::uint64_t revision, Time now);
   // As a list that all share has it: holds whatever revision was heard of here.
-  Taken settle(Rule rule, Time now);
-  bool settle_lifted(const std::string& id, std::uint64_t revision, Time now);
+  AnnounceResult apply_listed(Rule rule, Time now);
+  bool apply_listed_lift(const std::string& id, std::uint64_t revision, Time now);
   // Rules that have ended are taken out; their ids.
   std::vector<std::string> expire(Time now);
 
@@ -63,10 +63,10 @@
   // What offer() would say, and by which rules, without a call.
   Verdict test(Time now, const Call& call, std::vector<std::string>* asked = nullptr) const;
   // As offer(), by one rule alone: for a call that waits when it is announced.
-  Verdict offer_to(const std::string& id, Time now, const Call& call);
+  Verdict offer_to_rule(const std::string& id, Time now, const Call& call);
 
   // The part of each allowance that is this instance's: (0, 1].
-  void share(double part);
+  void set_share(double share);
 
   std::size_t size() const { return states_.size(); }
   std::vector<Rule> rules() const;
@@ -78,23 +78,23 @@
   struct State;
 
   void rebuild() const;
-  void gather(Time now, const Call& call, std::vector<State*>& found) const;
-  bool lets_pass(const State& state, Time now, const Call& call, std::uint64_t key) const;
+  void find_applicable(Time now, const Call& call, std::vector<State*>& found) const;
+  bool admits(const State& state, Time now, const Call& call, std::uint64_t key) const;
   void commit(State& state, Time now, const Call& call, std::uint64_t key);
   Verdict refuse(State& state, Time now, const Call& call, std::uint64_t key);
-  void advance(State& state, Time now);
-  Duration spread(Duration longest);
-  Time forward(Time now) { return last_ = std::max(last_, now); }
+  void drop_expired(State& state, Time now);
+  Duration jittered(Duration longest);
+  Time advance_clock(Time now) { return last_time_ = std::max(last_time_, now); }
 
   Bounds bounds_;
   std::mt19937_64 random_;
   double share_ = 1;
-  Time last_{};
+  Time last_time_{};
   std::size_t slots_ = 0;
   std::map<std::string, std::unique_ptr<State>> states_;
   std::map<std::string, std::uint64_t> revisions_{};
   // Made anew by the first call after a change: ten thousand changes in one command cost one index.
-  mutable bool stale_ = false;
+  mutable bool index_stale_ = false;
   mutable Trie numbers_{}, callers_{};
   mutable std::vector<State*> entries_{};
 };
--- a/src/operation.cpp
+++ b/src/operation.cpp
@@ -181,7 +181,7 @@
       try {
         gap::Rule rule = gap::parse_rule(each.entry->rule);
         const std::string who = rule.who, why = rule.why;
-        if (gate_.table().settle(std::move(rule), now) != gap::Table::Taken::taken) continue;
+        if (gate_.table().apply_listed(std::move(rule), now) != gap::Table::AnnounceResult::taken) continue;
         lifted_.erase(id);
         fresh.push_back(id);
         audit("taken over", id, each.entry->revision, who, why);
@@ -197,7 +197,7 @@
     } else {
       lifted_.erase(id);
     }
-    if (!gate_.table().settle_lifted(id, revision, now)) continue;
+    if (!gate_.table().apply_listed_lift(id, revision, now)) continue;
     audit("lifted", id, revision, "", "in the fleet's list");
     if (news.size() <= 10) log_.line("gap %s: lifted elsewhere", id.c_str());
   }
@@ -277,7 +277,7 @@
                       number = rule.number, text = shared_list_ ? gap::to_json(rule) : std::string();
     const std::uint64_t revision = last_revision = rule.revision;
     switch (gate_.table().announce(std::move(rule), now)) {
-      case gap::Table::Taken::taken:
+      case gap::Table::AnnounceResult::taken:
         ++taken;
         fresh.push_back(id);
         lifted_.erase(id);
@@ -288,13 +288,13 @@
                     number.c_str());
         }
         break;
-      case gap::Table::Taken::same:
+      case gap::Table::AnnounceResult::same:
         ++same;
         break;
-      case gap::Table::Taken::older:
+      case gap::Table::AnnounceResult::older:
         ++older;
         break;
-      case gap::Table::Taken::full:
+      case gap::Table::AnnounceResult::full:
         throw control::Refused("there are too many rules");
     }
   }
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -155,7 +155,7 @@
 // Ten times what the gap lets pass: no stretch has more than its allowance, all else is refused with a wait.
 TEST(GapTable, AnIntervalHoldsUnderABurstAndWhenLiftedAllPass) {
   Table gaps = table();
-  EXPECT_EQ(gaps.announce(rule("g", "7f3a", "\"interval_ms\":200"), kNine), Table::Taken::taken);
+  EXPECT_EQ(gaps.announce(rule("g", "7f3a", "\"interval_ms\":200"), kNine), Table::AnnounceResult::taken);
   std::vector<Time> passed;
   int refused = 0;
   for (Time now = kNine; now < kNine + seconds(60); now += milliseconds(20)) {
@@ -299,16 +299,16 @@
 
 TEST(GapTable, TheSameTwiceIsOneAndOlderRevisionsNeverWin) {
   Table gaps = table();
-  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 5), kNine), Table::Taken::taken);
-  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 5), kNine), Table::Taken::same);
-  EXPECT_EQ(gaps.announce(rule("g", "8", "\"block\":true", "", 4), kNine), Table::Taken::older);
+  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 5), kNine), Table::AnnounceResult::taken);
+  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 5), kNine), Table::AnnounceResult::same);
+  EXPECT_EQ(gaps.announce(rule("g", "8", "\"block\":true", "", 4), kNine), Table::AnnounceResult::older);
   EXPECT_FALSE(gaps.lift("g", 5, kNine));
   EXPECT_FALSE(gaps.offer(kNine, call("7")).pass);
   EXPECT_TRUE(gaps.lift("g", 6, kNine));
   EXPECT_TRUE(gaps.offer(kNine, call("7")).pass);
-  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 6), kNine), Table::Taken::older)
+  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 6), kNine), Table::AnnounceResult::older)
       << "a lifted one came back";
-  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 7), kNine), Table::Taken::taken);
+  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 7), kNine), Table::AnnounceResult::taken);
   EXPECT_FALSE(gaps.offer(kNine, call("7")).pass);
 }
 
