--- a/bench/gap.cpp
+++ b/bench/gap.cpp
@@ -101,7 +101,7 @@
   std::size_t refused = 0;
   const double refusal = ns_each(quick ? 100000 : 1000000, [&](std::size_t i) {
     refused += table.offer(kNow + Duration(static_cast<std::int64_t>(i) * 100),
-                           {"7f3a", "open", caller, gap::Entrance::binary, i % 2 == 1})
+                           {"7f3a", "open", caller, gap::FrontKind::binary, i % 2 == 1})
                        .pass
                    ? 0
                    : 1;
--- a/src/gap/gate.cpp
+++ b/src/gap/gate.cpp
@@ -5,7 +5,7 @@
 
 Call call_of(const Request& request) {
   return {request.number, request.call_class, boost::asio::ip::address_v4(request.caller),
-          request.way == Way::sip ? Entrance::sip : Entrance::binary, request.retry};
+          request.way == Way::sip ? FrontKind::sip : FrontKind::binary, request.retry};
 }
 
 }  // namespace
--- a/src/gap/network.cpp
+++ b/src/gap/network.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Address plain(const Address& address) {
+Address unmapped(const Address& address) {
   if (address.is_v6() && address.to_v6().is_v4_mapped()) {
     return ip::make_address_v4(ip::v4_mapped, address.to_v6());
   }
@@ -26,7 +26,7 @@
   const std::string text(view);
   boost::system::error_code error;
   if (text.find('/') == std::string::npos) {
-    const Address address = plain(ip::make_address(text, error));
+    const Address address = unmapped(ip::make_address(text, error));
     if (error) return std::nullopt;
     if (address.is_v4()) return Network(ip::network_v4(address.to_v4(), 32));
     return Network(ip::network_v6(address.to_v6(), 128));
@@ -58,7 +58,7 @@
 }
 
 std::string bits_of(const Address& given) {
-  const Address address = plain(given);
+  const Address address = unmapped(given);
   if (address.is_v4()) return bits('4', address.to_v4().to_bytes(), 32);
   return bits('6', address.to_v6().to_bytes(), 128);
 }
--- a/src/gap/network.hpp
+++ b/src/gap/network.hpp
@@ -25,13 +25,13 @@
   std::string bits() const;
 
  private:
-  using Either = std::variant<boost::asio::ip::network_v4, boost::asio::ip::network_v6>;
-  explicit Network(Either network) : network_(std::move(network)) {}
-  Either network_;
+  using AnyNetwork = std::variant<boost::asio::ip::network_v4, boost::asio::ip::network_v6>;
+  explicit Network(AnyNetwork network) : network_(std::move(network)) {}
+  AnyNetwork network_;
 };
 
 // All bits of an address, as bits() of a network has them. A v4-mapped IPv6 address counts as IPv4.
 std::string bits_of(const Address& address);
-Address plain(const Address& address);
+Address unmapped(const Address& address);
 
 }  // namespace quartzarch::gap
--- a/src/gap/pattern.cpp
+++ b/src/gap/pattern.cpp
@@ -9,7 +9,7 @@
 
 namespace pegtl = tao::pegtl;
 
-constexpr std::size_t kLongestNumber = 64;
+constexpr std::size_t kMaxNumberLength = 64;
 
 // ---- The grammar
 
@@ -30,8 +30,8 @@
 struct all : pegtl::seq<one_pattern, rest, pegtl::must<pegtl::eof>> {};
 
 struct State {
-  std::vector<Pattern> done{};
-  Pattern at{};
+  std::vector<Pattern> parsed{};
+  Pattern current{};
   bool starred = false;
 };
 
@@ -41,24 +41,24 @@
 struct action<lower> {
   template <typename Input>
   static void apply(const Input& in, State& state) {
-    state.at.text = in.string();
+    state.current.text = in.string();
   }
 };
 template <>
 struct action<upper> {
   template <typename Input>
   static void apply(const Input& in, State& state) {
-    state.at.kind = Pattern::Kind::range;
-    state.at.upper = in.string();
+    state.current.kind = Pattern::Kind::range;
+    state.current.upper = in.string();
   }
 };
 template <>
 struct action<literal> {
   template <typename Input>
   static void apply(const Input& in, State& state) {
-    state.at.text = in.string();
-    state.at.kind =
-        state.at.text.find('?') == std::string::npos ? Pattern::Kind::exact : Pattern::Kind::wildcard;
+    state.current.text = in.string();
+    state.current.kind =
+        state.current.text.find('?') == std::string::npos ? Pattern::Kind::exact : Pattern::Kind::wildcard;
   }
 };
 template <>
@@ -72,21 +72,21 @@
 struct action<pattern> {
   template <typename Input>
   static void apply(const Input& in, State& state) {
-    Pattern made = std::exchange(state.at, {});
+    Pattern made = std::exchange(state.current, {});
     if (std::exchange(state.starred, false)) {
       if (made.kind == Pattern::Kind::wildcard) {
         throw pegtl::parse_error("\"?\" and \"*\" do not go together", in);
       }
       made.kind = made.text.empty() ? Pattern::Kind::any : Pattern::Kind::prefix;
     }
-    if (made.text.size() > kLongestNumber) throw pegtl::parse_error("is longer than any number", in);
+    if (made.text.size() > kMaxNumberLength) throw pegtl::parse_error("is longer than any number", in);
     if (made.kind == Pattern::Kind::range) {
       if (made.text.size() != made.upper.size())
         throw pegtl::parse_error("has ends of different lengths", in);
       if (made.text > made.upper) throw pegtl::parse_error("has its lower end above its upper one", in);
       if (made.text.size() > 18) throw pegtl::parse_error("has more than 18 digits", in);
     }
-    state.done.push_back(std::move(made));
+    state.parsed.push_back(std::move(made));
   }
 };
 
@@ -176,7 +176,7 @@
     throw PatternError("column " + std::to_string(error.positions().front().column) + ": " +
                        std::string(error.message()));
   }
-  return state.done;
+  return state.parsed;
 }
 
 }  // namespace quartzarch::gap
--- a/src/gap/rule.cpp
+++ b/src/gap/rule.cpp
@@ -20,7 +20,7 @@
 
 constexpr Duration kDay = std::chrono::hours(24);
 constexpr std::array<std::string_view, 7> kDays{"mon", "tue", "wed", "thu", "fri", "sat", "sun"};
-constexpr std::size_t kLongestId = 64, kMostListed = 1000, kLongestWords = 400;
+constexpr std::size_t kMaxIdLength = 64, kMaxListItems = 1000, kMaxTextLength = 400;
 
 [[noreturn]] void fail(const std::string& key, const std::string& what) {
   throw RuleError("\"" + key + "\" " + what);
@@ -29,7 +29,7 @@
 std::string text(element from, const std::string& key) {
   std::string_view value;
   if (from.get(value) != simdjson::SUCCESS) fail(key, "is no text");
-  if (value.size() > kLongestWords * 10) fail(key, "is too long");
+  if (value.size() > kMaxTextLength * 10) fail(key, "is too long");
   return std::string(value);
 }
 
@@ -47,7 +47,7 @@
   if (from.get(list) != simdjson::SUCCESS) fail(key, "is no list");
   std::vector<std::string> values;
   for (const element each : list) values.push_back(text(each, key));
-  if (values.size() > kMostListed) fail(key, "lists too many");
+  if (values.size() > kMaxListItems) fail(key, "lists too many");
   return values;
 }
 
@@ -119,24 +119,24 @@
   bool kind = false;
   for (const auto [name, value] : object) {
     const std::string key = "control." + std::string(name);
-    const auto is = [&](Control::Kind it) {
+    const auto set_kind = [&](Control::Kind it) {
       if (std::exchange(kind, true)) fail(key, "is a second control");
       made.kind = it;
     };
     if (name == "interval_ms") {
-      is(Control::Kind::interval);
+      set_kind(Control::Kind::interval);
       made.interval =
           duration_cast<Duration>(std::chrono::duration<double, std::milli>(number(value, key, 0.1, 3.6e6)));
     } else if (name == "per_s") {
-      is(Control::Kind::bucket);
+      set_kind(Control::Kind::bucket);
       made.rate = number(value, key, 1e-4, 1e6);
     } else if (name == "percentage") {
-      is(Control::Kind::percentage);
+      set_kind(Control::Kind::percentage);
       made.percentage = number(value, key, 0, 100);
     } else if (name == "block") {
       bool block = false;
       if (value.get(block) != simdjson::SUCCESS || !block) fail(key, "is not true");
-      is(Control::Kind::block);
+      set_kind(Control::Kind::block);
     } else if (name == "burst") {
       made.burst = number(value, key, 1, 1e6);
     } else {
@@ -149,20 +149,20 @@
 }
 
 template <typename List, typename To>
-std::string listed(const List& list, To to) {
+std::string json_array(const List& list, To to) {
   std::string out;
   for (const auto& each : list) out += (out.empty() ? "" : ",") + in_quotes(to(each));
   return "[" + out + "]";
 }
 
-std::string figure(double value) {
+std::string number_text(double value) {
   char out[32];
   std::snprintf(out, sizeof out, "%.10g", value);
   return out;
 }
 
 // How narrow a network is that the caller is in; 0 if the rule names none.
-unsigned nearest(const Rule& rule, const Call& call) {
+unsigned longest_prefix(const Rule& rule, const Call& call) {
   unsigned longest = 0;
   for (const Network& each : rule.callers) {
     if (each.contains(call.caller)) longest = std::max(longest, each.prefix_length() + 1);
@@ -180,7 +180,7 @@
 
 }  // namespace
 
-const char* name_of(Entrance entrance) { return entrance == Entrance::binary ? "binary" : "sip"; }
+const char* name_of(FrontKind front) { return front == FrontKind::binary ? "binary" : "sip"; }
 
 const char* name_of(Try tries) {
   return tries == Try::any ? "any" : tries == Try::first ? "first" : "repeat";
@@ -189,11 +189,11 @@
 std::string Control::str() const {
   switch (kind) {
     case Kind::interval:
-      return "one every " + figure(static_cast<double>(interval.count()) / 1000) + " ms";
+      return "one every " + number_text(static_cast<double>(interval.count()) / 1000) + " ms";
     case Kind::bucket:
-      return figure(rate) + " a second, " + figure(burst) + " at once";
+      return number_text(rate) + " a second, " + number_text(burst) + " at once";
     case Kind::percentage:
-      return figure(percentage) + "% pass";
+      return number_text(percentage) + "% pass";
     case Kind::block:
       break;
   }
@@ -216,11 +216,11 @@
     if (!keys.insert(key).second) fail(key, "is there twice");
     if (key == "id") {
       rule.id = text(value, key);
-      const bool sound = !rule.id.empty() && rule.id.size() <= kLongestId &&
+      const bool valid = !rule.id.empty() && rule.id.size() <= kMaxIdLength &&
                          std::all_of(rule.id.begin(), rule.id.end(), [](unsigned char c) {
                            return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
                          });
-      if (!sound) fail(key, "may have letters, digits, -, _ and . only, 64 at most");
+      if (!valid) fail(key, "may have letters, digits, -, _ and . only, 64 at most");
     } else if (key == "revision") {
       if (value.get(rule.revision) != simdjson::SUCCESS) fail(key, "is no whole number");
     } else if (key == "number") {
@@ -230,7 +230,7 @@
       } catch (const PatternError& error) {
         fail(key, error.what());
       }
-      if (rule.patterns.size() > kMostListed) fail(key, "lists too many");
+      if (rule.patterns.size() > kMaxListItems) fail(key, "lists too many");
     } else if (key == "class") {
       rule.classes = texts(value, key);
     } else if (key == "caller") {
@@ -238,9 +238,9 @@
     } else if (key == "front") {
       const std::string front = text(value, key);
       if (front == "binary") {
-        rule.front = Entrance::binary;
+        rule.front = FrontKind::binary;
       } else if (front == "sip") {
-        rule.front = Entrance::sip;
+        rule.front = FrontKind::sip;
       } else {
         fail(key, "is neither binary nor sip");
       }
@@ -266,7 +266,7 @@
     } else if (key == "weekly") {
       for (const std::string& each : texts(value, key)) rule.weekly.push_back(weekly(each, key));
     } else if (key == "who" || key == "why") {
-      (key == "who" ? rule.who : rule.why) = text(value, key).substr(0, kLongestWords);
+      (key == "who" ? rule.who : rule.why) = text(value, key).substr(0, kMaxTextLength);
     } else {
       fail(key, "is unknown");
     }
@@ -282,22 +282,22 @@
   const auto name = [](const Network& each) { return each.str(); };
   std::string out = "{\"id\":" + in_quotes(rule.id) + ",\"revision\":" + std::to_string(rule.revision) +
                     ",\"number\":" + in_quotes(rule.number);
-  if (!rule.classes.empty()) out += ",\"class\":" + listed(rule.classes, same);
-  if (!rule.callers.empty()) out += ",\"caller\":" + listed(rule.callers, name);
+  if (!rule.classes.empty()) out += ",\"class\":" + json_array(rule.classes, same);
+  if (!rule.callers.empty()) out += ",\"caller\":" + json_array(rule.callers, name);
   if (rule.front) out += ",\"front\":" + in_quotes(name_of(*rule.front));
   if (rule.tries != Try::any) out += ",\"try\":" + in_quotes(name_of(rule.tries));
-  if (!rule.exempt_classes.empty()) out += ",\"exempt_class\":" + listed(rule.exempt_classes, same);
-  if (!rule.exempt_callers.empty()) out += ",\"exempt_caller\":" + listed(rule.exempt_callers, name);
+  if (!rule.exempt_classes.empty()) out += ",\"exempt_class\":" + json_array(rule.exempt_classes, same);
+  if (!rule.exempt_callers.empty()) out += ",\"exempt_caller\":" + json_array(rule.exempt_callers, name);
   out += ",\"control\":{";
   switch (rule.control.kind) {
     case Control::Kind::interval:
-      out += "\"interval_ms\":" + figure(static_cast<double>(rule.control.interval.count()) / 1000);
+      out += "\"interval_ms\":" + number_text(static_cast<double>(rule.control.interval.count()) / 1000);
       break;
     case Control::Kind::bucket:
-      out += "\"per_s\":" + figure(rule.control.rate) + ",\"burst\":" + figure(rule.control.burst);
+      out += "\"per_s\":" + number_text(rule.control.rate) + ",\"burst\":" + number_text(rule.control.burst);
       break;
     case Control::Kind::percentage:
-      out += "\"percentage\":" + figure(rule.control.percentage);
+      out += "\"percentage\":" + number_text(rule.control.percentage);
       break;
     case Control::Kind::block:
       out += "\"block\":true";
@@ -312,7 +312,7 @@
   if (rule.start) out += ",\"start_s\":" + seconds(*rule.start);
   if (rule.end) out += ",\"end_s\":" + seconds(*rule.end);
   if (!rule.weekly.empty())
-    out += ",\"weekly\":" + listed(rule.weekly, [](const Weekly& each) { return str(each); });
+    out += ",\"weekly\":" + json_array(rule.weekly, [](const Weekly& each) { return str(each); });
   if (!rule.who.empty()) out += ",\"who\":" + in_quotes(rule.who);
   if (!rule.why.empty()) out += ",\"why\":" + in_quotes(rule.why);
   return out + "}";
@@ -338,7 +338,7 @@
       std::find(rule.classes.begin(), rule.classes.end(), call.call_class) == rule.classes.end()) {
     return false;
   }
-  if (!rule.callers.empty() && nearest(rule, call) == 0) return false;
+  if (!rule.callers.empty() && longest_prefix(rule, call) == 0) return false;
   return std::any_of(rule.patterns.begin(), rule.patterns.end(),
                      [&](const Pattern& each) { return each.matches(call.number); });
 }
@@ -350,9 +350,9 @@
                      [&](const Network& each) { return each.contains(call.caller); });
 }
 
-bool goes_before(const Rule& a, const Rule& b, const Call& call) {
+bool takes_precedence(const Rule& a, const Rule& b, const Call& call) {
   const auto key = [&](const Rule& rule) {
-    return std::make_tuple(rank(rule, call.number), !rule.classes.empty(), nearest(rule, call),
+    return std::make_tuple(rank(rule, call.number), !rule.classes.empty(), longest_prefix(rule, call),
                            rule.front.has_value(), rule.tries != Try::any);
   };
   const auto ours = key(a), theirs = key(b);
--- a/src/gap/rule.hpp
+++ b/src/gap/rule.hpp
@@ -13,9 +13,9 @@
 
 namespace quartzarch::gap {
 
-enum class Entrance { binary, sip };
+enum class FrontKind { binary, sip };
 enum class Try { any, first, repeat };
-const char* name_of(Entrance entrance);
+const char* name_of(FrontKind front);
 const char* name_of(Try tries);
 
 struct Control {
@@ -41,7 +41,7 @@
   std::vector<Pattern> patterns{Pattern{}};  // of `number`
   std::vector<std::string> classes{};        // empty: any
   std::vector<Network> callers{};            // empty: any
-  std::optional<Entrance> front{};
+  std::optional<FrontKind> front{};
   Try tries = Try::any;
   std::vector<std::string> exempt_classes{};
   std::vector<Network> exempt_callers{};
@@ -63,7 +63,7 @@
   std::string_view number{};
   std::string_view call_class{};
   Address caller{};
-  Entrance front = Entrance::binary;
+  FrontKind front = FrontKind::binary;
   bool repeat = false;
 };
 
@@ -72,6 +72,6 @@
 bool covers(const Rule& rule, const Call& call);
 bool exempts(const Rule& rule, const Call& call);
 // True if `a` is asked before `b` when both cover `call`.
-bool goes_before(const Rule& a, const Rule& b, const Call& call);
+bool takes_precedence(const Rule& a, const Rule& b, const Call& call);
 
 }  // namespace quartzarch::gap
--- a/src/gap/table.cpp
+++ b/src/gap/table.cpp
@@ -31,7 +31,7 @@
 std::uint64_t key_of(const Call& call) {
   std::uint64_t key = hash(14695981039346656037u, call.number);
   key = hash(key, call.call_class);
-  const Address address = plain(call.caller);
+  const Address address = unmapped(call.caller);
   if (address.is_v4()) return hash(key, std::to_string(address.to_v4().to_uint()));
   const auto bytes = address.to_v6().to_bytes();
   return hash(key, std::string_view(reinterpret_cast<const char*>(bytes.data()), bytes.size()));
@@ -213,7 +213,7 @@
     if (in_force(state->rule, now) && covers(state->rule, call)) found.push_back(state);
   }
   std::sort(found.begin(), found.end(),
-            [&](const State* a, const State* b) { return goes_before(a->rule, b->rule, call); });
+            [&](const State* a, const State* b) { return takes_precedence(a->rule, b->rule, call); });
 }
 
 // ---- Calls
--- a/src/gap/trie.cpp
+++ b/src/gap/trie.cpp
@@ -16,25 +16,25 @@
 }
 
 std::uint32_t Trie::step_any(std::uint32_t from) {
-  if (nodes_[from].any == 0) {
-    nodes_[from].any = static_cast<std::uint32_t>(nodes_.size());
+  if (nodes_[from].any_char == 0) {
+    nodes_[from].any_char = static_cast<std::uint32_t>(nodes_.size());
     nodes_.emplace_back();
   }
-  return nodes_[from].any;
+  return nodes_[from].any_char;
 }
 
 std::uint32_t Trie::step_digit(std::uint32_t from) {
-  if (nodes_[from].digit == 0) {
-    nodes_[from].digit = static_cast<std::uint32_t>(nodes_.size());
+  if (nodes_[from].any_digit == 0) {
+    nodes_[from].any_digit = static_cast<std::uint32_t>(nodes_.size());
     nodes_.emplace_back();
   }
-  return nodes_[from].digit;
+  return nodes_[from].any_digit;
 }
 
 void Trie::add_prefix(std::string_view text, Entry entry) {
   std::uint32_t at = 0;
   for (const char c : text) at = step(at, c);
-  nodes_[at].beyond.push_back(entry);
+  nodes_[at].prefix_entries.push_back(entry);
 }
 
 void Trie::add(const Pattern& pattern, Entry entry) {
@@ -51,12 +51,12 @@
   std::uint32_t at = 0;
   for (const char c : pattern.text)
     at = pattern.kind == Pattern::Kind::wildcard && c == '?' ? step_any(at) : step(at, c);
-  nodes_[at].here.push_back(entry);
+  nodes_[at].exact_entries.push_back(entry);
 }
 
 void Trie::add_open(std::uint32_t from, std::size_t digits, Entry entry) {
   for (std::size_t i = 0; i < digits; ++i) from = step_digit(from);
-  nodes_[from].here.push_back(entry);
+  nodes_[from].exact_entries.push_back(entry);
 }
 
 // The digits that both ends have in common, then on each side what lies wholly inside: nine branches a digit
@@ -67,7 +67,7 @@
   std::size_t same = 0;
   while (same < size && lower[same] == upper[same]) at = step(at, lower[same++]);
   if (same == size) {
-    nodes_[at].here.push_back(entry);
+    nodes_[at].exact_entries.push_back(entry);
     return;
   }
   for (char c = static_cast<char>(lower[same] + 1); c < upper[same]; ++c) {
@@ -80,22 +80,22 @@
     low = step(low, lower[i]);
     high = step(high, upper[i]);
   }
-  nodes_[low].here.push_back(entry);
-  nodes_[high].here.push_back(entry);
+  nodes_[low].exact_entries.push_back(entry);
+  nodes_[high].exact_entries.push_back(entry);
 }
 
 void Trie::walk(std::uint32_t at, std::string_view text, std::vector<Entry>& found) const {
   for (;;) {
     const Node& node = nodes_[at];
-    found.insert(found.end(), node.beyond.begin(), node.beyond.end());
+    found.insert(found.end(), node.prefix_entries.begin(), node.prefix_entries.end());
     if (text.empty()) {
-      found.insert(found.end(), node.here.begin(), node.here.end());
+      found.insert(found.end(), node.exact_entries.begin(), node.exact_entries.end());
       return;
     }
     const char c = text.front();
     text.remove_prefix(1);
-    if (node.any != 0) walk(node.any, text, found);
-    if (node.digit != 0 && c >= '0' && c <= '9') walk(node.digit, text, found);
+    if (node.any_char != 0) walk(node.any_char, text, found);
+    if (node.any_digit != 0 && c >= '0' && c <= '9') walk(node.any_digit, text, found);
     const auto next = std::lower_bound(node.next.begin(), node.next.end(), c,
                                        [](const auto& item, char wanted) { return item.first < wanted; });
     if (next == node.next.end() || next->first != c) return;
@@ -109,7 +109,7 @@
   std::size_t sum = nodes_.capacity() * sizeof(Node);
   for (const Node& each : nodes_) {
     sum += each.next.capacity() * sizeof each.next[0] +
-           (each.here.capacity() + each.beyond.capacity()) * sizeof(Entry);
+           (each.exact_entries.capacity() + each.prefix_entries.capacity()) * sizeof(Entry);
   }
   return sum;
 }
--- a/src/gap/trie.hpp
+++ b/src/gap/trie.hpp
@@ -28,10 +28,10 @@
   struct Node {
     // Sorted by character; few have more than a handful.
     std::vector<std::pair<char, std::uint32_t>> next{};
-    std::uint32_t any = 0;        // by any character
-    std::uint32_t digit = 0;      // by any digit: what a range leaves open
-    std::vector<Entry> here{};    // patterns that end here
-    std::vector<Entry> beyond{};  // prefixes
+    std::uint32_t any_char = 0;           // by any character
+    std::uint32_t any_digit = 0;          // by any digit: what a range leaves open
+    std::vector<Entry> exact_entries{};   // patterns that end here
+    std::vector<Entry> prefix_entries{};  // prefixes
   };
 
   std::uint32_t step(std::uint32_t from, char c);
--- a/src/operation.cpp
+++ b/src/operation.cpp
@@ -360,7 +360,8 @@
   if (error) throw control::Refused("\"caller\" is no address");
   bool repeat = false;
   if (request["repeat"].get(repeat) != simdjson::SUCCESS) repeat = false;
-  const gap::Entrance front = text_of(request, "front") == "sip" ? gap::Entrance::sip : gap::Entrance::binary;
+  const gap::FrontKind front =
+      text_of(request, "front") == "sip" ? gap::FrontKind::sip : gap::FrontKind::binary;
   std::vector<std::string> asked;
   const gap::Verdict verdict =
       gate_.table().test(loop_.now(), {number, call_class, address, front, repeat}, &asked);
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -33,7 +33,7 @@
 
 Call call(std::string_view number, bool repeat = false, std::string_view call_class = "open",
           const Address& caller = kGateway) {
-  return {number, call_class, caller, gap::Entrance::binary, repeat};
+  return {number, call_class, caller, gap::FrontKind::binary, repeat};
 }
 
 Table table() { return Table(Table::Bounds{}, 1); }
@@ -253,7 +253,7 @@
   gaps.announce(rule("b", "5*", "\"block\":true", R"(,"try":"repeat","front":"sip")"), kNine);
   Call sip = call("55", true, "open", at("10.3.0.1"));
   EXPECT_TRUE(gaps.offer(kNine, sip).pass);
-  sip.front = gap::Entrance::sip;
+  sip.front = gap::FrontKind::sip;
   EXPECT_FALSE(gaps.offer(kNine, sip).pass);
   sip.repeat = false;
   EXPECT_TRUE(gaps.offer(kNine, sip).pass);
