--- a/src/gap/gate.cpp
+++ b/src/gap/gate.cpp
@@ -11,17 +11,17 @@
 }  // namespace
 
 std::optional<Duration> GapGate::turns_away(const Request& request, Time now) {
-  hitters_.offered(now, request.number);
+  heavy_hitters_.offered(now, request.number);
   const Verdict verdict = table_.offer(now, call_of(request));
   if (verdict.pass) return std::nullopt;
-  hitters_.refused(now, request.number);
+  heavy_hitters_.refused(now, request.number);
   return verdict.wait;
 }
 
-std::optional<Duration> GapGate::turned_away_by(const std::string& id, const Request& request, Time now) {
+std::optional<Duration> GapGate::offer_to_rule(const std::string& id, const Request& request, Time now) {
   const Verdict verdict = table_.offer_to_rule(id, now, call_of(request));
   if (verdict.pass) return std::nullopt;
-  hitters_.refused(now, request.number);
+  heavy_hitters_.refused(now, request.number);
   return verdict.wait;
 }
 
--- a/src/gap/sketch.cpp
+++ b/src/gap/sketch.cpp
@@ -4,43 +4,43 @@
 
 namespace quartzarch::gap {
 
-Hitter* SpaceSaving::find(std::string_view number) {
-  const auto found = at_.find(std::string(number));
-  return found == at_.end() ? nullptr : &found->second->second;
+HeavyHitter* SpaceSaving::find(std::string_view number) {
+  const auto found = index_.find(std::string(number));
+  return found == index_.end() ? nullptr : &found->second->second;
 }
 
 void SpaceSaving::offered(std::string_view number, std::uint64_t count) {
   total_ += count;
   const std::string key(number);
-  Hitter hitter;
-  if (const auto found = at_.find(key); found != at_.end()) {
+  HeavyHitter hitter;
+  if (const auto found = index_.find(key); found != index_.end()) {
     hitter = std::move(found->second->second);
     counters_.erase(found->second);
   } else {
     hitter.number = key;
-    if (counters_.size() >= most_) {
+    if (counters_.size() >= capacity_) {
       // The smallest gives its place; what it had counted may have been anybody's.
       const auto least = counters_.begin();
       hitter.error = hitter.offered = least->first;
-      at_.erase(least->second.number);
+      index_.erase(least->second.number);
       counters_.erase(least);
     }
   }
   hitter.offered += count;
   const std::uint64_t value = hitter.offered;
-  at_[key] = counters_.emplace(value, std::move(hitter));
+  index_[key] = counters_.emplace(value, std::move(hitter));
 }
 
 void SpaceSaving::answered(std::string_view number) {
-  if (Hitter* const hitter = find(number)) ++hitter->answered;
+  if (HeavyHitter* const hitter = find(number)) ++hitter->answered;
 }
 
 void SpaceSaving::refused(std::string_view number) {
-  if (Hitter* const hitter = find(number)) ++hitter->refused;
+  if (HeavyHitter* const hitter = find(number)) ++hitter->refused;
 }
 
-std::vector<Hitter> SpaceSaving::top(std::size_t count) const {
-  std::vector<Hitter> all;
+std::vector<HeavyHitter> SpaceSaving::top(std::size_t count) const {
+  std::vector<HeavyHitter> all;
   for (auto at = counters_.rbegin(); at != counters_.rend() && all.size() < count; ++at)
     all.push_back(at->second);
   return all;
@@ -54,25 +54,25 @@
   return sum;
 }
 
-void HitterWindow::turn(Time now) {
-  const std::int64_t last = now / length_ - static_cast<std::int64_t>(panes_) + 1;
-  std::erase_if(at_, [&](const auto& item) { return item.first < last; });
+void HeavyHitterWindow::drop_expired_panes(Time now) {
+  const std::int64_t last = now / pane_length_ - static_cast<std::int64_t>(pane_count_) + 1;
+  std::erase_if(panes_, [&](const auto& item) { return item.first < last; });
 }
 
-SpaceSaving& HitterWindow::pane(Time now) {
-  const std::int64_t number = now / length_;
-  const auto found = at_.find(number);
-  if (found != at_.end()) return found->second;
-  turn(now);
-  return at_.emplace(number, SpaceSaving(counters_)).first->second;
+SpaceSaving& HeavyHitterWindow::pane(Time now) {
+  const std::int64_t number = now / pane_length_;
+  const auto found = panes_.find(number);
+  if (found != panes_.end()) return found->second;
+  drop_expired_panes(now);
+  return panes_.emplace(number, SpaceSaving(counters_)).first->second;
 }
 
-std::vector<Hitter> HitterWindow::top(Time now, std::size_t count) {
-  turn(now);
-  std::unordered_map<std::string, Hitter> sums;
-  for (const auto& [number, pane] : at_) {
-    for (const Hitter& each : pane.top(counters_)) {
-      Hitter& sum = sums[each.number];
+std::vector<HeavyHitter> HeavyHitterWindow::top(Time now, std::size_t count) {
+  drop_expired_panes(now);
+  std::unordered_map<std::string, HeavyHitter> sums;
+  for (const auto& [number, pane] : panes_) {
+    for (const HeavyHitter& each : pane.top(counters_)) {
+      HeavyHitter& sum = sums[each.number];
       sum.number = each.number;
       sum.offered += each.offered;
       sum.error += each.error;
@@ -80,9 +80,9 @@
       sum.refused += each.refused;
     }
   }
-  std::vector<Hitter> all;
+  std::vector<HeavyHitter> all;
   for (auto& [number, hitter] : sums) all.push_back(std::move(hitter));
-  const auto more = [](const Hitter& a, const Hitter& b) {
+  const auto more = [](const HeavyHitter& a, const HeavyHitter& b) {
     return a.offered != b.offered ? a.offered > b.offered : a.number < b.number;
   };
   std::sort(all.begin(), all.end(), more);
@@ -90,10 +90,10 @@
   return all;
 }
 
-std::uint64_t HitterWindow::total(Time now) {
-  turn(now);
+std::uint64_t HeavyHitterWindow::total(Time now) {
+  drop_expired_panes(now);
   std::uint64_t sum = 0;
-  for (const auto& [number, pane] : at_) sum += pane.total();
+  for (const auto& [number, pane] : panes_) sum += pane.total();
   return sum;
 }
 
--- a/src/gap/sketch.hpp
+++ b/src/gap/sketch.hpp
@@ -16,7 +16,7 @@
 
 namespace quartzarch::gap {
 
-struct Hitter {
+struct HeavyHitter {
   std::string number{};
   std::uint64_t offered = 0;  // at most `error` too many
   std::uint64_t error = 0;
@@ -25,46 +25,46 @@
 
 class SpaceSaving {
  public:
-  explicit SpaceSaving(std::size_t counters) : most_(counters) { at_.reserve(counters); }
+  explicit SpaceSaving(std::size_t counters) : capacity_(counters) { index_.reserve(counters); }
 
   void offered(std::string_view number, std::uint64_t count = 1);
   void answered(std::string_view number);
   void refused(std::string_view number);
   std::uint64_t total() const { return total_; }
   // The largest first.
-  std::vector<Hitter> top(std::size_t count) const;
+  std::vector<HeavyHitter> top(std::size_t count) const;
   std::size_t bytes() const;
 
  private:
-  using ByCount = std::multimap<std::uint64_t, Hitter>;
-  Hitter* find(std::string_view number);
+  using ByCount = std::multimap<std::uint64_t, HeavyHitter>;
+  HeavyHitter* find(std::string_view number);
 
-  std::size_t most_;
+  std::size_t capacity_;
   ByCount counters_{};
-  std::unordered_map<std::string, ByCount::iterator> at_{};
+  std::unordered_map<std::string, ByCount::iterator> index_{};
   std::uint64_t total_ = 0;
 };
 
-class HitterWindow {
+class HeavyHitterWindow {
  public:
-  HitterWindow(std::size_t counters, std::size_t panes, Duration pane)
-      : counters_(counters), panes_(panes), length_(pane) {}
+  HeavyHitterWindow(std::size_t counters, std::size_t panes, Duration pane)
+      : counters_(counters), pane_count_(panes), pane_length_(pane) {}
 
   void offered(Time now, std::string_view number) { pane(now).offered(number); }
   void answered(Time now, std::string_view number) { pane(now).answered(number); }
   void refused(Time now, std::string_view number) { pane(now).refused(number); }
   // Over the panes of the window that ends now.
-  std::vector<Hitter> top(Time now, std::size_t count);
+  std::vector<HeavyHitter> top(Time now, std::size_t count);
   std::uint64_t total(Time now);
-  Duration window() const { return length_ * static_cast<long>(panes_); }
+  Duration window() const { return pane_length_ * static_cast<long>(pane_count_); }
 
  private:
   SpaceSaving& pane(Time now);
-  void turn(Time now);
+  void drop_expired_panes(Time now);
 
-  std::size_t counters_, panes_;
-  Duration length_;
-  std::map<std::int64_t, SpaceSaving> at_{};  // by the number of the pane since the epoch
+  std::size_t counters_, pane_count_;
+  Duration pane_length_;
+  std::map<std::int64_t, SpaceSaving> panes_{};  // by the number of the pane since the epoch
 };
 
 }  // namespace quartzarch::gap
--- a/src/operation.cpp
+++ b/src/operation.cpp
@@ -212,7 +212,7 @@
   planner_.reconsider([&](const Request& held) {
     std::optional<Duration> away;
     for (const std::string& id : fresh) {
-      if (!away) away = gate_.turned_away_by(id, held, now);
+      if (!away) away = gate_.offer_to_rule(id, held, now);
     }
     return away;
   });
@@ -372,17 +372,17 @@
 }
 
 std::string Operation::suggest(Element) {
-  gap::HitterWindow& hitters = gate_.hitters();
-  const std::uint64_t total = hitters.total(loop_.now());
+  gap::HeavyHitterWindow& heavy_hitters = gate_.heavy_hitters();
+  const std::uint64_t total = heavy_hitters.total(loop_.now());
   std::string all;
-  for (const gap::Hitter& each : hitters.top(loop_.now(), kMostNamed)) {
+  for (const gap::HeavyHitter& each : heavy_hitters.top(loop_.now(), kMostNamed)) {
     all += (all.empty() ? "" : ",") + std::string("{\"number\":") + in_quotes(each.number) +
            ",\"offered\":" + std::to_string(each.offered) + ",\"error\":" + std::to_string(each.error) +
            ",\"answered\":" + std::to_string(each.answered) + ",\"refused\":" + std::to_string(each.refused) +
            "}";
   }
-  return ",\"window_ms\":" + ms(hitters.window()) + ",\"calls\":" + std::to_string(total) + ",\"numbers\":[" +
-         all + "]";
+  return ",\"window_ms\":" + ms(heavy_hitters.window()) + ",\"calls\":" + std::to_string(total) +
+         ",\"numbers\":[" + all + "]";
 }
 
 }  // namespace quartzarch
--- a/src/operation.hpp
+++ b/src/operation.hpp
@@ -20,7 +20,7 @@
   sockaddr_in listen{};     // loopback
   std::string directory{};  // of the rules in force and the audit log; mode 0700
   gap::Table::Bounds gaps{};
-  gap::GapGate::Sketch sketch{};
+  gap::GapGate::SketchSettings sketch{};
 };
 // Throws ConfigError: "line N: key: what is wrong".
 ControlSettings parse_control(std::string_view toml);
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -357,7 +357,7 @@
 
 TEST(GapSketch, NamesTheHotNumberAmongAHundredThousandWithinItsBound) {
   constexpr std::size_t kCounters = 200;
-  gap::HitterWindow window(kCounters, 6, seconds(10));
+  gap::HeavyHitterWindow window(kCounters, 6, seconds(10));
   std::uint64_t hot = 0, all = 0;
   for (std::uint64_t i = 0; i < 200000; ++i) {
     const Time now = kNine + Duration(static_cast<std::int64_t>(i) * 200);
