--- a/src/gap/gate.hpp
+++ b/src/gap/gate.hpp
@@ -1,5 +1,5 @@
-// The gaps before the core: requests of fronts as calls of the table, and what becomes of them for the
-// sketch.
+// Applies the gap rules to set-up requests before the planner sees them, and counts requests and their
+// outcomes per called number to find the heavy hitters.
 #pragma once
 
 #include "core/calls.hpp"
@@ -8,8 +8,11 @@
 
 namespace quartzarch::gap {
 
+// The planner's Gate, backed by the table of gap rules.
 class GapGate : public Gate {
  public:
+  // The window in which heavy hitters are counted: `panes` panes of length `pane`, each with `counters`
+  // counters.
   struct SketchSettings {
     std::size_t counters = 200;
     std::size_t panes = 6;
@@ -19,7 +22,8 @@
       : table_(bounds, seed), heavy_hitters_(sketch.counters, sketch.panes, sketch.pane) {}
 
   std::optional<Duration> turns_away(const Request& request, Time now) override;
-  // By one rule alone, for a call that is held.
+  // Offers a call that is already waiting for a server to the rule `id` alone; returns the retry delay if the
+  // rule refuses it. Used when a rule is announced while calls wait.
   std::optional<Duration> offer_to_rule(const std::string& id, const Request& request, Time now);
   void answered(const Request& request, Time now) override { heavy_hitters_.answered(now, request.number); }
   void refused(const Request& request, Time now) override { heavy_hitters_.refused(now, request.number); }
--- a/src/gap/list_replica.cpp
+++ b/src/gap/list_replica.cpp
@@ -50,7 +50,7 @@
   try {
     state.ends = parse_rule(entry.rule).end;
   } catch (const RuleError&) {
-    // Of a later version, it may be: left to those who can read it.
+    // The rule may come from a newer software version; controllers that can read it remove it from the list.
   }
 }
 
@@ -71,7 +71,7 @@
 std::vector<ListReplica::Update> ListReplica::apply(const std::vector<ListedEntry>& entries, bool full) {
   std::vector<Update> updates;
   const auto remove = [&](const std::string& id, State& state) {
-    // What was changed here meanwhile holds here, and comes into the list.
+    // A pending local change stays in effect and is still written to the list.
     if (state.listed && !state.pending) updates.push_back({id, std::nullopt, false});
     state.listed.reset();
     state.restored = false;
@@ -87,7 +87,7 @@
   }
   for (const ListedEntry& each : entries) {
     State& state = states_[each.id];
-    if (each.version < state.version) continue;  // a part of the list that was told late
+    if (each.version < state.version) continue;  // out-of-order update
     if (!each.entry) {
       remove(each.id, state);
       continue;
@@ -95,7 +95,7 @@
     const bool same = state.listed == each.entry;
     set_listed(state, *each.entry, each.version);
     if (state.pending && state.pending->revision > each.entry->revision)
-      continue;  // ours will take its place
+      continue;  // our change will replace it
     const bool ours = state.pending == each.entry;
     const bool superseded = state.pending.has_value() && !ours;
     set_pending(state, false);
@@ -109,7 +109,7 @@
 
 std::vector<ListReplica::Write> ListReplica::next_writes(Time now) {
   std::vector<Write> writes;
-  // Before the list is known, it is not known either what a change takes the place of.
+  // Until the list has been read, the version that a write has to replace is unknown.
   if (!list_known_ || pending_count_ == 0) return writes;
   for (auto& [id, state] : states_) {
     if (in_flight_ >= bounds_.max_in_flight) break;
@@ -129,7 +129,7 @@
   --in_flight_;
   switch (outcome) {
     case Outcome::done:
-      // Not if somebody's later one was shown meanwhile.
+      // Unless a later version from another controller has been applied meanwhile.
       if (version > state.version) set_listed(state, sent, version);
       if (state.pending == sent) set_pending(state, false);
       return;
--- a/src/gap/network.hpp
+++ b/src/gap/network.hpp
@@ -1,4 +1,4 @@
-// Addresses of callers and sets of them, IPv4 and IPv6, by Boost.Asio. No I/O.
+// Caller addresses and networks, IPv4 and IPv6, on top of Boost.Asio. No I/O.
 #pragma once
 
 #include <boost/asio/ip/address.hpp>
@@ -13,15 +13,15 @@
 
 using Address = boost::asio::ip::address;
 
-// "10.2.0.0/16", "2001:db8::/32", or a single address.
+// A network such as "10.2.0.0/16" or "2001:db8::/32", or a single address.
 class Network {
  public:
-  // Nothing if it is none.
+  // Returns nothing if the text is not an address or a network.
   static std::optional<Network> parse(std::string_view text);
   bool contains(const Address& address) const;
   unsigned prefix_length() const;
   std::string str() const;
-  // The family and the bits of the prefix, as a key: "4" or "6", then '0' and '1'.
+  // The address family and the bits of the prefix as a key for the prefix trie: "4" or "6", then '0' and '1'.
   std::string bits() const;
 
  private:
@@ -30,8 +30,9 @@
   AnyNetwork network_;
 };
 
-// All bits of an address, as bits() of a network has them. A v4-mapped IPv6 address counts as IPv4.
+// All bits of an address, in the form of Network::bits(). A v4-mapped IPv6 address counts as IPv4.
 std::string bits_of(const Address& address);
+// Converts a v4-mapped IPv6 address to IPv4; returns any other address unchanged.
 Address unmapped(const Address& address);
 
 }  // namespace quartzarch::gap
--- a/src/gap/pattern.cpp
+++ b/src/gap/pattern.cpp
@@ -29,12 +29,14 @@
 struct rest : pegtl::star<pegtl::seq<comma, one_pattern>> {};
 struct all : pegtl::seq<one_pattern, rest, pegtl::must<pegtl::eof>> {};
 
+// State of a parse.
 struct State {
   std::vector<Pattern> parsed{};
   Pattern current{};
   bool starred = false;
 };
 
+// Semantic actions: they build up the patterns in State.
 template <typename Rule>
 struct action {};
 template <>
@@ -90,6 +92,7 @@
   }
 };
 
+// Error message for a grammar rule that must match.
 template <typename Rule>
 inline constexpr const char* expected = nullptr;
 template <>
--- a/src/gap/sketch.cpp
+++ b/src/gap/sketch.cpp
@@ -19,7 +19,7 @@
   } else {
     hitter.number = key;
     if (counters_.size() >= capacity_) {
-      // The smallest gives its place; what it had counted may have been anybody's.
+      // The smallest counter is reassigned; its count becomes the error bound of the new number.
       const auto least = counters_.begin();
       hitter.error = hitter.offered = least->first;
       index_.erase(least->second.number);
--- a/src/gap/sketch.hpp
+++ b/src/gap/sketch.hpp
@@ -1,8 +1,8 @@
-// Heavy hitters among the numbers called, in fixed memory: space-saving (Metwally, Agrawal, El Abbadi, 2005)
-// in panes of time. No I/O; time is passed in.
+// Finds heavy hitters among the called numbers in bounded memory: the space-saving algorithm (Metwally,
+// Agrawal, El Abbadi, 2005) over a sliding window of panes. No I/O; time is passed in.
 //
-// Over one pane with k counters and N calls, a number called more than N / k times is there, and its count is
-// over the true one by at most N / k; the window's error is the sum over its panes.
+// In a pane with k counters and N calls, every number called more than N / k times is present, and its count
+// exceeds the true count by at most N / k. The error of the window is the sum of the errors of its panes.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,15 @@
 
 namespace quartzarch::gap {
 
+// A frequently called number with its counts.
 struct HeavyHitter {
   std::string number{};
-  std::uint64_t offered = 0;  // at most `error` too many
+  std::uint64_t offered = 0;  // exceeds the true count by at most `error`
   std::uint64_t error = 0;
-  std::uint64_t answered = 0, refused = 0;  // while it was counted
+  std::uint64_t answered = 0, refused = 0;  // since the number got its counter
 };
 
+// The space-saving counters of one pane.
 class SpaceSaving {
  public:
   explicit SpaceSaving(std::size_t counters) : capacity_(counters) { index_.reserve(counters); }
@@ -31,7 +33,7 @@
   void answered(std::string_view number);
   void refused(std::string_view number);
   std::uint64_t total() const { return total_; }
-  // The largest first.
+  // The `count` most frequent numbers, most frequent first.
   std::vector<HeavyHitter> top(std::size_t count) const;
   std::size_t bytes() const;
 
@@ -45,6 +47,7 @@
   std::uint64_t total_ = 0;
 };
 
+// Heavy hitters over a sliding window of the last `panes` panes.
 class HeavyHitterWindow {
  public:
   HeavyHitterWindow(std::size_t counters, std::size_t panes, Duration pane)
@@ -53,7 +56,7 @@
   void offered(Time now, std::string_view number) { pane(now).offered(number); }
   void answered(Time now, std::string_view number) { pane(now).answered(number); }
   void refused(Time now, std::string_view number) { pane(now).refused(number); }
-  // Over the panes of the window that ends now.
+  // The most frequent numbers over the window that ends now.
   std::vector<HeavyHitter> top(Time now, std::size_t count);
   std::uint64_t total(Time now);
   Duration window() const { return pane_length_ * static_cast<long>(pane_count_); }
@@ -64,7 +67,7 @@
 
   std::size_t counters_, pane_count_;
   Duration pane_length_;
-  std::map<std::int64_t, SpaceSaving> panes_{};  // by the number of the pane since the epoch
+  std::map<std::int64_t, SpaceSaving> panes_{};  // by pane number since the epoch
 };
 
 }  // namespace quartzarch::gap
--- a/src/gap/trie.cpp
+++ b/src/gap/trie.cpp
@@ -59,8 +59,9 @@
   nodes_[from].exact_entries.push_back(entry);
 }
 
-// The digits that both ends have in common, then on each side what lies wholly inside: nine branches a digit
-// at most, each with the digits after it left open.
+// Adds the common leading digits of both ends, then for each following digit the branches that lie wholly
+// inside the range on either side: at most nine branches per digit and side, each with its remaining digits
+// free.
 void Trie::add_range(const std::string& lower, const std::string& upper, Entry entry) {
   const std::size_t size = lower.size();
   std::uint32_t at = 0;
