--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -72,7 +72,7 @@
   simdjson::dom::parser parser;
   simdjson::dom::element request;
   if (parser.parse(line.data(), line.size()).get(request) != simdjson::SUCCESS || !request.is_object()) {
-    return failure("no JSON object");
+    return failure("not a JSON object");
   }
   std::int64_t version = 0;
   if (request["v"].get(version) != simdjson::SUCCESS) return failure("\"v\" is missing");
--- a/src/gap/pattern.cpp
+++ b/src/gap/pattern.cpp
@@ -77,16 +77,18 @@
     Pattern made = std::exchange(state.current, {});
     if (std::exchange(state.starred, false)) {
       if (made.kind == Pattern::Kind::wildcard) {
-        throw pegtl::parse_error("\"?\" and \"*\" do not go together", in);
+        throw pegtl::parse_error("\"?\" and \"*\" cannot be combined", in);
       }
       made.kind = made.text.empty() ? Pattern::Kind::any : Pattern::Kind::prefix;
     }
-    if (made.text.size() > kMaxNumberLength) throw pegtl::parse_error("is longer than any number", in);
+    if (made.text.size() > kMaxNumberLength) throw pegtl::parse_error("is longer than 64 characters", in);
     if (made.kind == Pattern::Kind::range) {
       if (made.text.size() != made.upper.size())
-        throw pegtl::parse_error("has ends of different lengths", in);
-      if (made.text > made.upper) throw pegtl::parse_error("has its lower end above its upper one", in);
-      if (made.text.size() > 18) throw pegtl::parse_error("has more than 18 digits", in);
+        throw pegtl::parse_error("the ends of the range have different lengths", in);
+      if (made.text > made.upper)
+        throw pegtl::parse_error("the lower end of the range is above its upper end", in);
+      if (made.text.size() > 18)
+        throw pegtl::parse_error("the ends of the range have more than 18 digits", in);
     }
     state.parsed.push_back(std::move(made));
   }
@@ -107,7 +109,7 @@
 struct control : pegtl::normal<Rule> {
   template <typename Input, typename... States>
   [[noreturn]] static void raise(const Input& in, States&&...) {
-    throw pegtl::parse_error(expected<Rule> ? expected<Rule> : "not understood", in);
+    throw pegtl::parse_error(expected<Rule> ? expected<Rule> : "syntax error", in);
   }
 };
 
--- a/src/gap/rule.cpp
+++ b/src/gap/rule.cpp
@@ -28,14 +28,14 @@
 
 std::string text(element from, const std::string& key) {
   std::string_view value;
-  if (from.get(value) != simdjson::SUCCESS) fail(key, "is no text");
+  if (from.get(value) != simdjson::SUCCESS) fail(key, "is not a string");
   if (value.size() > kMaxTextLength * 10) fail(key, "is too long");
   return std::string(value);
 }
 
 double number(element from, const std::string& key, double least, double most) {
   double value = 0;
-  if (from.get(value) != simdjson::SUCCESS) fail(key, "is no number");
+  if (from.get(value) != simdjson::SUCCESS) fail(key, "is not a number");
   if (!(value >= least && value <= most)) {
     fail(key, "is not within " + std::to_string(least) + " and " + std::to_string(most));
   }
@@ -44,10 +44,10 @@
 
 std::vector<std::string> texts(element from, const std::string& key) {
   simdjson::dom::array list;
-  if (from.get(list) != simdjson::SUCCESS) fail(key, "is no list");
+  if (from.get(list) != simdjson::SUCCESS) fail(key, "is not a list");
   std::vector<std::string> values;
   for (const element each : list) values.push_back(text(each, key));
-  if (values.size() > kMaxListItems) fail(key, "lists too many");
+  if (values.size() > kMaxListItems) fail(key, "has more than 1000 entries");
   return values;
 }
 
@@ -55,7 +55,7 @@
   std::vector<Network> values;
   for (const std::string& each : texts(from, key)) {
     const auto parsed = Network::parse(each);
-    if (!parsed) fail(key, "holds no network: " + each);
+    if (!parsed) fail(key, "contains an invalid network: " + each);
     values.push_back(*parsed);
   }
   return values;
@@ -71,12 +71,12 @@
     if (first.ptr != given.data() + colon || second.ptr != end) hours = -1;
   }
   if (hours < 0 || hours > 24 || minutes < 0 || minutes > 59 || (hours == 24 && minutes > 0)) {
-    fail(key, "holds no time of day: " + given);
+    fail(key, "contains an invalid time of day: " + given);
   }
   return std::chrono::hours(hours) + std::chrono::minutes(minutes);
 }
 
-// "mon,tue 08:30-10:00", or without days.
+// Parses "mon,tue 08:30-10:00"; without days, "08:30-10:00", it is every day.
 Weekly weekly(const std::string& given, const std::string& key) {
   Weekly window;
   std::string times = given;
@@ -86,12 +86,13 @@
     std::string days = given.substr(0, space) + ",";
     for (std::size_t at = 0, comma; (comma = days.find(',', at)) != std::string::npos; at = comma + 1) {
       const auto found = std::find(kDays.begin(), kDays.end(), days.substr(at, comma - at));
-      if (found == kDays.end()) fail(key, "holds no day: " + days.substr(at, comma - at));
+      if (found == kDays.end()) fail(key, "contains an unknown day: " + days.substr(at, comma - at));
       window.days |= 1u << (found - kDays.begin());
     }
   }
   const auto dash = times.find('-');
-  if (dash == std::string::npos) fail(key, "holds no window like \"mon,tue 08:30-10:00\": " + given);
+  if (dash == std::string::npos)
+    fail(key, "contains a window that is not like \"mon,tue 08:30-10:00\": " + given);
   window.from = time_of_day(times.substr(0, dash), key);
   window.to = time_of_day(times.substr(dash + 1), key);
   return window;
@@ -115,12 +116,13 @@
 Control control(element from) {
   Control made;
   simdjson::dom::object object;
-  if (from.get(object) != simdjson::SUCCESS || object.size() == 0) fail("control", "is no object");
+  if (from.get(object) != simdjson::SUCCESS || object.size() == 0)
+    fail("control", "is not an object with members");
   bool kind = false;
   for (const auto [name, value] : object) {
     const std::string key = "control." + std::string(name);
     const auto set_kind = [&](Control::Kind it) {
-      if (std::exchange(kind, true)) fail(key, "is a second control");
+      if (std::exchange(kind, true)) fail(key, "is a second control; only one is allowed");
       made.kind = it;
     };
     if (name == "interval_ms") {
@@ -135,7 +137,7 @@
       made.percentage = number(value, key, 0, 100);
     } else if (name == "block") {
       bool block = false;
-      if (value.get(block) != simdjson::SUCCESS || !block) fail(key, "is not true");
+      if (value.get(block) != simdjson::SUCCESS || !block) fail(key, "must be true");
       set_kind(Control::Kind::block);
     } else if (name == "burst") {
       made.burst = number(value, key, 1, 1e6);
@@ -144,7 +146,8 @@
     }
   }
   if (!kind) fail("control", "names none of interval_ms, per_s, percentage, block");
-  if (made.burst > 1 && made.kind != Control::Kind::bucket) fail("control.burst", "goes with per_s only");
+  if (made.burst > 1 && made.kind != Control::Kind::bucket)
+    fail("control.burst", "is allowed only with per_s");
   return made;
 }
 
@@ -161,7 +164,7 @@
   return out;
 }
 
-// How narrow a network is that the caller is in; 0 if the rule names none.
+// One more than the longest prefix among the rule's networks that contain the caller; 0 if none does.
 unsigned longest_prefix(const Rule& rule, const Call& call) {
   unsigned longest = 0;
   for (const Network& each : rule.callers) {
@@ -170,6 +173,7 @@
   return longest;
 }
 
+// Rank of the rule's most specific pattern that matches the number.
 std::uint64_t rank(const Rule& rule, std::string_view number) {
   std::uint64_t best = 0;
   for (const Pattern& each : rule.patterns) {
@@ -206,14 +210,14 @@
   simdjson::dom::object object;
   if (parser.parse(json.data(), json.size()).get(root) != simdjson::SUCCESS ||
       root.get(object) != simdjson::SUCCESS) {
-    throw RuleError("no JSON object");
+    throw RuleError("not a JSON object");
   }
   Rule rule;
   bool controlled = false;
   std::set<std::string> keys;
   for (const auto [name, value] : object) {
     const std::string key(name);
-    if (!keys.insert(key).second) fail(key, "is there twice");
+    if (!keys.insert(key).second) fail(key, "appears twice");
     if (key == "id") {
       rule.id = text(value, key);
       const bool valid = !rule.id.empty() && rule.id.size() <= kMaxIdLength &&
@@ -222,7 +226,7 @@
                          });
       if (!valid) fail(key, "may have letters, digits, -, _ and . only, 64 at most");
     } else if (key == "revision") {
-      if (value.get(rule.revision) != simdjson::SUCCESS) fail(key, "is no whole number");
+      if (value.get(rule.revision) != simdjson::SUCCESS) fail(key, "is not a whole number");
     } else if (key == "number") {
       rule.number = text(value, key);
       try {
@@ -230,7 +234,7 @@
       } catch (const PatternError& error) {
         fail(key, error.what());
       }
-      if (rule.patterns.size() > kMaxListItems) fail(key, "lists too many");
+      if (rule.patterns.size() > kMaxListItems) fail(key, "has more than 1000 entries");
     } else if (key == "class") {
       rule.classes = texts(value, key);
     } else if (key == "caller") {
@@ -321,7 +325,7 @@
 bool in_force(const Rule& rule, Time now) {
   if ((rule.start && now < *rule.start) || (rule.end && now >= *rule.end)) return false;
   if (rule.weekly.empty()) return true;
-  const auto day = now / kDay;  // since a Thursday
+  const auto day = now / kDay;  // day 0 of Unix time is a Thursday
   const Duration at = now - day * kDay;
   const auto weekday = static_cast<unsigned>((day + 3) % 7);  // 0 is Monday
   return std::any_of(rule.weekly.begin(), rule.weekly.end(), [&](const Weekly& each) {
--- a/src/gap/rule.hpp
+++ b/src/gap/rule.hpp
@@ -1,4 +1,5 @@
-// A gap: which calls, what control, when. And its form as JSON. No I/O.
+// A gap rule: which calls it covers, the control that limits them and when it is in force; and its JSON form.
+// No I/O.
 #pragma once
 
 #include <optional>
@@ -13,22 +14,26 @@
 
 namespace quartzarch::gap {
 
+// By which protocol a call arrived.
 enum class FrontKind { binary, sip };
+// Which tries of a call a rule covers: all of them, first tries only or repeats only.
 enum class Try { any, first, repeat };
 const char* name_of(FrontKind front);
 const char* name_of(Try tries);
 
+// How a rule limits the calls that it covers.
 struct Control {
   enum class Kind { interval, bucket, percentage, block } kind = Kind::block;
-  Duration interval{};    // interval: one call every so long
-  double rate = 0;        // bucket: calls a second
-  double burst = 1;       // bucket: at once after a quiet time
-  double percentage = 0;  // of first tries that pass
+  Duration interval{};    // interval: time between two calls that pass
+  double rate = 0;        // bucket: token rate in calls per second
+  double burst = 1;       // bucket: size, the calls that may pass at once after an idle time
+  double percentage = 0;  // percentage: share of first tries that pass
+  // For operators: "one every 200 ms", "5 a second, 10 at once", ...
   std::string str() const;
 };
 
-// Every week on these days (bit 0 is Monday) from one time of the day to another, UTC. `to` not above `from`:
-// over midnight, counted to the day on which it begins.
+// A weekly time window in UTC: on these days (bit 0 is Monday) from one time of day to another. If `to` is
+// not after `from`, the window extends over midnight and belongs to the day on which it begins.
 struct Weekly {
   unsigned days = 0x7f;
   Duration from{}, to{};
@@ -38,7 +43,7 @@
   std::string id{};
   std::uint64_t revision = 0;
   std::string number = "*";
-  std::vector<Pattern> patterns{Pattern{}};  // of `number`
+  std::vector<Pattern> patterns{Pattern{}};  // `number`, parsed
   std::vector<std::string> classes{};        // empty: any
   std::vector<Network> callers{};            // empty: any
   std::optional<FrontKind> front{};
@@ -47,7 +52,7 @@
   std::vector<Network> exempt_callers{};
   Control control{};
   std::optional<Time> start{}, end{};  // Unix time
-  std::vector<Weekly> weekly{};        // empty: all the time between start and end
+  std::vector<Weekly> weekly{};        // empty: always between start and end
   std::string who{}, why{};
 };
 
@@ -55,10 +60,11 @@
   using std::runtime_error::runtime_error;
 };
 
-// One JSON object; throws RuleError naming the key.
+// Parses one JSON object. Throws RuleError, which names the key at fault.
 Rule parse_rule(std::string_view json);
 std::string to_json(const Rule& rule);
 
+// What a rule sees of a call. `repeat`: the caller has tried this call before.
 struct Call {
   std::string_view number{};
   std::string_view call_class{};
@@ -67,11 +73,14 @@
   bool repeat = false;
 };
 
+// Whether the rule's times include `now`.
 bool in_force(const Rule& rule, Time now);
-// Whether the call is one of those that the rule is about; its time and its exemptions apart.
+// Whether the rule's conditions match the call, regardless of its times and exemptions.
 bool covers(const Rule& rule, const Call& call);
+// Whether the call passes the rule by one of its exemptions.
 bool exempts(const Rule& rule, const Call& call);
-// True if `a` is asked before `b` when both cover `call`.
+// True if `a` is more specific than `b` for `call`, which both cover, and so is evaluated first. Equal rules
+// are ordered by id.
 bool takes_precedence(const Rule& a, const Rule& b, const Call& call);
 
 }  // namespace quartzarch::gap
--- a/src/gap/table.cpp
+++ b/src/gap/table.cpp
@@ -13,8 +13,9 @@
 
 constexpr double kEpsilon = 1e-9;
 constexpr Duration kShortestWait = milliseconds(1);
-constexpr Duration kRefusalMemory = std::chrono::seconds(60);  // what a percentage remembers of a first try
-constexpr double kMinClaimRate = 0.3;                          // of slots, for overbooking
+constexpr Duration kRefusalMemory =
+    std::chrono::seconds(60);          // how long a percentage remembers a refused first try
+constexpr double kMinClaimRate = 0.3;  // lower bound of the claim rate used for overbooking slots
 constexpr std::size_t kMaxRevisions = 100000;
 
 auto wait_histogram() {
@@ -27,7 +28,7 @@
   return (value ^ 0xff) * 1099511628211u;
 }
 
-// Whose first try a repeat is tied to: the caller's address, the number and the class.
+// Identifies a call across its tries: a hash of the caller's address, the number and the class.
 std::uint64_t key_of(const Call& call) {
   std::uint64_t key = hash(14695981039346656037u, call.number);
   key = hash(key, call.call_class);
@@ -39,27 +40,28 @@
 
 }  // namespace
 
+// A rule with its counts, allowance and slots.
 struct Table::State {
   Rule rule{};
   Counts counts{};
   decltype(wait_histogram()) waits = wait_histogram();
 
-  // The allowance: one call every `period`, `burst` at once.
+  // The allowance, a token bucket: one call every `period`, at most `burst` at once.
   Duration period{};
   double burst = 1;
   double tokens = 1;
   Time filled{};
 
-  std::multiset<Time> slots{};                                         // not claimed yet
-  std::unordered_map<std::uint64_t, std::deque<Time>> slots_by_key{};  // whose they are
-  double claim_rate = 1;                                               // share of slots claimed, lately
-  // Until when those were told to stay away for whom there was no slot.
+  std::multiset<Time> slots{};                                         // unclaimed slots
+  std::unordered_map<std::uint64_t, std::deque<Time>> slots_by_key{};  // slots by call key, see key_of()
+  double claim_rate = 1;  // moving average of the share of slots that are claimed
+  // By call key: the end of the retry delay of calls that were refused without a slot.
   std::unordered_map<std::uint64_t, std::deque<Time>> no_slot_until{};
   std::size_t no_slot_cleanup_size = 1024;
 
-  double credit = 0;  // percentage: what first tries have gathered
+  double credit = 0;  // percentage: calls that may pass, accumulated by first tries
   std::unordered_map<std::uint64_t, std::deque<Time>> refused_first_tries{};
-  std::size_t refused_cleanup_size = 1024;  // of those, before they are gone through
+  std::size_t refused_cleanup_size = 1024;  // size at which old entries are removed
 
   bool metered() const {
     return rule.control.kind == Control::Kind::interval || rule.control.kind == Control::Kind::bucket;
@@ -71,27 +73,29 @@
     period = Duration(std::max<std::int64_t>(std::llround(us / share), 1));
     burst = bucket ? std::max(rule.control.burst * share, 1.0) : 1;
     if (filled == Time{}) {
-      // It begins with nothing saved up but the first call.
+      // A new rule starts with one token, not with a full bucket.
       tokens = 1;
       filled = now;
     }
     tokens = std::min(tokens, burst);
   }
+  // Tokens in the bucket at `now`.
   double available(Time now) const {
     const double gained = static_cast<double>((now - filled).count()) / static_cast<double>(period.count());
     return std::min(burst, tokens + std::max(gained, 0.0));
   }
-  // Slots whose time has come and that may still be claimed.
+  // Number of slots whose time has come and for which the allowance is still reserved.
   double due_slots(Time now, Duration grace) const {
     return static_cast<double>(
         std::distance(slots.lower_bound(now - hold_time(grace)), slots.upper_bound(now)));
   }
-  // How long the allowance waits for whoever has a slot, before it goes to anybody: the shorter, the fewer
-  // come.
+  // How long the allowance is reserved for the holder of a slot before any call may use it; the lower the
+  // claim rate, the shorter.
   Duration hold_time(Duration grace) const {
     const Duration longest = std::min(grace, std::max<Duration>(period / 2, milliseconds(20)));
     return Duration(std::llround(static_cast<double>(longest.count()) * claim_rate));
   }
+  // Whether the call has a slot that it may claim now.
   bool has_due_slot(std::uint64_t key, Time now, Duration grace) const {
     const auto found = slots_by_key.find(key);
     if (found == slots_by_key.end()) return false;
@@ -118,7 +122,7 @@
   revisions_[rule.id] = rule.revision;
   auto& made = states_[rule.id];
   if (!made) made = std::make_unique<State>();
-  // A rule that changes keeps its counts, and what it has promised.
+  // A rule that is replaced keeps its counts and the slots it has given.
   made->rule = std::move(rule);
   made->set(share_, now);
   index_stale_ = true;
@@ -181,7 +185,7 @@
   }
 }
 
-// The rules change rarely and the index is made anew then: a call only reads it.
+// Rules change rarely, so the whole index is rebuilt after a change and calls only read it.
 void Table::rebuild() const {
   index_stale_ = false;
   numbers_ = Trie();
@@ -218,7 +222,7 @@
 
 // ---- Calls
 
-// Slots that nobody claimed are given up, and what callers make of slots is learnt.
+// Drops unclaimed slots, which lowers the claim rate, and the bookkeeping of calls that are over.
 void Table::drop_expired(State& state, Time now) {
   while (!state.slots.empty() && *state.slots.begin() < now - bounds_.grace) {
     state.slots.erase(state.slots.begin());
@@ -281,7 +285,7 @@
   if (!call.repeat) return;
   const auto found = state.slots_by_key.find(key);
   if (found == state.slots_by_key.end()) return;
-  // The slot that is claimed is the oldest that is due.
+  // The call claims its oldest due slot.
   auto& slots = found->second;
   const auto at = std::find_if(slots.begin(), slots.end(),
                                [&](Time each) { return each <= now && each >= now - bounds_.grace; });
@@ -326,7 +330,7 @@
   }
   bool came_in_time = false;
   if (call.repeat) {
-    // It pushes: it is told what is left, and has gained nothing.
+    // A repeat before its slot is told the remaining wait and keeps that slot, so early repeats gain nothing.
     if (const auto found = state.slots_by_key.find(key); found != state.slots_by_key.end()) {
       const auto next =
           std::find_if(found->second.begin(), found->second.end(), [&](Time at) { return at > now; });
@@ -335,8 +339,8 @@
         verdict.slot = true;
         return with_wait(*next - now);
       }
-      // It came in time and there was none left for it, for more slots are given than calls: it is the next
-      // one.
+      // The caller returned in time but the allowance was used up, because slots are overbooked: this call
+      // gets the next slot.
       const auto due = std::find_if(found->second.begin(), found->second.end(),
                                     [&](Time at) { return at <= now && at >= now - bounds_.grace; });
       if (due != found->second.end()) {
@@ -357,14 +361,14 @@
         ++state.counts.early;
         return with_wait(times.front() - now);
       }
-      if (!times.empty()) times.pop_front();  // it has waited: it gets the next slot there is
+      if (!times.empty()) times.pop_front();  // the caller has waited: it gets the next free slot
       if (times.empty()) state.no_slot_until.erase(found);
     }
   }
   const double missing = std::max(1 - state.available(now), 0.0);
   Time at = now + Duration(std::llround(missing * static_cast<double>(state.period.count())));
   if (!state.slots.empty() && !came_in_time) {
-    // More slots than calls, by as much as lately went unclaimed.
+    // Overbooks slots in proportion to the share that recently went unclaimed.
     const double part = std::clamp(state.claim_rate, kMinClaimRate, 1.0);
     at = std::max(
         at, *state.slots.rbegin() + Duration(std::llround(part * static_cast<double>(state.period.count()))));
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -71,7 +71,7 @@
   const std::pair<const char*, const char*> bad[] = {
       {"", "column 1: a number"},     {"12*,", "column 5: a number"},      {"12 34", "column 4: a comma"},
       {"1*2", "column 3: a comma"},   {"12..", "column 5: the upper end"}, {"20..19", "above its upper"},
-      {"1..10", "different lengths"}, {"1?*", "do not go together"},       {"12,%", "column 4: a number"}};
+      {"1..10", "different lengths"}, {"1?*", "cannot be combined"},       {"12,%", "column 4: a number"}};
   for (const auto& [text, about] : bad) {
     try {
       gap::parse_patterns(text);
@@ -97,19 +97,20 @@
       R"("start_s":1796202000.000000,"end_s":1796205600.000000,"weekly":["mon,wed 08:30-10:00","23:00-01:00"],"who":"ops","why":"exam"})";
   EXPECT_EQ(gap::to_json(gap::parse_rule(json)), json);
   const std::pair<const char*, const char*> bad[] = {
-      {"[]", "no JSON object"},
+      {"[]", "not a JSON object"},
       {R"({"id":"a"})", "\"control\" is missing"},
       {R"({"id":"a b","control":{"block":true}})", "\"id\" may have"},
-      {R"({"id":"a","control":{}})", "\"control\" is no object"},
+      {R"({"id":"a","control":{}})", "\"control\" is not an object"},
       {R"({"id":"a","control":{"interval_ms":0}})", "\"control.interval_ms\" is not within"},
       {R"({"id":"a","control":{"block":true,"per_s":1}})", "is a second control"},
-      {R"({"id":"a","control":{"block":true,"burst":2}})", "\"control.burst\" goes with"},
+      {R"({"id":"a","control":{"block":true,"burst":2}})", "\"control.burst\" is allowed only with"},
       {R"({"id":"a","control":{"block":true},"number":"1**"})", "\"number\" column 3"},
-      {R"({"id":"a","control":{"block":true},"caller":["10.0.0.0/33"]})", "\"caller\" holds no network"},
-      {R"({"id":"a","control":{"block":true},"weekly":["mo 1:00-2:00"]})", "holds no day: mo"},
+      {R"({"id":"a","control":{"block":true},"caller":["10.0.0.0/33"]})",
+       "\"caller\" contains an invalid network"},
+      {R"({"id":"a","control":{"block":true},"weekly":["mo 1:00-2:00"]})", "contains an unknown day: mo"},
       {R"({"id":"a","control":{"block":true},"start_s":5,"end_s":5})", "\"end_s\" is not after"},
       {R"({"id":"a","control":{"block":true},"what":1})", "\"what\" is unknown"},
-      {R"({"id":"a","id":"b","control":{"block":true}})", "\"id\" is there twice"}};
+      {R"({"id":"a","id":"b","control":{"block":true}})", "\"id\" appears twice"}};
   for (const auto& [text, about] : bad)
     EXPECT_NE(complaint(text).find(about), std::string::npos) << complaint(text);
 }
@@ -481,8 +482,8 @@
 
 TEST_F(GapCore, HostileControlInputIsAnsweredOrClosedAndCallsGoOn) {
   const std::pair<const char*, const char*> bad[] = {
-      {"what", "no JSON object"},
-      {"[]", "no JSON object"},
+      {"what", "not a JSON object"},
+      {"[]", "not a JSON object"},
       {R"({"op":"gap.list"})", "\\\"v\\\" is missing"},
       {R"({"v":2,"op":"gap.list"})", "version 2 is not spoken here"},
       {R"({"v":1,"op":"gap.what"})", "there is no command"},
