--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -9,10 +9,10 @@
 #include "cli/fleet.hpp"
 #include "cli/gap.hpp"
 #include "config.hpp"
+#include "control_service.hpp"
 #include "fleet/certificate_store.hpp"
 #include "fleet/gap_list.hpp"
 #include "logging/output.hpp"
-#include "operation.hpp"
 #include "serve.hpp"
 
 namespace quartzarch::cli {
--- a/src/operation.cpp
+++ b/src/control_service.cpp
@@ -1,4 +1,4 @@
-#include "operation.hpp"
+#include "control_service.hpp"
 
 #include <fcntl.h>
 #include <sys/stat.h>
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -4,11 +4,11 @@
 
 #include <cstdlib>
 
+#include "control_service.hpp"
 #include "front/sip/front.hpp"
 #include "gap/sketch.hpp"
 #include "gap/table.hpp"
 #include "loopback.hpp"
-#include "operation.hpp"
 #include "process.hpp"
 
 namespace quartzarch::test {
