--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -113,7 +113,7 @@
     ControlSettings settings = parse_control(read_file(path));
     std::unique_ptr<gap::SharedList> sharing;
     if (member) sharing = std::make_unique<fleet::GapList>(to, *member, fleet_settings.start_wait);
-    return std::make_unique<Operation>(loop, to, planner, settings, seed, std::move(sharing));
+    return std::make_unique<ControlService>(loop, to, planner, settings, seed, std::move(sharing));
   };
   return serve(log, serve_options);
 }
--- a/src/control_service.cpp
+++ b/src/control_service.cpp
@@ -15,17 +15,17 @@
 namespace quartzarch {
 namespace {
 
-constexpr const char* kRules = "gaps.rules";
-constexpr const char* kAudit = "audit.log";
-constexpr Duration kSweep = std::chrono::milliseconds(500);
-constexpr std::size_t kMostNamed = 20;
+constexpr const char* kRulesFile = "gaps.rules";
+constexpr const char* kAuditFile = "audit.log";
+constexpr Duration kSweepInterval = std::chrono::milliseconds(500);
+constexpr std::size_t kMaxSuggestions = 20;
 
 std::string text_of(simdjson::dom::element from, const char* key) {
   std::string_view value;
   return from[key].get(value) == simdjson::SUCCESS ? std::string(value) : std::string();
 }
 
-std::string wanted(simdjson::dom::element from, const char* key) {
+std::string required_text(simdjson::dom::element from, const char* key) {
   std::string value = text_of(from, key);
   if (value.empty()) throw control::Refused("\"" + std::string(key) + "\" is missing");
   return value;
@@ -83,8 +83,8 @@
   return settings;
 }
 
-Operation::Operation(Loop& loop, Logger& log, Planner& planner, const ControlSettings& settings,
-                     std::uint64_t seed, std::unique_ptr<gap::SharedList> shared_list)
+ControlService::ControlService(Loop& loop, Logger& log, Planner& planner, const ControlSettings& settings,
+                               std::uint64_t seed, std::unique_ptr<gap::SharedList> shared_list)
     : loop_(loop),
       log_(log),
       planner_(planner),
@@ -93,8 +93,8 @@
       writer_([&log](const std::string& line) { log.line("control: not written: %s", line.c_str()); }),
       control_(loop, log, settings.listen),
       shared_list_(std::move(shared_list)) {
-  auto known = restore();
-  if (shared_list_) share(std::move(known));
+  auto stored = restore_rules();
+  if (shared_list_) start_sharing(std::move(stored));
   planner_.guard(&gate_);
   control_.on("gap.add", [this](Element request) { return add(request); });
   control_.on("gap.lift", [this](Element request) { return lift(request); });
@@ -106,26 +106,26 @@
             gate_.table().size());
 }
 
-Operation::~Operation() {
+ControlService::~ControlService() {
   loop_.cancel(sweep_timer_);
   planner_.guard(nullptr);
 }
 
-void Operation::sweep() {
+void ControlService::sweep() {
   for (const std::string& id : gate_.table().expire(loop_.now())) {
     log_.line("gap %s: has ended", id.c_str());
     audit("ended", id, gate_.table().revision(id), "", "its end");
-    lifted_[id] = gate_.table().revision(id);  // whoever keeps a shared list takes it out there
-    keep();
+    lifted_revisions_[id] = gate_.table().revision(id);  // whoever keeps a shared list takes it out there
+    save_rules();
   }
-  if (std::exchange(keep_due_, false)) keep();
-  sweep_timer_ = loop_.at(loop_.now() + kSweep, [this] { sweep(); });
+  if (std::exchange(save_due_, false)) save_rules();
+  sweep_timer_ = loop_.at(loop_.now() + kSweepInterval, [this] { sweep(); });
 }
 
-std::vector<gap::SharedList::LocalEntry> Operation::restore() {
-  std::vector<gap::SharedList::LocalEntry> known;
-  const auto text = state_.read(kRules);
-  if (!text) return known;
+std::vector<gap::SharedList::LocalEntry> ControlService::restore_rules() {
+  std::vector<gap::SharedList::LocalEntry> stored;
+  const auto text = state_.read(kRulesFile);
+  if (!text) return stored;
   std::istringstream lines(*text);
   std::set<std::string> agreed;
   for (std::string line; std::getline(lines, line);) {
@@ -140,38 +140,39 @@
     }
     if (read && root["lifted"].get(revision) == simdjson::SUCCESS) {
       const std::string id = text_of(root, "id");
-      lifted_[id] = revision;
+      lifted_revisions_[id] = revision;
       gate_.table().lift(id, revision, loop_.now());
-      known.push_back({id, {revision, {}}, false});
+      stored.push_back({id, {revision, {}}, false});
       continue;
     }
     try {
       gap::Rule rule = gap::parse_rule(line);
-      known.push_back({rule.id, {rule.revision, gap::to_json(rule)}, false});
+      stored.push_back({rule.id, {rule.revision, gap::to_json(rule)}, false});
       gate_.table().announce(std::move(rule), loop_.now());
     } catch (const gap::RuleError& error) {
       log_.line("control: a kept gap is not taken: %s", error.what());
     }
   }
-  for (auto& each : known) each.agreed = agreed.count(each.id) > 0;
-  return known;
+  for (auto& each : stored) each.agreed = agreed.count(each.id) > 0;
+  return stored;
 }
 
 // ---- Shared with other controllers
 
-void Operation::share(std::vector<gap::SharedList::LocalEntry> known) {
+void ControlService::start_sharing(std::vector<gap::SharedList::LocalEntry> stored) {
   const std::size_t own = gate_.table().size();
-  if (shared_list_->begin(loop_, std::move(known), [this](const auto& news) { take(news); })) {
+  if (shared_list_->begin(loop_, std::move(stored),
+                          [this](const auto& updates) { apply_updates(updates); })) {
     log_.line("control: %zu gaps of the fleet's list", gate_.table().size());
   } else {
     log_.line("control: the fleet's list of gaps is out of reach: %zu of the own file are in force", own);
   }
 }
 
-void Operation::take(const std::vector<gap::ListReplica::Update>& news) {
+void ControlService::apply_updates(const std::vector<gap::ListReplica::Update>& updates) {
   const Time now = loop_.now();
-  std::vector<std::string> fresh;
-  for (const auto& each : news) {
+  std::vector<std::string> new_ids;
+  for (const auto& each : updates) {
     const std::string& id = each.id;
     if (each.superseded) {
       log_.line("gap %s: what was announced here does not hold: the fleet's list has another", id.c_str());
@@ -182,10 +183,10 @@
         gap::Rule rule = gap::parse_rule(each.entry->rule);
         const std::string who = rule.who, why = rule.why;
         if (gate_.table().apply_listed(std::move(rule), now) != gap::Table::AnnounceResult::taken) continue;
-        lifted_.erase(id);
-        fresh.push_back(id);
+        lifted_revisions_.erase(id);
+        new_ids.push_back(id);
         audit("taken over", id, each.entry->revision, who, why);
-        if (news.size() <= 10) log_.line("gap %s: announced elsewhere by %s", id.c_str(), who.c_str());
+        if (updates.size() <= 10) log_.line("gap %s: announced elsewhere by %s", id.c_str(), who.c_str());
       } catch (const gap::RuleError& error) {
         log_.line("gap %s: the fleet's is not taken: %s", id.c_str(), error.what());
       }
@@ -193,32 +194,32 @@
     }
     const std::uint64_t revision = each.entry ? each.entry->revision : gate_.table().revision(id);
     if (each.entry) {
-      lifted_[id] = revision;
+      lifted_revisions_[id] = revision;
     } else {
-      lifted_.erase(id);
+      lifted_revisions_.erase(id);
     }
     if (!gate_.table().apply_listed_lift(id, revision, now)) continue;
     audit("lifted", id, revision, "", "in the fleet's list");
-    if (news.size() <= 10) log_.line("gap %s: lifted elsewhere", id.c_str());
+    if (updates.size() <= 10) log_.line("gap %s: lifted elsewhere", id.c_str());
   }
-  keep_due_ = true;
-  reconsider(fresh);
+  save_due_ = true;
+  refuse_held_calls(new_ids);
 }
 
 // What waits falls under them too.
-void Operation::reconsider(const std::vector<std::string>& fresh) {
-  if (fresh.empty()) return;
+void ControlService::refuse_held_calls(const std::vector<std::string>& new_ids) {
+  if (new_ids.empty()) return;
   const Time now = loop_.now();
   planner_.reconsider([&](const Request& held) {
     std::optional<Duration> away;
-    for (const std::string& id : fresh) {
+    for (const std::string& id : new_ids) {
       if (!away) away = gate_.offer_to_rule(id, held, now);
     }
     return away;
   });
 }
 
-void Operation::keep() {
+void ControlService::save_rules() {
   std::string text;
   const auto agreed = [&](const std::string& id) {
     if (shared_list_ && shared_list_->agreed(id)) text += "{\"id\":" + in_quotes(id) + ",\"agreed\":true}\n";
@@ -227,28 +228,28 @@
     text += gap::to_json(each) + "\n";
     agreed(each.id);
   }
-  for (const auto& [id, revision] : lifted_) {
+  for (const auto& [id, revision] : lifted_revisions_) {
     text += "{\"id\":" + in_quotes(id) + ",\"lifted\":" + std::to_string(revision) + "}\n";
     agreed(id);
   }
-  if (!writer_.run([this, text = std::move(text)] { state_.write(kRules, text); })) {
+  if (!writer_.run([this, text = std::move(text)] { state_.write(kRulesFile, text); })) {
     log_.line("control: the disk is too slow, the rules in force are not kept");
   }
 }
 
-void Operation::audit(const std::string& what, const std::string& id, std::uint64_t revision,
-                      const std::string& who, const std::string& why) {
+void ControlService::audit(const std::string& what, const std::string& id, std::uint64_t revision,
+                           const std::string& who, const std::string& why) {
   std::string line = "{\"at_s\":" + std::to_string(loop_.now() / std::chrono::seconds(1)) +
                      ",\"what\":" + in_quotes(what) + ",\"id\":" + in_quotes(id) +
                      ",\"revision\":" + std::to_string(revision) + ",\"who\":" + in_quotes(who) +
                      ",\"why\":" + in_quotes(why) + "}\n";
-  if (!writer_.run([path = state_.path_of(kAudit), line = std::move(line)] { append(path, line); })) {
+  if (!writer_.run([path = state_.path_of(kAuditFile), line = std::move(line)] { append(path, line); })) {
     log_.line("control: the disk is too slow, a change is not in the audit log");
   }
 }
 
 // One rule, or a list of them: all are sound or none is taken.
-std::string Operation::add(Element request) {
+std::string ControlService::add(Element request) {
   std::vector<gap::Rule> rules;
   simdjson::dom::array list;
   if (request["rules"].get(list) == simdjson::SUCCESS) {
@@ -269,7 +270,7 @@
   const Time now = loop_.now();
   std::size_t taken = 0, same = 0, older = 0;
   std::uint64_t last_revision = 0;
-  std::vector<std::string> fresh;
+  std::vector<std::string> new_ids;
   for (gap::Rule& rule : rules) {
     // Without a revision it is the next one of its id.
     if (rule.revision == 0) rule.revision = gate_.table().revision(rule.id) + 1;
@@ -279,8 +280,8 @@
     switch (gate_.table().announce(std::move(rule), now)) {
       case gap::Table::AnnounceResult::taken:
         ++taken;
-        fresh.push_back(id);
-        lifted_.erase(id);
+        new_ids.push_back(id);
+        lifted_revisions_.erase(id);
         if (shared_list_) shared_list_->change(id, {revision, text});
         audit("announced", id, revision, who, why);
         if (rules.size() <= 10) {
@@ -298,23 +299,24 @@
         throw control::Refused("there are too many rules");
     }
   }
-  if (taken > 0) keep();
+  if (taken > 0) save_rules();
   if (rules.size() > 10) log_.line("gaps: %zu announced", taken);
-  reconsider(fresh);
+  refuse_held_calls(new_ids);
   return ",\"taken\":" + std::to_string(taken) + ",\"same\":" + std::to_string(same) +
          ",\"older\":" + std::to_string(older) +
          (rules.size() == 1 ? ",\"revision\":" + std::to_string(last_revision) : "");
 }
 
-std::string Operation::lift(Element request) {
-  const std::string id = wanted(request, "id"), who = text_of(request, "who"), why = text_of(request, "why");
+std::string ControlService::lift(Element request) {
+  const std::string id = required_text(request, "id"), who = text_of(request, "who"),
+                    why = text_of(request, "why");
   std::uint64_t revision = 0;
   if (request["revision"].get(revision) != simdjson::SUCCESS) revision = gate_.table().revision(id) + 1;
   const bool lifted = gate_.table().lift(id, revision, loop_.now());
   if (lifted) {
-    lifted_[id] = revision;
+    lifted_revisions_[id] = revision;
     if (shared_list_) shared_list_->change(id, {revision, {}});
-    keep();
+    save_rules();
     audit("lifted", id, revision, who, why);
     log_.line("gap %s: lifted by %s", id.c_str(), who.c_str());
   }
@@ -322,7 +324,7 @@
          ",\"revision\":" + std::to_string(gate_.table().revision(id));
 }
 
-std::string Operation::list(Element request) {
+std::string ControlService::list(Element request) {
   const std::string only = text_of(request, "id");
   std::string all;
   for (const gap::Rule& rule : gate_.table().rules()) {
@@ -335,7 +337,7 @@
                     static_cast<unsigned long long>(count));
       waits += bin;
     }
-    const auto figure = [](const char* name, std::uint64_t value) {
+    const auto count_member = [](const char* name, std::uint64_t value) {
       return ",\"" + std::string(name) + "\":" + std::to_string(value);
     };
     all += (all.empty() ? "" : ",") + std::string("{\"rule\":") + gap::to_json(rule) +
@@ -343,17 +345,18 @@
            ",\"in_force\":" + (gap::in_force(rule, loop_.now()) ? "true" : "false") +
            (shared_list_ ? std::string(",\"agreed\":") + (shared_list_->agreed(rule.id) ? "true" : "false")
                          : "") +
-           figure("offered", counts->offered) + figure("passed", counts->passed) +
-           figure("refused", counts->refused) + figure("first", counts->first) +
-           figure("repeated", counts->repeated) + figure("exempt", counts->exempt) +
-           figure("slots", counts->slots) + figure("kept", counts->kept) + figure("lapsed", counts->lapsed) +
-           figure("early", counts->early) + ",\"waits_ms\":[" + waits + "]}";
+           count_member("offered", counts->offered) + count_member("passed", counts->passed) +
+           count_member("refused", counts->refused) + count_member("first", counts->first) +
+           count_member("repeated", counts->repeated) + count_member("exempt", counts->exempt) +
+           count_member("slots", counts->slots) + count_member("kept", counts->kept) +
+           count_member("lapsed", counts->lapsed) + count_member("early", counts->early) + ",\"waits_ms\":[" +
+           waits + "]}";
   }
   return ",\"gaps\":[" + all + "]";
 }
 
-std::string Operation::test(Element request) {
-  const std::string number = wanted(request, "number"), call_class = text_of(request, "class");
+std::string ControlService::test(Element request) {
+  const std::string number = required_text(request, "number"), call_class = text_of(request, "class");
   const std::string caller = text_of(request, "caller").empty() ? "0.0.0.0" : text_of(request, "caller");
   boost::system::error_code error;
   const gap::Address address = boost::asio::ip::make_address(caller, error);
@@ -371,11 +374,11 @@
          ",\"refused_by\":" + in_quotes(verdict.rule) + ",\"asked\":[" + rules + "]";
 }
 
-std::string Operation::suggest(Element) {
+std::string ControlService::suggest(Element) {
   gap::HeavyHitterWindow& heavy_hitters = gate_.heavy_hitters();
   const std::uint64_t total = heavy_hitters.total(loop_.now());
   std::string all;
-  for (const gap::HeavyHitter& each : heavy_hitters.top(loop_.now(), kMostNamed)) {
+  for (const gap::HeavyHitter& each : heavy_hitters.top(loop_.now(), kMaxSuggestions)) {
     all += (all.empty() ? "" : ",") + std::string("{\"number\":") + in_quotes(each.number) +
            ",\"offered\":" + std::to_string(each.offered) + ",\"error\":" + std::to_string(each.error) +
            ",\"answered\":" + std::to_string(each.answered) + ",\"refused\":" + std::to_string(each.refused) +
--- a/src/control_service.hpp
+++ b/src/control_service.hpp
@@ -25,13 +25,13 @@
 // Throws ConfigError: "line N: key: what is wrong".
 ControlSettings parse_control(std::string_view toml);
 
-class Operation : public Extension {
+class ControlService : public Extension {
  public:
   // Takes up the rules in force before any call comes: those of `sharing`, which may be null, or if they are
   // out of reach its own of before. Throws std::system_error or acme::StateError.
-  Operation(Loop& loop, Logger& log, Planner& planner, const ControlSettings& settings, std::uint64_t seed,
-            std::unique_ptr<gap::SharedList> shared_list = nullptr);
-  ~Operation() override;
+  ControlService(Loop& loop, Logger& log, Planner& planner, const ControlSettings& settings,
+                 std::uint64_t seed, std::unique_ptr<gap::SharedList> shared_list = nullptr);
+  ~ControlService() override;
 
   sockaddr_in address() const { return control_.address(); }
   gap::GapGate& gate() { return gate_; }
@@ -44,11 +44,11 @@
   std::string list(Element request);
   std::string test(Element request);
   std::string suggest(Element request);
-  std::vector<gap::SharedList::LocalEntry> restore();
-  void share(std::vector<gap::SharedList::LocalEntry> known);
-  void take(const std::vector<gap::ListReplica::Update>& news);
-  void reconsider(const std::vector<std::string>& fresh);
-  void keep();  // the rules in force, on disk
+  std::vector<gap::SharedList::LocalEntry> restore_rules();
+  void start_sharing(std::vector<gap::SharedList::LocalEntry> stored);
+  void apply_updates(const std::vector<gap::ListReplica::Update>& updates);
+  void refuse_held_calls(const std::vector<std::string>& new_ids);
+  void save_rules();  // the rules in force, on disk
   void audit(const std::string& what, const std::string& id, std::uint64_t revision, const std::string& who,
              const std::string& why);
   void sweep();
@@ -59,11 +59,11 @@
   acme::StateDirectory state_;
   gap::GapGate gate_;
   std::map<std::string, std::uint64_t>
-      lifted_{};  // so that older announcements do not win after a restart either
+      lifted_revisions_{};  // so that older announcements do not win after a restart either
   control::Writer writer_;
   control::Server control_;
   Loop::TimerId sweep_timer_ = 0;
-  bool keep_due_ = false;
+  bool save_due_ = false;
   std::unique_ptr<gap::SharedList> shared_list_;
 };
 
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -391,20 +391,20 @@
     config.listening.udp = config.listening.tcp = any_port();
     config.default_class = "voice";
     sip_front = std::make_unique<sip::SipFront>(loop, log, *planner, config, 7);
-    operate();
+    start_service();
     open_server();
   }
   ~GapCore() override {
-    operation.reset();  // its writer still has files to write there
+    service.reset();  // its writer still has files to write there
     std::filesystem::remove_all(directory);
   }
-  void operate() {
-    operation.reset();
+  void start_service() {
+    service.reset();
     ControlSettings settings;
     settings.listen = any_port();
     settings.directory = directory + "/control";
-    operation = std::make_unique<Operation>(loop, log, *planner, settings, 1);
-    operator_ = Peer::connect(operation->address());
+    service = std::make_unique<ControlService>(loop, log, *planner, settings, 1);
+    operator_ = Peer::connect(service->address());
   }
   // A command and its answer.
   std::string ask(const std::string& command) {
@@ -426,7 +426,7 @@
 
   std::string directory;
   std::unique_ptr<sip::SipFront> sip_front;
-  std::unique_ptr<Operation> operation;
+  std::unique_ptr<ControlService> service;
   Peer operator_;
 };
 
@@ -496,7 +496,7 @@
     EXPECT_NE(reply.find("\"ok\":false"), std::string::npos) << command;
     EXPECT_NE(reply.find(about), std::string::npos) << reply;
   }
-  EXPECT_EQ(operation->gate().table().size(), 0u) << "half a list was taken";
+  EXPECT_EQ(service->gate().table().size(), 0u) << "half a list was taken";
   // Ten thousand rules in one command; half a line; a client that asks on and reads nothing.
   std::string rules;
   for (int i = 0; i < 10000; ++i) {
@@ -505,7 +505,7 @@
   }
   EXPECT_NE(ask("{\"v\":1,\"op\":\"gap.add\",\"rules\":[" + rules + "]}").find("\"taken\":10000"),
             std::string::npos);
-  Peer half = Peer::connect(operation->address()), deaf = Peer::connect(operation->address());
+  Peer half = Peer::connect(service->address()), deaf = Peer::connect(service->address());
   half.say("{\"v\":1,\"op\":\"gap.li");
   for (int i = 0; i < 40; ++i) {
     deaf.say("{\"v\":1,\"op\":\"gap.list\"}\n");
@@ -528,13 +528,13 @@
   }
   ask("{\"v\":1,\"op\":\"gap.add\",\"rules\":[" + rules + "]}");
   std::vector<Peer> gone;
-  for (int i = 0; i < 4; ++i) gone.push_back(Peer::connect(operation->address()));
+  for (int i = 0; i < 4; ++i) gone.push_back(Peer::connect(service->address()));
   for (Peer& each : gone) {
     for (int i = 0; i < 12; ++i) each.say("{\"v\":1,\"op\":\"gap.list\"}\n");
   }
   settle(60);
   for (Peer& each : gone) each.reset();
-  operation.reset();
+  service.reset();
   Peer gateway = caller();
   gateway.say(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
@@ -545,9 +545,9 @@
   add(R"("number":"7*","control":{"block":true},"who":"ana","why":"exam at nine")");
   ask(R"({"v":1,"op":"gap.add","rule":{"id":"h","revision":5,"number":"8*","control":{"per_s":5,"burst":2}}})");
   ask(R"({"v":1,"op":"gap.lift","id":"h","who":"ben"})");
-  operate();
-  EXPECT_EQ(operation->gate().table().size(), 1u);
-  EXPECT_FALSE(operation->gate().table().test(loop.now(), call("7")).pass);
+  start_service();
+  EXPECT_EQ(service->gate().table().size(), 1u);
+  EXPECT_FALSE(service->gate().table().test(loop.now(), call("7")).pass);
   EXPECT_NE(
       ask(R"({"v":1,"op":"gap.add","rule":{"id":"h","revision":6,"number":"8*","control":{"block":true}}})")
           .find("\"older\":1"),
