--- a/src/cli/gap.cpp
+++ b/src/cli/gap.cpp
@@ -211,7 +211,7 @@
       return 2;
     }
     try {
-      const std::string reply = control::Client(*address, kPatience).ask(line);
+      const std::string reply = control::Client(*address, kPatience).send_command(line);
       if (!quiet) print(instance, reply);
       if (reply.find("\"ok\":true") == std::string::npos) code = 1;
     } catch (const std::runtime_error& error) {
--- a/src/control/client.cpp
+++ b/src/control/client.cpp
@@ -9,9 +9,9 @@
 
 namespace quartzarch::control {
 
-Client::Client(const sockaddr_in& to, std::chrono::milliseconds patience)
+Client::Client(const sockaddr_in& to, std::chrono::milliseconds timeout)
     : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-  const auto us = std::chrono::microseconds(patience).count();
+  const auto us = std::chrono::microseconds(timeout).count();
   const timeval time{us / 1000000, us % 1000000};
   ::setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &time, sizeof time);
   ::setsockopt(fd_.get(), SOL_SOCKET, SO_SNDTIMEO, &time, sizeof time);
@@ -21,7 +21,7 @@
   }
 }
 
-std::string Client::ask(const std::string& line) {
+std::string Client::send_command(const std::string& line) {
   const std::string bytes = line + "\n";
   for (std::size_t done = 0; done < bytes.size();) {
     const ssize_t count = ::send(fd_.get(), bytes.data() + done, bytes.size() - done, MSG_NOSIGNAL);
--- a/src/control/client.hpp
+++ b/src/control/client.hpp
@@ -13,9 +13,9 @@
 class Client {
  public:
   // Throws std::runtime_error if nobody answers there.
-  Client(const sockaddr_in& to, std::chrono::milliseconds patience);
+  Client(const sockaddr_in& to, std::chrono::milliseconds timeout);
   // One line out, one line back, without their ends. Throws std::runtime_error.
-  std::string ask(const std::string& line);
+  std::string send_command(const std::string& line);
 
  private:
   Fd fd_;
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -7,10 +7,10 @@
 namespace quartzarch::control {
 namespace {
 
-constexpr std::size_t kMostConnections = 8;
-constexpr std::size_t kLongestOutput = 16 * 1024 * 1024;
+constexpr std::size_t kMaxConnections = 8;
+constexpr std::size_t kMaxOutputBytes = 16 * 1024 * 1024;
 
-std::string failure(std::string_view what) {
+std::string error_reply(std::string_view what) {
   return "{\"v\":" + std::to_string(kVersion) + ",\"ok\":false,\"error\":\"" + json_escaped(what) + "\"}\n";
 }
 
@@ -29,7 +29,7 @@
 void Server::ready(short) {
   Fd fd = acceptor_.next();
   if (!fd) return;
-  if (streams_.size() >= kMostConnections) {
+  if (streams_.size() >= kMaxConnections) {
     // The one that has been quiet for longest goes: it may be a client that does not read.
     const auto oldest = std::min_element(streams_.begin(), streams_.end(), [](const auto& a, const auto& b) {
       return a.second->last_used() < b.second->last_used();
@@ -40,7 +40,7 @@
   }
   auto stream =
       std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::callers);
-  stream->limit_output(kLongestOutput);
+  stream->limit_output(kMaxOutputBytes);
   streams_[stream.get()] = std::move(stream);
 }
 
@@ -56,9 +56,9 @@
     const std::string_view input = stream.input();
     const auto end = input.find('\n');
     if (end == std::string_view::npos) {
-      if (input.size() <= kLongestLine) return;
+      if (input.size() <= kMaxLineBytes) return;
       log_.line("control: an endless line, connection closed");
-      stream.send({failure("the line is too long"), {}, 0});
+      stream.send({error_reply("the line is too long"), {}, 0});
       stream.close();
       return lost(stream, Lost::closed);
     }
@@ -72,22 +72,22 @@
   simdjson::dom::parser parser;
   simdjson::dom::element request;
   if (parser.parse(line.data(), line.size()).get(request) != simdjson::SUCCESS || !request.is_object()) {
-    return failure("not a JSON object");
+    return error_reply("not a JSON object");
   }
   std::int64_t version = 0;
-  if (request["v"].get(version) != simdjson::SUCCESS) return failure("\"v\" is missing");
+  if (request["v"].get(version) != simdjson::SUCCESS) return error_reply("\"v\" is missing");
   if (version != kVersion) {
-    return failure("version " + std::to_string(version) + " is not spoken here, only " +
-                   std::to_string(kVersion));
+    return error_reply("version " + std::to_string(version) + " is not spoken here, only " +
+                       std::to_string(kVersion));
   }
   std::string_view op;
-  if (request["op"].get(op) != simdjson::SUCCESS) return failure("\"op\" is missing");
+  if (request["op"].get(op) != simdjson::SUCCESS) return error_reply("\"op\" is missing");
   const auto handler = handlers_.find(std::string(op));
-  if (handler == handlers_.end()) return failure("there is no command " + std::string(op));
+  if (handler == handlers_.end()) return error_reply("there is no command " + std::string(op));
   try {
     return "{\"v\":" + std::to_string(kVersion) + ",\"ok\":true" + handler->second(request) + "}\n";
   } catch (const std::exception& error) {
-    return failure(error.what());
+    return error_reply(error.what());
   }
 }
 
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -21,10 +21,10 @@
 namespace quartzarch::control {
 
 inline constexpr int kVersion = 1;
-inline constexpr std::size_t kLongestLine = 8 * 1024 * 1024;  // ten thousand rules in one command
+inline constexpr std::size_t kMaxLineBytes = 8 * 1024 * 1024;  // ten thousand rules in one command
 
 // What a command cannot be done for, in one line.
-struct Refused : std::runtime_error {
+struct CommandError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
--- a/src/control/writer.cpp
+++ b/src/control/writer.cpp
@@ -6,30 +6,30 @@
 namespace quartzarch::control {
 namespace {
 
-constexpr std::size_t kMostWaiting = 10000;
+constexpr std::size_t kMaxQueued = 10000;
 
 }  // namespace
 
-Writer::Writer(std::function<void(const std::string&)> complain)
-    : complain_(std::move(complain)), thread_([this](const std::stop_token& stop) { work(stop); }) {}
+Writer::Writer(std::function<void(const std::string&)> on_error)
+    : on_error_(std::move(on_error)), thread_([this](const std::stop_token& stop) { work(stop); }) {}
 
 Writer::~Writer() {
   thread_.request_stop();
-  woken_.notify_all();
+  task_ready_.notify_all();
   thread_.join();
 }
 
-bool Writer::run(std::function<void()> write) {
+bool Writer::enqueue(std::function<void()> write) {
   {
     const std::lock_guard lock(mutex_);
-    if (tasks_.size() >= kMostWaiting) return false;
+    if (tasks_.size() >= kMaxQueued) return false;
     tasks_.push_back(std::move(write));
   }
-  woken_.notify_one();
+  task_ready_.notify_one();
   return true;
 }
 
-std::size_t Writer::waiting() const {
+std::size_t Writer::queued() const {
   const std::lock_guard lock(mutex_);
   return tasks_.size();
 }
@@ -39,7 +39,7 @@
     std::function<void()> task;
     {
       std::unique_lock lock(mutex_);
-      woken_.wait(lock, stop, [this] { return !tasks_.empty(); });
+      task_ready_.wait(lock, stop, [this] { return !tasks_.empty(); });
       if (tasks_.empty()) return;  // told to stop, and all is written
       task = std::move(tasks_.front());
       tasks_.pop_front();
@@ -47,7 +47,7 @@
     try {
       task();
     } catch (const std::exception& error) {
-      complain_(error.what());
+      on_error_(error.what());
     }
   }
 }
--- a/src/control/writer.hpp
+++ b/src/control/writer.hpp
@@ -14,20 +14,20 @@
 class Writer {
  public:
   // `complain` is called on the writer's thread with one line for each write that failed.
-  explicit Writer(std::function<void(const std::string&)> complain);
+  explicit Writer(std::function<void(const std::string&)> on_error);
   // Writes what is left first.
   ~Writer();
 
   // False if too much waits already.
-  bool run(std::function<void()> write);
-  std::size_t waiting() const;
+  bool enqueue(std::function<void()> write);
+  std::size_t queued() const;
 
  private:
   void work(const std::stop_token& stop);
 
-  std::function<void(const std::string&)> complain_;
+  std::function<void(const std::string&)> on_error_;
   mutable std::mutex mutex_;
-  std::condition_variable_any woken_{};
+  std::condition_variable_any task_ready_{};
   std::deque<std::function<void()>> tasks_{};
   std::jthread thread_;  // last: ends before what it uses
 };
--- a/src/control_service.cpp
+++ b/src/control_service.cpp
@@ -27,7 +27,7 @@
 
 std::string required_text(simdjson::dom::element from, const char* key) {
   std::string value = text_of(from, key);
-  if (value.empty()) throw control::Refused("\"" + std::string(key) + "\" is missing");
+  if (value.empty()) throw control::CommandError("\"" + std::string(key) + "\" is missing");
   return value;
 }
 
@@ -232,7 +232,7 @@
     text += "{\"id\":" + in_quotes(id) + ",\"lifted\":" + std::to_string(revision) + "}\n";
     agreed(id);
   }
-  if (!writer_.run([this, text = std::move(text)] { state_.write(kRulesFile, text); })) {
+  if (!writer_.enqueue([this, text = std::move(text)] { state_.write(kRulesFile, text); })) {
     log_.line("control: the disk is too slow, the rules in force are not kept");
   }
 }
@@ -243,7 +243,7 @@
                      ",\"what\":" + in_quotes(what) + ",\"id\":" + in_quotes(id) +
                      ",\"revision\":" + std::to_string(revision) + ",\"who\":" + in_quotes(who) +
                      ",\"why\":" + in_quotes(why) + "}\n";
-  if (!writer_.run([path = state_.path_of(kAuditFile), line = std::move(line)] { append(path, line); })) {
+  if (!writer_.enqueue([path = state_.path_of(kAuditFile), line = std::move(line)] { append(path, line); })) {
     log_.line("control: the disk is too slow, a change is not in the audit log");
   }
 }
@@ -258,13 +258,13 @@
       try {
         rules.push_back(gap::parse_rule(simdjson::minify(each)));
       } catch (const gap::RuleError& error) {
-        throw control::Refused("rule " + std::to_string(at) + ": " + error.what());
+        throw control::CommandError("rule " + std::to_string(at) + ": " + error.what());
       }
       ++at;
     }
   } else {
     Element rule;
-    if (request["rule"].get(rule) != simdjson::SUCCESS) throw control::Refused("\"rule\" is missing");
+    if (request["rule"].get(rule) != simdjson::SUCCESS) throw control::CommandError("\"rule\" is missing");
     rules.push_back(gap::parse_rule(simdjson::minify(rule)));
   }
   const Time now = loop_.now();
@@ -296,7 +296,7 @@
         ++older;
         break;
       case gap::Table::AnnounceResult::full:
-        throw control::Refused("there are too many rules");
+        throw control::CommandError("there are too many rules");
     }
   }
   if (taken > 0) save_rules();
@@ -360,7 +360,7 @@
   const std::string caller = text_of(request, "caller").empty() ? "0.0.0.0" : text_of(request, "caller");
   boost::system::error_code error;
   const gap::Address address = boost::asio::ip::make_address(caller, error);
-  if (error) throw control::Refused("\"caller\" is no address");
+  if (error) throw control::CommandError("\"caller\" is no address");
   bool repeat = false;
   if (request["repeat"].get(repeat) != simdjson::SUCCESS) repeat = false;
   const gap::FrontKind front =
