--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -1,4 +1,5 @@
-// Gaps: the pattern language, the index against a scan, the controls, and callers who wait or push.
+// Tests of gap rules: pattern grammar, the index against a linear scan, the controls, callers that wait or
+// retry early, heavy hitters and the control connection.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -38,7 +39,7 @@
 
 Table table() { return Table(Table::Bounds{}, 1); }
 
-std::string complaint(const std::string& json) {
+std::string parse_error_of(const std::string& json) {
   try {
     gap::parse_rule(json);
     return {};
@@ -47,9 +48,9 @@
   }
 }
 
-// ---- The language
+// ---- Patterns and rules
 
-TEST(GapPattern, IsReadAndFaultsNameTheColumn) {
+TEST(GapPattern, ParsesAndReportsTheColumnOfErrors) {
   const auto all = gap::parse_patterns("7f3a, 12*,4?6 , 1000..1999,*");
   ASSERT_EQ(all.size(), 5u);
   EXPECT_TRUE(all[0].matches("7f3a"));
@@ -75,7 +76,7 @@
   for (const auto& [text, about] : bad) {
     try {
       gap::parse_patterns(text);
-      ADD_FAILURE() << text << " was taken";
+      ADD_FAILURE() << text << " was accepted";
     } catch (const gap::PatternError& error) {
       EXPECT_NE(std::string(error.what()).find(about), std::string::npos) << text << ": " << error.what();
     }
@@ -85,12 +86,12 @@
       gap::parse_patterns(text);
     } catch (const gap::PatternError&) {
     }
-    complaint(text);
-    complaint("{\"id\":\"" + text + "\",\"control\":{\"block\":true}}");
+    parse_error_of(text);
+    parse_error_of("{\"id\":\"" + text + "\",\"control\":{\"block\":true}}");
   }));
 }
 
-TEST(GapRule, SurvivesItsJsonAndFaultsNameTheKey) {
+TEST(GapRule, RoundTripsThroughJsonAndErrorsNameTheKey) {
   const std::string json =
       R"({"id":"exam-9","revision":3,"number":"7f3*,1000..1999","class":["open"],"caller":["10.2.0.0/16","2001:db8::/32"],)"
       R"("front":"sip","try":"first","exempt_class":["exam"],"exempt_caller":["10.2.9.9/32"],"control":{"per_s":5,"burst":10},)"
@@ -112,11 +113,11 @@
       {R"({"id":"a","control":{"block":true},"what":1})", "\"what\" is unknown"},
       {R"({"id":"a","id":"b","control":{"block":true}})", "\"id\" appears twice"}};
   for (const auto& [text, about] : bad)
-    EXPECT_NE(complaint(text).find(about), std::string::npos) << complaint(text);
+    EXPECT_NE(parse_error_of(text).find(about), std::string::npos) << parse_error_of(text);
 }
 
-// The index finds just what a scan over all patterns finds, ranges and wildcards among them.
-TEST(GapIndex, FindsWhatAScanFinds) {
+// Compares the index with a scan over all patterns, including ranges and wildcards.
+TEST(GapIndex, FindsTheSamePatternsAsAScan) {
   EXPECT_TRUE(rc::check("index against scan", [] {
     const auto digits = rc::gen::container<std::string>(rc::gen::elementOf(std::string("0123")));
     std::vector<gap::Pattern> patterns;
@@ -153,8 +154,9 @@
 
 // ---- Controls
 
-// Ten times what the gap lets pass: no stretch has more than its allowance, all else is refused with a wait.
-TEST(GapTable, AnIntervalHoldsUnderABurstAndWhenLiftedAllPass) {
+// Offers ten times the allowance: calls pass at least one interval apart, and all others are refused with a
+// retry delay.
+TEST(GapTable, AnIntervalLimitsABurstAndALiftedRuleLetsAllPass) {
   Table gaps = table();
   EXPECT_EQ(gaps.announce(rule("g", "7f3a", "\"interval_ms\":200"), kNine), Table::AnnounceResult::taken);
   std::vector<Time> passed;
@@ -177,14 +179,15 @@
   EXPECT_EQ(counts->passed, passed.size());
   EXPECT_EQ(counts->refused, static_cast<unsigned>(refused));
   EXPECT_EQ(counts->offered, counts->passed + counts->refused);
-  // Nobody came back, and yet more than half of the allowance was used.
+  // No caller retried, and yet more than half of the allowance was used: unclaimed slots must not waste it.
   EXPECT_GT(passed.size(), 150u);
   EXPECT_TRUE(gaps.lift("g", 2, kNine + seconds(60)));
   for (int i = 0; i < 10; ++i) EXPECT_TRUE(gaps.offer(kNine + seconds(60), call("7f3a")).pass);
 }
 
-// Callers that heed the wait are served in their slot; those that push at every moment are not served before.
-TEST(GapTable, WhoWaitsIsServedBeforeWhoPushesAndReturnsFillTheRoom) {
+// Guards against a rule that rewards callers for ignoring the retry delay: callers that wait for their slot
+// must not be served less than callers that retry every 20 ms.
+TEST(GapTable, CallersThatWaitAreServedBeforeThoseThatRetryEarly) {
   Table gaps = table();
   gaps.announce(rule("g", "7f3a", "\"interval_ms\":100"), kNine);
   struct Caller {
@@ -210,16 +213,16 @@
   }
   const auto counts = gaps.counts("g");
   EXPECT_LE(patient.size() + pushing.size(), 41u);
-  // With two seconds of slots a hundredth apart there is one for twenty; each of the patient with a slot got
-  // it.
+  // Slots 100 ms apart within a wait of two seconds are enough for twenty callers; every patient caller with
+  // a slot was served in it.
   EXPECT_GT(counts->kept, 15u);
   EXPECT_LT(counts->lapsed, 8u);
   EXPECT_GT(counts->early, 100u);
   std::sort(patient.begin(), patient.end());
-  EXPECT_GE(patient.size() + 2, pushing.size()) << "pushing paid";
+  EXPECT_GE(patient.size() + 2, pushing.size()) << "retrying early was rewarded";
 }
 
-TEST(GapTable, OverlappingRulesMustAllAgreeAndTheMostSpecificIsNamed) {
+TEST(GapTable, OverlappingRulesMustAllAdmitAndTheMostSpecificRefusalIsNamed) {
   Table gaps = table();
   gaps.announce(rule("prefix", "7f*", "\"interval_ms\":100"), kNine);
   gaps.announce(rule("exact", "7f3a", "\"interval_ms\":1000"), kNine);
@@ -229,15 +232,15 @@
   EXPECT_TRUE(gaps.offer(kNine, call("7f3a")).pass);
   EXPECT_EQ(gaps.offer(kNine + milliseconds(1), call("7f3a")).rule, "exact");
   EXPECT_EQ(gaps.offer(kNine + milliseconds(1), call("7f9")).rule, "prefix")
-      << "the exact one's call did not count";
-  // What the exact rule refused has cost the prefix's allowance nothing.
+      << "the call that passed the exact rule was not counted against the prefix rule";
+  // A call that the exact rule refused consumes nothing of the prefix rule's allowance.
   EXPECT_TRUE(gaps.offer(kNine + seconds(3), call("7f9")).pass);
   std::vector<std::string> asked;
   gaps.test(kNine + seconds(3), call("7f3a"), &asked);
   EXPECT_EQ(asked, (std::vector<std::string>{"exact", "prefix"}));
 }
 
-TEST(GapTable, ClassesCallersFrontsTriesAndExemptionsNarrowARule) {
+TEST(GapTable, ClassCallerFrontTryAndExemptionsNarrowARule) {
   Table gaps = table();
   gaps.announce(
       rule("a", "*", "\"block\":true",
@@ -260,7 +263,7 @@
   EXPECT_TRUE(gaps.offer(kNine, sip).pass);
 }
 
-TEST(GapTable, APercentageIsOfFirstTriesSoThatRedialsGainNothing) {
+TEST(GapTable, APercentageCountsFirstTriesSoRedialsGainNothing) {
   Table gaps = table();
   gaps.announce(rule("g", "7", "\"percentage\":30"), kNine);
   int first = 0, again = 0;
@@ -277,7 +280,7 @@
   EXPECT_EQ(again, 0);
 }
 
-TEST(GapTable, BurstsWindowsExpiryAndAClockSetBack) {
+TEST(GapTable, BurstsWeeklyWindowsExpiryAndAClockSetBack) {
   Table gaps = table();
   gaps.announce(
       rule("g", "7", "\"per_s\":10,\"burst\":5", R"(,"weekly":["wed 08:00-09:30"],"end_s":1796203200)"),
@@ -285,7 +288,7 @@
   int passed = 0;
   for (int i = 0; i < 20; ++i) passed += gaps.offer(kNine + seconds(10), call("7")).pass ? 1 : 0;
   EXPECT_EQ(passed, 5);
-  // Set back an hour: nothing is saved up by it, and nothing breaks.
+  // The clock is set back by an hour: no tokens accumulate.
   for (int i = 0; i < 20; ++i) passed += gaps.offer(kNine - seconds(3600), call("7")).pass ? 1 : 0;
   EXPECT_EQ(passed, 5);
   EXPECT_TRUE(gaps.expire(kNine + seconds(1000)).empty());
@@ -298,7 +301,7 @@
   EXPECT_TRUE(gaps.offer(kNine + seconds(16 * 3600), call("8")).pass);
 }
 
-TEST(GapTable, TheSameTwiceIsOneAndOlderRevisionsNeverWin) {
+TEST(GapTable, ARepeatedAnnouncementIsIgnoredAndOlderRevisionsNeverWin) {
   Table gaps = table();
   EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 5), kNine), Table::AnnounceResult::taken);
   EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 5), kNine), Table::AnnounceResult::same);
@@ -308,14 +311,13 @@
   EXPECT_TRUE(gaps.lift("g", 6, kNine));
   EXPECT_TRUE(gaps.offer(kNine, call("7")).pass);
   EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 6), kNine), Table::AnnounceResult::older)
-      << "a lifted one came back";
+      << "a lifted rule came back";
   EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 7), kNine), Table::AnnounceResult::taken);
   EXPECT_FALSE(gaps.offer(kNine, call("7")).pass);
 }
 
-// Whatever the calls, in no second does more pass than the allowance, the saved-up burst apart; counts add
-// up.
-TEST(GapTable, NoStretchHasMoreThanItsAllowance) {
+// Property: whatever the calls, no second passes more than the rate plus the burst, and the counts add up.
+TEST(GapTable, NoSecondExceedsTheAllowance) {
   EXPECT_TRUE(rc::check("the bound of a bucket", [] {
     const int rate = *rc::gen::inRange(1, 50), burst = *rc::gen::inRange(1, 10);
     Table gaps(Table::Bounds{}, 7);
@@ -340,8 +342,8 @@
   }));
 }
 
-// A flood of distinct numbers while one is hot: the gap holds, what it remembers is bounded.
-TEST(GapTable, AFloodOfNumbersDoesNotFillItsMemory) {
+// A flood of distinct numbers under one rule: the number of slots stays bounded.
+TEST(GapTable, AFloodOfNumbersDoesNotExhaustMemory) {
   Table::Bounds bounds;
   bounds.slots = 50;
   bounds.longest_wait = seconds(1000);
@@ -356,7 +358,7 @@
 
 // ---- Heavy hitters
 
-TEST(GapSketch, NamesTheHotNumberAmongAHundredThousandWithinItsBound) {
+TEST(GapSketch, FindsTheHotNumberAmongAHundredThousandWithinTheErrorBound) {
   constexpr std::size_t kCounters = 200;
   gap::HeavyHitterWindow window(kCounters, 6, seconds(10));
   std::uint64_t hot = 0, all = 0;
@@ -377,14 +379,15 @@
   EXPECT_LE(top[0].offered - hot, top[0].error);
   EXPECT_LE(top[0].error, all / kCounters);
   EXPECT_GT(top[0].refused, hot * 9 / 10);
-  EXPECT_TRUE(window.top(end + seconds(120), 3).empty()) << "the crowd is gone and still named";
+  EXPECT_TRUE(window.top(end + seconds(120), 3).empty())
+      << "a number is still reported after its window has passed";
 }
 
-// ---- In the core, over the control connection
+// ---- With the planner and the control connection
 
-class GapCore : public Program {
+class GapControl : public Program {
  protected:
-  GapCore() {
+  GapControl() {
     std::string pattern = (std::filesystem::temp_directory_path() / "gap-XXXXXX").string();
     directory = ::mkdtemp(pattern.data());
     sip::FrontConfig config;
@@ -394,8 +397,8 @@
     start_service();
     open_server();
   }
-  ~GapCore() override {
-    service.reset();  // its writer still has files to write there
+  ~GapControl() override {
+    service.reset();  // its writer may still write files there
     std::filesystem::remove_all(directory);
   }
   void start_service() {
@@ -406,7 +409,7 @@
     service = std::make_unique<ControlService>(loop, log, *planner, settings, 1);
     operator_ = Peer::connect(service->address());
   }
-  // A command and its answer.
+  // Sends a command and returns its reply.
   std::string ask(const std::string& command) {
     operator_.say(command + "\n");
     std::string reply;
@@ -430,9 +433,9 @@
   Peer operator_;
 };
 
-// The same gap by every way in: refused at once and when to come back, no server hears of it; lifted, all
-// stand.
-TEST_F(GapCore, EveryFrontIsToldTheSameAndALiftedGapLetsAllPass) {
+// A gap applies on every front: the call is refused at once with a retry delay and never reaches a server.
+// After the gap is lifted, calls pass.
+TEST_F(GapControl, EveryFrontRefusesAlikeAndALiftedGapLetsAllPass) {
   EXPECT_NE(add(R"("number":"7f3a*","control":{"block":true})").find("\"ok\":true,\"taken\":1"),
             std::string::npos);
   Peer gateway = caller(), udp = Peer::udp(sip_front->address(sip::TransportKind::udp)),
@@ -448,7 +451,7 @@
   const std::string told = gateway.take();
   EXPECT_EQ(told[2], 12) << "no release";
   EXPECT_NE(told.find(std::string("\xd0\x00\x01", 3) + static_cast<char>(42)), std::string::npos);
-  EXPECT_NE(told.find(std::string("\xc0\x00\x04", 3)), std::string::npos) << "no wait of four digits";
+  EXPECT_NE(told.find(std::string("\xc0\x00\x04", 3)), std::string::npos) << "no retry delay of four digits";
   EXPECT_EQ(server.heard().find("offer"), std::string::npos);
   EXPECT_NE(ask(R"({"v":1,"op":"gap.list"})").find("\"offered\":3,\"passed\":0,\"refused\":3"),
             std::string::npos);
@@ -462,15 +465,16 @@
   hears(server, "00000000000000bb");
 }
 
-// A call that waits for a server falls under a gap announced meanwhile; one whose attempt is out does not.
-TEST_F(GapCore, HeldCallsFallUnderAGapAnnouncedWhileTheyWait) {
+// A gap announced while a call waits for a server refuses that call, but not a call with an attempt in
+// flight.
+TEST_F(GapControl, AGapAnnouncedMeanwhileAppliesToHeldCalls) {
   Peer gateway = caller();
   gateway.say(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
   planner->news({2, true, {host(listener, 0, Availability::draining)}});
   gateway.say(setup(0xbb, "d"));
   settle();
-  EXPECT_EQ(gateway.heard(), "") << "it is not held: this test shows nothing";
+  EXPECT_EQ(gateway.heard(), "") << "the call is not held, so this test shows nothing";
   EXPECT_NE(add(R"("number":"7f*","control":{"block":true})").find("\"taken\":1"), std::string::npos);
   until([&] { return !gateway.heard().empty(); }, "the refusal");
   EXPECT_EQ(count(gateway.heard(), std::string(7, '\0') + '\xbb'), 1u);
@@ -480,7 +484,7 @@
   EXPECT_EQ(planner->owed(), 0u);
 }
 
-TEST_F(GapCore, HostileControlInputIsAnsweredOrClosedAndCallsGoOn) {
+TEST_F(GapControl, MalformedControlInputIsRejectedAndCallsGoOn) {
   const std::pair<const char*, const char*> bad[] = {
       {"what", "not a JSON object"},
       {"[]", "not a JSON object"},
@@ -496,8 +500,9 @@
     EXPECT_NE(reply.find("\"ok\":false"), std::string::npos) << command;
     EXPECT_NE(reply.find(about), std::string::npos) << reply;
   }
-  EXPECT_EQ(service->gate().table().size(), 0u) << "half a list was taken";
-  // Ten thousand rules in one command; half a line; a client that asks on and reads nothing.
+  EXPECT_EQ(service->gate().table().size(), 0u) << "part of a list was applied";
+  // Ten thousand rules in one command, an incomplete line, and a client that sends requests without reading
+  // replies.
   std::string rules;
   for (int i = 0; i < 10000; ++i) {
     rules += (i == 0 ? "" : ",") + std::string("{\"id\":\"r") + std::to_string(i) + "\",\"number\":\"" +
@@ -519,8 +524,9 @@
   hears(half, "\"lifted\":true");
 }
 
-// It ends while answers wait for clients that have gone: closing them is no loss of theirs to be told of.
-TEST_F(GapCore, EndingWithAnswersThatNobodyReadsHarmsNothing) {
+// Guards against use of the service during its destruction: closing connections with unsent replies must not
+// be reported to it as lost connections.
+TEST_F(GapControl, ShutdownWithUnreadRepliesDoesNoHarm) {
   std::string rules;
   for (int i = 0; i < 3000; ++i) {
     rules += (i == 0 ? "" : ",") + std::string("{\"id\":\"r") + std::to_string(i) +
@@ -540,8 +546,8 @@
   hears(server, "00000000000000aa");
 }
 
-// A new instance takes up what was in force, and what was lifted stays lifted, before it takes calls.
-TEST_F(GapCore, TheRulesInForceSurviveARestartAndChangesAreInTheAuditLog) {
+// A restarted instance has the rules in force, and lifted rules stay lifted, before it takes calls.
+TEST_F(GapControl, RulesInForceSurviveARestartAndChangesAreAudited) {
   add(R"("number":"7*","control":{"block":true},"who":"ana","why":"exam at nine")");
   ask(R"({"v":1,"op":"gap.add","rule":{"id":"h","revision":5,"number":"8*","control":{"per_s":5,"burst":2}}})");
   ask(R"({"v":1,"op":"gap.lift","id":"h","who":"ben"})");
@@ -560,7 +566,7 @@
   EXPECT_NE(audit.find("\"what\":\"lifted\",\"id\":\"h\",\"revision\":6,\"who\":\"ben\""), std::string::npos);
 }
 
-TEST_F(Process, TheGapCommandsSpeakToARunningInstance) {
+TEST_F(Process, TheGapCommandsControlARunningInstance) {
   const sockaddr_in control = free_address();
   acme::replace_file(directory + "/control.toml", "listen = \"" + address_text(control) +
                                                       "\"\ndirectory = \"" + directory + "/control\"\n");
@@ -602,7 +608,7 @@
 }  // namespace quartzarch::test
 
 int main(int argc, char** argv) {
-  ::setenv("RC_PARAMS", "seed=20261201", 1);  // the same cases each time
+  ::setenv("RC_PARAMS", "seed=20261201", 1);  // the same cases in each run
   ::testing::InitGoogleTest(&argc, argv);
   return RUN_ALL_TESTS();
 }
