--- a/src/control/client.hpp
+++ b/src/control/client.hpp
@@ -1,4 +1,4 @@
-// The operator's end of the control connection. It blocks.
+// Blocking client of the control connection, for the command-line tools.
 #pragma once
 
 #include <netinet/in.h>
@@ -12,10 +12,11 @@
 
 class Client {
  public:
-  // Throws std::runtime_error if nobody answers there.
-  Client(const sockaddr_in& to, std::chrono::milliseconds patience);
-  // One line out, one line back, without their ends. Throws std::runtime_error.
-  std::string ask(const std::string& line);
+  // Connects; `timeout` bounds each send and receive. Throws std::runtime_error if the connection fails.
+  Client(const sockaddr_in& to, std::chrono::milliseconds timeout);
+  // Sends one line and returns the one line of the reply, both without line ends. Throws std::runtime_error
+  // if the connection is lost or no reply comes in time.
+  std::string send_command(const std::string& line);
 
  private:
   Fd fd_;
--- a/src/fleet/gap_list.cpp
+++ b/src/fleet/gap_list.cpp
@@ -8,15 +8,15 @@
 constexpr Duration kSweepInterval = std::chrono::seconds(2);
 constexpr Duration kMaxPoll = std::chrono::milliseconds(20);
 
-gap::Ledger::Outcome outcome_of(const std::optional<reg::Reply>& reply) {
-  using Outcome = gap::Ledger::Outcome;
+gap::ListReplica::Outcome outcome_of(const std::optional<reg::Reply>& reply) {
+  using Outcome = gap::ListReplica::Outcome;
   if (!reply) return Outcome::lost;
   switch (reply->code) {
     case reg::Code::ok:
       return Outcome::done;
     case reg::Code::changed:
     case reg::Code::absent:
-      return Outcome::changed;
+      return Outcome::conflict;
     default:
       return Outcome::refused;
   }
@@ -34,11 +34,11 @@
   mailbox_->close();
 }
 
-bool GapList::begin(Loop& loop, std::vector<Known> known, Take take) {
+bool GapList::begin(Loop& loop, std::vector<LocalEntry> known, UpdateHandler take) {
   loop_ = &loop;
   take_ = std::move(take);
   mailbox_ = std::make_shared<Mailbox>(loop);
-  for (Known& each : known) ledger_.restore(each.id, std::move(each.entry), each.agreed);
+  for (LocalEntry& each : known) ledger_.restore(each.id, std::move(each.entry), each.agreed);
   fleet_.watch(
       std::string(kPrefix),
       [this, mailbox = mailbox_](reg::Revision, const std::vector<reg::Change>& changes, bool complete) {
@@ -50,10 +50,10 @@
   return list_received_;
 }
 
-std::optional<gap::Ledger::Shown> GapList::parse_change(const std::string& key,
-                                                        const std::optional<std::string>& value,
-                                                        reg::Revision revision) {
-  gap::Ledger::Shown shown{key.substr(kPrefix.size()), std::nullopt, revision};
+std::optional<gap::ListReplica::ListedEntry> GapList::parse_change(const std::string& key,
+                                                                   const std::optional<std::string>& value,
+                                                                   reg::Revision revision) {
+  gap::ListReplica::ListedEntry shown{key.substr(kPrefix.size()), std::nullopt, revision};
   if (!value) return shown;
   shown.entry = gap::parse_entry(*value);
   if (shown.entry) return shown;
@@ -63,13 +63,13 @@
 }
 
 void GapList::on_changes(const std::vector<reg::Change>& changes, bool complete) {
-  std::vector<gap::Ledger::Shown> entries;
+  std::vector<gap::ListReplica::ListedEntry> entries;
   for (const reg::Change& change : changes) {
     if (auto entry = parse_change(change.key, change.value, change.revision))
       entries.push_back(std::move(*entry));
   }
   list_received_ = list_received_ || complete;
-  const auto updates = ledger_.shown(entries, complete);
+  const auto updates = ledger_.apply(entries, complete);
   if (!updates.empty()) take_(updates);
   pump();
 }
@@ -80,16 +80,16 @@
 }
 
 void GapList::pump() {
-  for (const auto& each : ledger_.due(loop_->now())) write(each, std::nullopt);
+  for (const auto& each : ledger_.next_writes(loop_->now())) write(each, std::nullopt);
   if (retry_timer_) loop_->cancel(*std::exchange(retry_timer_, std::nullopt));
-  if (ledger_.waiting() == 0) return;
+  if (ledger_.pending_count() == 0) return;
   retry_timer_ = loop_->at(loop_->now() + kRetryInterval, [this] {
     retry_timer_.reset();
     pump();
   });
 }
 
-void GapList::write(const gap::Ledger::Write& write, std::optional<reg::Fence> fence) {
+void GapList::write(const gap::ListReplica::Write& write, std::optional<reg::Fence> fence) {
   reg::Command command;
   command.op = write.entry ? reg::Op::put : reg::Op::erase;
   command.name = std::string(kPrefix) + write.id;
@@ -106,16 +106,16 @@
   if (reply && reply->code == reg::Code::changed && !reply->items.empty()) {
     const reg::Item& item = reply->items.front();
     if (auto entry = parse_change(item.key, item.value, item.revision)) {
-      const auto updates = ledger_.shown({std::move(*entry)}, false);
+      const auto updates = ledger_.apply({std::move(*entry)}, false);
       if (!updates.empty()) take_(updates);
     }
   }
   const auto outcome = outcome_of(reply);
-  if (outcome == gap::Ledger::Outcome::refused && !std::exchange(logged_refusal_, true)) {
+  if (outcome == gap::ListReplica::Outcome::refused && !std::exchange(logged_refusal_, true)) {
     log_.line("gap=%s event=not_spread why=\"%s\"", id.c_str(), reg::code_text(reply->code));
   }
-  ledger_.answered(loop_->now(), id, outcome, reply ? reply->revision : 0);
-  if (outcome == gap::Ledger::Outcome::done) take_({});
+  ledger_.complete_write(loop_->now(), id, outcome, reply ? reply->revision : 0);
+  if (outcome == gap::ListReplica::Outcome::done) take_({});
   pump();
 }
 
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -1,14 +1,15 @@
-// Gaps: the pattern language, the index against a scan, the controls, and callers who wait or push.
+// Tests of gap rules: pattern grammar, the index against a linear scan, the controls, callers that wait or
+// retry early, heavy hitters and the control connection.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
 #include <cstdlib>
 
+#include "control_service.hpp"
 #include "front/sip/front.hpp"
 #include "gap/sketch.hpp"
 #include "gap/table.hpp"
 #include "loopback.hpp"
-#include "operation.hpp"
 #include "process.hpp"
 
 namespace quartzarch::test {
@@ -33,12 +34,12 @@
 
 Call call(std::string_view number, bool repeat = false, std::string_view call_class = "open",
           const Address& caller = kGateway) {
-  return {number, call_class, caller, gap::Entrance::binary, repeat};
+  return {number, call_class, caller, gap::FrontKind::binary, repeat};
 }
 
 Table table() { return Table(Table::Bounds{}, 1); }
 
-std::string complaint(const std::string& json) {
+std::string parse_error_of(const std::string& json) {
   try {
     gap::parse_rule(json);
     return {};
@@ -47,9 +48,9 @@
   }
 }
 
-// ---- The language
+// ---- Patterns and rules
 
-TEST(GapPattern, IsReadAndFaultsNameTheColumn) {
+TEST(GapPattern, ParsesAndReportsTheColumnOfErrors) {
   const auto all = gap::parse_patterns("7f3a, 12*,4?6 , 1000..1999,*");
   ASSERT_EQ(all.size(), 5u);
   EXPECT_TRUE(all[0].matches("7f3a"));
@@ -71,11 +72,11 @@
   const std::pair<const char*, const char*> bad[] = {
       {"", "column 1: a number"},     {"12*,", "column 5: a number"},      {"12 34", "column 4: a comma"},
       {"1*2", "column 3: a comma"},   {"12..", "column 5: the upper end"}, {"20..19", "above its upper"},
-      {"1..10", "different lengths"}, {"1?*", "do not go together"},       {"12,%", "column 4: a number"}};
+      {"1..10", "different lengths"}, {"1?*", "cannot be combined"},       {"12,%", "column 4: a number"}};
   for (const auto& [text, about] : bad) {
     try {
       gap::parse_patterns(text);
-      ADD_FAILURE() << text << " was taken";
+      ADD_FAILURE() << text << " was accepted";
     } catch (const gap::PatternError& error) {
       EXPECT_NE(std::string(error.what()).find(about), std::string::npos) << text << ": " << error.what();
     }
@@ -85,37 +86,38 @@
       gap::parse_patterns(text);
     } catch (const gap::PatternError&) {
     }
-    complaint(text);
-    complaint("{\"id\":\"" + text + "\",\"control\":{\"block\":true}}");
+    parse_error_of(text);
+    parse_error_of("{\"id\":\"" + text + "\",\"control\":{\"block\":true}}");
   }));
 }
 
-TEST(GapRule, SurvivesItsJsonAndFaultsNameTheKey) {
+TEST(GapRule, RoundTripsThroughJsonAndErrorsNameTheKey) {
   const std::string json =
       R"({"id":"exam-9","revision":3,"number":"7f3*,1000..1999","class":["open"],"caller":["10.2.0.0/16","2001:db8::/32"],)"
       R"("front":"sip","try":"first","exempt_class":["exam"],"exempt_caller":["10.2.9.9/32"],"control":{"per_s":5,"burst":10},)"
       R"("start_s":1796202000.000000,"end_s":1796205600.000000,"weekly":["mon,wed 08:30-10:00","23:00-01:00"],"who":"ops","why":"exam"})";
   EXPECT_EQ(gap::to_json(gap::parse_rule(json)), json);
   const std::pair<const char*, const char*> bad[] = {
-      {"[]", "no JSON object"},
+      {"[]", "not a JSON object"},
       {R"({"id":"a"})", "\"control\" is missing"},
       {R"({"id":"a b","control":{"block":true}})", "\"id\" may have"},
-      {R"({"id":"a","control":{}})", "\"control\" is no object"},
+      {R"({"id":"a","control":{}})", "\"control\" is not an object"},
       {R"({"id":"a","control":{"interval_ms":0}})", "\"control.interval_ms\" is not within"},
       {R"({"id":"a","control":{"block":true,"per_s":1}})", "is a second control"},
-      {R"({"id":"a","control":{"block":true,"burst":2}})", "\"control.burst\" goes with"},
+      {R"({"id":"a","control":{"block":true,"burst":2}})", "\"control.burst\" is allowed only with"},
       {R"({"id":"a","control":{"block":true},"number":"1**"})", "\"number\" column 3"},
-      {R"({"id":"a","control":{"block":true},"caller":["10.0.0.0/33"]})", "\"caller\" holds no network"},
-      {R"({"id":"a","control":{"block":true},"weekly":["mo 1:00-2:00"]})", "holds no day: mo"},
+      {R"({"id":"a","control":{"block":true},"caller":["10.0.0.0/33"]})",
+       "\"caller\" contains an invalid network"},
+      {R"({"id":"a","control":{"block":true},"weekly":["mo 1:00-2:00"]})", "contains an unknown day: mo"},
       {R"({"id":"a","control":{"block":true},"start_s":5,"end_s":5})", "\"end_s\" is not after"},
       {R"({"id":"a","control":{"block":true},"what":1})", "\"what\" is unknown"},
-      {R"({"id":"a","id":"b","control":{"block":true}})", "\"id\" is there twice"}};
+      {R"({"id":"a","id":"b","control":{"block":true}})", "\"id\" appears twice"}};
   for (const auto& [text, about] : bad)
-    EXPECT_NE(complaint(text).find(about), std::string::npos) << complaint(text);
+    EXPECT_NE(parse_error_of(text).find(about), std::string::npos) << parse_error_of(text);
 }
 
-// The index finds just what a scan over all patterns finds, ranges and wildcards among them.
-TEST(GapIndex, FindsWhatAScanFinds) {
+// Compares the index with a scan over all patterns, including ranges and wildcards.
+TEST(GapIndex, FindsTheSamePatternsAsAScan) {
   EXPECT_TRUE(rc::check("index against scan", [] {
     const auto digits = rc::gen::container<std::string>(rc::gen::elementOf(std::string("0123")));
     std::vector<gap::Pattern> patterns;
@@ -152,10 +154,11 @@
 
 // ---- Controls
 
-// Ten times what the gap lets pass: no stretch has more than its allowance, all else is refused with a wait.
-TEST(GapTable, AnIntervalHoldsUnderABurstAndWhenLiftedAllPass) {
+// Offers ten times the allowance: calls pass at least one interval apart, and all others are refused with a
+// retry delay.
+TEST(GapTable, AnIntervalLimitsABurstAndALiftedRuleLetsAllPass) {
   Table gaps = table();
-  EXPECT_EQ(gaps.announce(rule("g", "7f3a", "\"interval_ms\":200"), kNine), Table::Taken::taken);
+  EXPECT_EQ(gaps.announce(rule("g", "7f3a", "\"interval_ms\":200"), kNine), Table::AnnounceResult::taken);
   std::vector<Time> passed;
   int refused = 0;
   for (Time now = kNine; now < kNine + seconds(60); now += milliseconds(20)) {
@@ -176,14 +179,15 @@
   EXPECT_EQ(counts->passed, passed.size());
   EXPECT_EQ(counts->refused, static_cast<unsigned>(refused));
   EXPECT_EQ(counts->offered, counts->passed + counts->refused);
-  // Nobody came back, and yet more than half of the allowance was used.
+  // No caller retried, and yet more than half of the allowance was used: unclaimed slots must not waste it.
   EXPECT_GT(passed.size(), 150u);
   EXPECT_TRUE(gaps.lift("g", 2, kNine + seconds(60)));
   for (int i = 0; i < 10; ++i) EXPECT_TRUE(gaps.offer(kNine + seconds(60), call("7f3a")).pass);
 }
 
-// Callers that heed the wait are served in their slot; those that push at every moment are not served before.
-TEST(GapTable, WhoWaitsIsServedBeforeWhoPushesAndReturnsFillTheRoom) {
+// Guards against a rule that rewards callers for ignoring the retry delay: callers that wait for their slot
+// must not be served less than callers that retry every 20 ms.
+TEST(GapTable, CallersThatWaitAreServedBeforeThoseThatRetryEarly) {
   Table gaps = table();
   gaps.announce(rule("g", "7f3a", "\"interval_ms\":100"), kNine);
   struct Caller {
@@ -209,16 +213,16 @@
   }
   const auto counts = gaps.counts("g");
   EXPECT_LE(patient.size() + pushing.size(), 41u);
-  // With two seconds of slots a hundredth apart there is one for twenty; each of the patient with a slot got
-  // it.
+  // Slots 100 ms apart within a wait of two seconds are enough for twenty callers; every patient caller with
+  // a slot was served in it.
   EXPECT_GT(counts->kept, 15u);
   EXPECT_LT(counts->lapsed, 8u);
   EXPECT_GT(counts->early, 100u);
   std::sort(patient.begin(), patient.end());
-  EXPECT_GE(patient.size() + 2, pushing.size()) << "pushing paid";
+  EXPECT_GE(patient.size() + 2, pushing.size()) << "retrying early was rewarded";
 }
 
-TEST(GapTable, OverlappingRulesMustAllAgreeAndTheMostSpecificIsNamed) {
+TEST(GapTable, OverlappingRulesMustAllAdmitAndTheMostSpecificRefusalIsNamed) {
   Table gaps = table();
   gaps.announce(rule("prefix", "7f*", "\"interval_ms\":100"), kNine);
   gaps.announce(rule("exact", "7f3a", "\"interval_ms\":1000"), kNine);
@@ -228,15 +232,15 @@
   EXPECT_TRUE(gaps.offer(kNine, call("7f3a")).pass);
   EXPECT_EQ(gaps.offer(kNine + milliseconds(1), call("7f3a")).rule, "exact");
   EXPECT_EQ(gaps.offer(kNine + milliseconds(1), call("7f9")).rule, "prefix")
-      << "the exact one's call did not count";
-  // What the exact rule refused has cost the prefix's allowance nothing.
+      << "the call that passed the exact rule was not counted against the prefix rule";
+  // A call that the exact rule refused consumes nothing of the prefix rule's allowance.
   EXPECT_TRUE(gaps.offer(kNine + seconds(3), call("7f9")).pass);
   std::vector<std::string> asked;
   gaps.test(kNine + seconds(3), call("7f3a"), &asked);
   EXPECT_EQ(asked, (std::vector<std::string>{"exact", "prefix"}));
 }
 
-TEST(GapTable, ClassesCallersFrontsTriesAndExemptionsNarrowARule) {
+TEST(GapTable, ClassCallerFrontTryAndExemptionsNarrowARule) {
   Table gaps = table();
   gaps.announce(
       rule("a", "*", "\"block\":true",
@@ -253,13 +257,13 @@
   gaps.announce(rule("b", "5*", "\"block\":true", R"(,"try":"repeat","front":"sip")"), kNine);
   Call sip = call("55", true, "open", at("10.3.0.1"));
   EXPECT_TRUE(gaps.offer(kNine, sip).pass);
-  sip.front = gap::Entrance::sip;
+  sip.front = gap::FrontKind::sip;
   EXPECT_FALSE(gaps.offer(kNine, sip).pass);
   sip.repeat = false;
   EXPECT_TRUE(gaps.offer(kNine, sip).pass);
 }
 
-TEST(GapTable, APercentageIsOfFirstTriesSoThatRedialsGainNothing) {
+TEST(GapTable, APercentageCountsFirstTriesSoRedialsGainNothing) {
   Table gaps = table();
   gaps.announce(rule("g", "7", "\"percentage\":30"), kNine);
   int first = 0, again = 0;
@@ -276,7 +280,7 @@
   EXPECT_EQ(again, 0);
 }
 
-TEST(GapTable, BurstsWindowsExpiryAndAClockSetBack) {
+TEST(GapTable, BurstsWeeklyWindowsExpiryAndAClockSetBack) {
   Table gaps = table();
   gaps.announce(
       rule("g", "7", "\"per_s\":10,\"burst\":5", R"(,"weekly":["wed 08:00-09:30"],"end_s":1796203200)"),
@@ -284,7 +288,7 @@
   int passed = 0;
   for (int i = 0; i < 20; ++i) passed += gaps.offer(kNine + seconds(10), call("7")).pass ? 1 : 0;
   EXPECT_EQ(passed, 5);
-  // Set back an hour: nothing is saved up by it, and nothing breaks.
+  // The clock is set back by an hour: no tokens accumulate.
   for (int i = 0; i < 20; ++i) passed += gaps.offer(kNine - seconds(3600), call("7")).pass ? 1 : 0;
   EXPECT_EQ(passed, 5);
   EXPECT_TRUE(gaps.expire(kNine + seconds(1000)).empty());
@@ -297,24 +301,23 @@
   EXPECT_TRUE(gaps.offer(kNine + seconds(16 * 3600), call("8")).pass);
 }
 
-TEST(GapTable, TheSameTwiceIsOneAndOlderRevisionsNeverWin) {
+TEST(GapTable, ARepeatedAnnouncementIsIgnoredAndOlderRevisionsNeverWin) {
   Table gaps = table();
-  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 5), kNine), Table::Taken::taken);
-  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 5), kNine), Table::Taken::same);
-  EXPECT_EQ(gaps.announce(rule("g", "8", "\"block\":true", "", 4), kNine), Table::Taken::older);
+  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 5), kNine), Table::AnnounceResult::taken);
+  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 5), kNine), Table::AnnounceResult::same);
+  EXPECT_EQ(gaps.announce(rule("g", "8", "\"block\":true", "", 4), kNine), Table::AnnounceResult::older);
   EXPECT_FALSE(gaps.lift("g", 5, kNine));
   EXPECT_FALSE(gaps.offer(kNine, call("7")).pass);
   EXPECT_TRUE(gaps.lift("g", 6, kNine));
   EXPECT_TRUE(gaps.offer(kNine, call("7")).pass);
-  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 6), kNine), Table::Taken::older)
-      << "a lifted one came back";
-  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 7), kNine), Table::Taken::taken);
+  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 6), kNine), Table::AnnounceResult::older)
+      << "a lifted rule came back";
+  EXPECT_EQ(gaps.announce(rule("g", "7", "\"block\":true", "", 7), kNine), Table::AnnounceResult::taken);
   EXPECT_FALSE(gaps.offer(kNine, call("7")).pass);
 }
 
-// Whatever the calls, in no second does more pass than the allowance, the saved-up burst apart; counts add
-// up.
-TEST(GapTable, NoStretchHasMoreThanItsAllowance) {
+// Property: whatever the calls, no second passes more than the rate plus the burst, and the counts add up.
+TEST(GapTable, NoSecondExceedsTheAllowance) {
   EXPECT_TRUE(rc::check("the bound of a bucket", [] {
     const int rate = *rc::gen::inRange(1, 50), burst = *rc::gen::inRange(1, 10);
     Table gaps(Table::Bounds{}, 7);
@@ -339,8 +342,8 @@
   }));
 }
 
-// A flood of distinct numbers while one is hot: the gap holds, what it remembers is bounded.
-TEST(GapTable, AFloodOfNumbersDoesNotFillItsMemory) {
+// A flood of distinct numbers under one rule: the number of slots stays bounded.
+TEST(GapTable, AFloodOfNumbersDoesNotExhaustMemory) {
   Table::Bounds bounds;
   bounds.slots = 50;
   bounds.longest_wait = seconds(1000);
@@ -355,9 +358,9 @@
 
 // ---- Heavy hitters
 
-TEST(GapSketch, NamesTheHotNumberAmongAHundredThousandWithinItsBound) {
+TEST(GapSketch, FindsTheHotNumberAmongAHundredThousandWithinTheErrorBound) {
   constexpr std::size_t kCounters = 200;
-  gap::HitterWindow window(kCounters, 6, seconds(10));
+  gap::HeavyHitterWindow window(kCounters, 6, seconds(10));
   std::uint64_t hot = 0, all = 0;
   for (std::uint64_t i = 0; i < 200000; ++i) {
     const Time now = kNine + Duration(static_cast<std::int64_t>(i) * 200);
@@ -376,36 +379,37 @@
   EXPECT_LE(top[0].offered - hot, top[0].error);
   EXPECT_LE(top[0].error, all / kCounters);
   EXPECT_GT(top[0].refused, hot * 9 / 10);
-  EXPECT_TRUE(window.top(end + seconds(120), 3).empty()) << "the crowd is gone and still named";
+  EXPECT_TRUE(window.top(end + seconds(120), 3).empty())
+      << "a number is still reported after its window has passed";
 }
 
-// ---- In the core, over the control connection
+// ---- With the planner and the control connection
 
-class GapCore : public Program {
+class GapControl : public Program {
  protected:
-  GapCore() {
+  GapControl() {
     std::string pattern = (std::filesystem::temp_directory_path() / "gap-XXXXXX").string();
     directory = ::mkdtemp(pattern.data());
     sip::FrontConfig config;
     config.listening.udp = config.listening.tcp = any_port();
     config.default_class = "voice";
     sip_front = std::make_unique<sip::SipFront>(loop, log, *planner, config, 7);
-    operate();
+    start_service();
     open_server();
   }
-  ~GapCore() override {
-    operation.reset();  // its writer still has files to write there
+  ~GapControl() override {
+    service.reset();  // its writer may still write files there
     std::filesystem::remove_all(directory);
   }
-  void operate() {
-    operation.reset();
+  void start_service() {
+    service.reset();
     ControlSettings settings;
     settings.listen = any_port();
     settings.directory = directory + "/control";
-    operation = std::make_unique<Operation>(loop, log, *planner, settings, 1);
-    operator_ = Peer::connect(operation->address());
+    service = std::make_unique<ControlService>(loop, log, *planner, settings, 1);
+    operator_ = Peer::connect(service->address());
   }
-  // A command and its answer.
+  // Sends a command and returns its reply.
   std::string ask(const std::string& command) {
     operator_.say(command + "\n");
     std::string reply;
@@ -425,13 +429,13 @@
 
   std::string directory;
   std::unique_ptr<sip::SipFront> sip_front;
-  std::unique_ptr<Operation> operation;
+  std::unique_ptr<ControlService> service;
   Peer operator_;
 };
 
-// The same gap by every way in: refused at once and when to come back, no server hears of it; lifted, all
-// stand.
-TEST_F(GapCore, EveryFrontIsToldTheSameAndALiftedGapLetsAllPass) {
+// A gap applies on every front: the call is refused at once with a retry delay and never reaches a server.
+// After the gap is lifted, calls pass.
+TEST_F(GapControl, EveryFrontRefusesAlikeAndALiftedGapLetsAllPass) {
   EXPECT_NE(add(R"("number":"7f3a*","control":{"block":true})").find("\"ok\":true,\"taken\":1"),
             std::string::npos);
   Peer gateway = caller(), udp = Peer::udp(sip_front->address(sip::TransportKind::udp)),
@@ -447,7 +451,7 @@
   const std::string told = gateway.take();
   EXPECT_EQ(told[2], 12) << "no release";
   EXPECT_NE(told.find(std::string("\xd0\x00\x01", 3) + static_cast<char>(42)), std::string::npos);
-  EXPECT_NE(told.find(std::string("\xc0\x00\x04", 3)), std::string::npos) << "no wait of four digits";
+  EXPECT_NE(told.find(std::string("\xc0\x00\x04", 3)), std::string::npos) << "no retry delay of four digits";
   EXPECT_EQ(server.heard().find("offer"), std::string::npos);
   EXPECT_NE(ask(R"({"v":1,"op":"gap.list"})").find("\"offered\":3,\"passed\":0,\"refused\":3"),
             std::string::npos);
@@ -461,15 +465,16 @@
   hears(server, "00000000000000bb");
 }
 
-// A call that waits for a server falls under a gap announced meanwhile; one whose attempt is out does not.
-TEST_F(GapCore, HeldCallsFallUnderAGapAnnouncedWhileTheyWait) {
+// A gap announced while a call waits for a server refuses that call, but not a call with an attempt in
+// flight.
+TEST_F(GapControl, AGapAnnouncedMeanwhileAppliesToHeldCalls) {
   Peer gateway = caller();
   gateway.say(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
   planner->update_servers({2, true, {host(listener, 0, Availability::draining)}});
   gateway.say(setup(0xbb, "d"));
   settle();
-  EXPECT_EQ(gateway.heard(), "") << "it is not held: this test shows nothing";
+  EXPECT_EQ(gateway.heard(), "") << "the call is not held, so this test shows nothing";
   EXPECT_NE(add(R"("number":"7f*","control":{"block":true})").find("\"taken\":1"), std::string::npos);
   until([&] { return !gateway.heard().empty(); }, "the refusal");
   EXPECT_EQ(count(gateway.heard(), std::string(7, '\0') + '\xbb'), 1u);
@@ -479,24 +484,25 @@
   EXPECT_EQ(planner->pending_answers(), 0u);
 }
 
-TEST_F(GapCore, HostileControlInputIsAnsweredOrClosedAndCallsGoOn) {
+TEST_F(GapControl, MalformedControlInputIsRejectedAndCallsGoOn) {
   const std::pair<const char*, const char*> bad[] = {
-      {"what", "no JSON object"},
-      {"[]", "no JSON object"},
+      {"what", "not a JSON object"},
+      {"[]", "not a JSON object"},
       {R"({"op":"gap.list"})", "\\\"v\\\" is missing"},
-      {R"({"v":2,"op":"gap.list"})", "version 2 is not spoken here"},
-      {R"({"v":1,"op":"gap.what"})", "there is no command"},
+      {R"({"v":2,"op":"gap.list"})", "version 2 is not supported"},
+      {R"({"v":1,"op":"gap.what"})", "unknown command"},
       {R"({"v":1,"op":"gap.add"})", "is missing"},
       {R"({"v":1,"op":"gap.add","rule":{"id":"x","number":"1**","control":{"block":true}}})", "column 3"},
       {R"({"v":1,"op":"gap.add","rules":[{"id":"x","control":{"block":true}},{"id":"y"}]})", "rule 1: "},
-      {R"({"v":1,"op":"gap.test","number":"1","caller":"nowhere"})", "is no address"}};
+      {R"({"v":1,"op":"gap.test","number":"1","caller":"nowhere"})", "is not an IP address"}};
   for (const auto& [command, about] : bad) {
     const std::string reply = ask(command);
     EXPECT_NE(reply.find("\"ok\":false"), std::string::npos) << command;
     EXPECT_NE(reply.find(about), std::string::npos) << reply;
   }
-  EXPECT_EQ(operation->gate().table().size(), 0u) << "half a list was taken";
-  // Ten thousand rules in one command; half a line; a client that asks on and reads nothing.
+  EXPECT_EQ(service->gate().table().size(), 0u) << "part of a list was applied";
+  // Ten thousand rules in one command, an incomplete line, and a client that sends requests without reading
+  // replies.
   std::string rules;
   for (int i = 0; i < 10000; ++i) {
     rules += (i == 0 ? "" : ",") + std::string("{\"id\":\"r") + std::to_string(i) + "\",\"number\":\"" +
@@ -504,7 +510,7 @@
   }
   EXPECT_NE(ask("{\"v\":1,\"op\":\"gap.add\",\"rules\":[" + rules + "]}").find("\"taken\":10000"),
             std::string::npos);
-  Peer half = Peer::connect(operation->address()), deaf = Peer::connect(operation->address());
+  Peer half = Peer::connect(service->address()), deaf = Peer::connect(service->address());
   half.say("{\"v\":1,\"op\":\"gap.li");
   for (int i = 0; i < 40; ++i) {
     deaf.say("{\"v\":1,\"op\":\"gap.list\"}\n");
@@ -518,8 +524,9 @@
   hears(half, "\"lifted\":true");
 }
 
-// It ends while answers wait for clients that have gone: closing them is no loss of theirs to be told of.
-TEST_F(GapCore, EndingWithAnswersThatNobodyReadsHarmsNothing) {
+// Guards against use of the service during its destruction: closing connections with unsent replies must not
+// be reported to it as lost connections.
+TEST_F(GapControl, ShutdownWithUnreadRepliesDoesNoHarm) {
   std::string rules;
   for (int i = 0; i < 3000; ++i) {
     rules += (i == 0 ? "" : ",") + std::string("{\"id\":\"r") + std::to_string(i) +
@@ -527,26 +534,26 @@
   }
   ask("{\"v\":1,\"op\":\"gap.add\",\"rules\":[" + rules + "]}");
   std::vector<Peer> gone;
-  for (int i = 0; i < 4; ++i) gone.push_back(Peer::connect(operation->address()));
+  for (int i = 0; i < 4; ++i) gone.push_back(Peer::connect(service->address()));
   for (Peer& each : gone) {
     for (int i = 0; i < 12; ++i) each.say("{\"v\":1,\"op\":\"gap.list\"}\n");
   }
   settle(60);
   for (Peer& each : gone) each.reset();
-  operation.reset();
+  service.reset();
   Peer gateway = caller();
   gateway.say(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
 }
 
-// A new instance takes up what was in force, and what was lifted stays lifted, before it takes calls.
-TEST_F(GapCore, TheRulesInForceSurviveARestartAndChangesAreInTheAuditLog) {
+// A restarted instance has the rules in force, and lifted rules stay lifted, before it takes calls.
+TEST_F(GapControl, RulesInForceSurviveARestartAndChangesAreAudited) {
   add(R"("number":"7*","control":{"block":true},"who":"ana","why":"exam at nine")");
   ask(R"({"v":1,"op":"gap.add","rule":{"id":"h","revision":5,"number":"8*","control":{"per_s":5,"burst":2}}})");
   ask(R"({"v":1,"op":"gap.lift","id":"h","who":"ben"})");
-  operate();
-  EXPECT_EQ(operation->gate().table().size(), 1u);
-  EXPECT_FALSE(operation->gate().table().test(loop.now(), call("7")).pass);
+  start_service();
+  EXPECT_EQ(service->gate().table().size(), 1u);
+  EXPECT_FALSE(service->gate().table().test(loop.now(), call("7")).pass);
   EXPECT_NE(
       ask(R"({"v":1,"op":"gap.add","rule":{"id":"h","revision":6,"number":"8*","control":{"block":true}}})")
           .find("\"older\":1"),
@@ -559,7 +566,7 @@
   EXPECT_NE(audit.find("\"what\":\"lifted\",\"id\":\"h\",\"revision\":6,\"who\":\"ben\""), std::string::npos);
 }
 
-TEST_F(Process, TheGapCommandsSpeakToARunningInstance) {
+TEST_F(Process, TheGapCommandsControlARunningInstance) {
   const sockaddr_in control = free_address();
   acme::replace_file(directory + "/control.toml", "listen = \"" + address_text(control) +
                                                       "\"\ndirectory = \"" + directory + "/control\"\n");
@@ -589,11 +596,11 @@
   hears(server, "00000000000000cc");
   ::kill(pid, SIGKILL);
   exit_code();
-  EXPECT_NE(command({"list"}, 1).find("nobody answers"), std::string::npos);
+  EXPECT_NE(command({"list"}, 1).find("cannot connect to"), std::string::npos);
   acme::replace_file(directory + "/control.toml", "listen = \"10.0.0.1:1\"\n");
   start(config(), {"--control", directory + "/control.toml"});
   EXPECT_EQ(exit_code(), 2);
-  EXPECT_NE(log().find("control.toml: line 1: \"listen\" is no loopback address"), std::string::npos)
+  EXPECT_NE(log().find("control.toml: line 1: \"listen\" is not a loopback address"), std::string::npos)
       << log();
 }
 
@@ -601,7 +608,7 @@
 }  // namespace quartzarch::test
 
 int main(int argc, char** argv) {
-  ::setenv("RC_PARAMS", "seed=20261201", 1);  // the same cases each time
+  ::setenv("RC_PARAMS", "seed=20261201", 1);  // the same cases in each run
   ::testing::InitGoogleTest(&argc, argv);
   return RUN_ALL_TESTS();
 }
--- a/tests/shared_gaps_test.cpp
+++ b/tests/shared_gaps_test.cpp
@@ -7,14 +7,14 @@
 #include <set>
 
 #include "fleet_process.hpp"
-#include "gap/ledger.hpp"
+#include "gap/list_replica.hpp"
 #include "gap/rule.hpp"
 
 namespace quartzarch::test {
 namespace {
 
 using gap::Entry;
-using gap::Ledger;
+using gap::ListReplica;
 using std::chrono::milliseconds;
 
 // ---- The ledger alone
@@ -42,7 +42,7 @@
       deliver(true);
     }
     for (const auto& node : nodes_) {
-      if (node->ledger.waiting() > 0) return "a change never reached the list";
+      if (node->ledger.pending_count() > 0) return "a change never reached the list";
       if (node->table != active_entries()) return "a controller ended with a different list";
     }
     for (const auto& [id, item] : list_) {
@@ -53,11 +53,11 @@
 
  private:
   struct Node {
-    Ledger ledger{Ledger::Bounds{}};
+    ListReplica ledger{ListReplica::Bounds{}};
     std::map<std::string, Entry> table{};  // in force
     bool cut = false;
     bool synced = false;  // has received the complete list since its start
-    std::deque<std::vector<Ledger::Shown>> updates{};
+    std::deque<std::vector<ListReplica::ListedEntry>> updates{};
   };
   std::size_t random_below(std::size_t below) {
     return std::uniform_int_distribution<std::size_t>(0, below - 1)(random_);
@@ -73,7 +73,7 @@
     }
     return all;
   }
-  static void apply_news(Node& node, const std::vector<Ledger::News>& news) {
+  static void apply_news(Node& node, const std::vector<ListReplica::Update>& news) {
     for (const auto& each : news) {
       node.table.erase(each.id);
       if (each.entry && !each.entry->lifted()) node.table[each.id] = *each.entry;
@@ -106,7 +106,7 @@
         if (!node.cut) node.synced = false;  // its watch starts again
         break;
       case 4: {  // restarts from what it stored
-        Ledger fresh{Ledger::Bounds{}};
+        ListReplica fresh{ListReplica::Bounds{}};
         for (const auto& [each, entry] : node.table)
           fresh.restore(each, entry, node.ledger.agreed(each) && !restores_as_unagreed_);
         node.ledger = std::move(fresh);
@@ -125,9 +125,9 @@
     }
   }
   // Returns the entry's new place, or 0 if the write was refused.
-  Ledger::Place write(const Ledger::Write& write) {
+  ListReplica::Version write(const ListReplica::Write& write) {
     const auto found = list_.find(write.id);
-    const Ledger::Place present = found == list_.end() ? 0 : found->second.second;
+    const ListReplica::Version present = found == list_.end() ? 0 : found->second.second;
     if (present != write.expected) return 0;
     ++place_;
     if (write.entry) {
@@ -144,14 +144,15 @@
     return place_;
   }
   void send_due(Node& node) {
-    for (const auto& each : node.ledger.due(now_)) {
+    for (const auto& each : node.ledger.next_writes(now_)) {
       if (node.cut || random_below(6) == 0) {
         if (!node.cut && random_below(2) == 0) write(each);  // the reply is lost
-        node.ledger.answered(now_, each.id, Ledger::Outcome::lost);
+        node.ledger.complete_write(now_, each.id, ListReplica::Outcome::lost);
         continue;
       }
-      const Ledger::Place place = write(each);
-      node.ledger.answered(now_, each.id, place ? Ledger::Outcome::done : Ledger::Outcome::changed, place);
+      const ListReplica::Version place = write(each);
+      node.ledger.complete_write(now_, each.id,
+                                 place ? ListReplica::Outcome::done : ListReplica::Outcome::conflict, place);
     }
   }
   void deliver(bool all) {
@@ -159,13 +160,13 @@
       if (node->cut) continue;
       if (!node->synced) {
         node->updates.clear();
-        std::vector<Ledger::Shown> whole;
+        std::vector<ListReplica::ListedEntry> whole;
         for (const auto& [id, item] : list_) whole.push_back({id, item.first, item.second});
-        apply_news(*node, node->ledger.shown(whole, true));
+        apply_news(*node, node->ledger.apply(whole, true));
         node->synced = true;
       }
       while (!node->updates.empty() && (all || random_below(3) == 0)) {
-        apply_news(*node, node->ledger.shown(node->updates.front(), false));
+        apply_news(*node, node->ledger.apply(node->updates.front(), false));
         node->updates.pop_front();
       }
     }
@@ -175,11 +176,11 @@
   const bool restores_as_unagreed_;
   Time now_ = std::chrono::hours(1);
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::map<std::string, std::pair<Entry, Ledger::Place>> list_;
+  std::map<std::string, std::pair<Entry, ListReplica::Version>> list_;
   std::set<std::string> lifted_;  // lifted rules that were in the list
   std::map<std::string, std::uint64_t> highest_;
   std::size_t rate_ = 0;  // rate of the last announced rule; no two are alike
-  Ledger::Place place_ = 0;
+  ListReplica::Version place_ = 0;
 };
 
 TEST(SharedGaps, PartitionedControllersConvergeAndNoLiftedGapReturns) {
