--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -25,7 +25,7 @@
  public:
   Question(Loop& loop, const sockaddr_in& to, std::string frame)
       : stream_(std::make_shared<Stream>(loop, to, milliseconds(500), static_cast<Stream::Owner&>(*this),
-                                         Rank::servers)) {
+                                         Priority::servers)) {
     stream_->send({std::move(frame), {}, 0});
   }
   ~Question() override { stream_->close(); }
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -18,7 +18,7 @@
 
 Server::Server(Loop& loop, Logger& log, const sockaddr_in& listen)
     : loop_(loop), log_(log), acceptor_(loop, listen_on(listen)) {
-  loop_.watch(*this, Rank::callers);
+  loop_.watch(*this, Priority::callers);
 }
 
 Server::~Server() {
@@ -39,7 +39,7 @@
     streams_.erase(oldest);
   }
   auto stream =
-      std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::callers);
+      std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
   stream->limit_output(kLongestOutput);
   streams_[stream.get()] = std::move(stream);
 }
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -159,7 +159,7 @@
       acceptor_(loop, listen_on(listen, Sharing::shared)),
       most_connections_(most_connections),
       longest_output_(longest_output) {
-  loop_.watch(*this, Rank::callers);
+  loop_.watch(*this, Priority::callers);
   loop_.spare_by(*this);
   sweep();
 }
@@ -229,7 +229,7 @@
     connection.came = loop_.now();
     connection.peer = ntohl(peer.sin_addr.s_addr);
     connection.stream =
-        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::callers);
+        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
     Stream& stream = *connection.stream;
     stream.limit_output(longest_output_);
     connections_.emplace(&stream, std::move(connection));
--- a/src/front/management.cpp
+++ b/src/front/management.cpp
@@ -68,7 +68,7 @@
 ManagementFront::ManagementFront(Loop& loop, Logger& log, Operated& operated, const sockaddr_in& listen)
     : loop_(loop), log_(log), operated_(operated), acceptor_(loop, listen_on(listen)) {
   // Before what callers and servers say: its answer is due within a second however busy the rest is.
-  loop_.watch(*this, Rank::news);
+  loop_.watch(*this, Priority::control);
   sweep();
 }
 
@@ -95,7 +95,7 @@
     connection->parser.header_limit(kLongestRequest);
     connection->parser.body_limit(kLongestRequest);
     connection->stream =
-        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::news);
+        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::control);
     const Stream* const key = connection->stream.get();
     connections_.emplace(key, std::move(connection));
   }
--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -38,17 +38,17 @@
     : loop_(loop), log_(log), most_connections_(most_connections), on_message_(std::move(on_message)) {
   if (listening.udp) {
     udp_ = bind_udp(*listening.udp);
-    loop_.watch(*this, Rank::callers);
+    loop_.watch(*this, Priority::callers);
   }
   if (listening.tcp) {
     tcp_ = std::make_unique<Listener>(*this, TransportKind::tcp, listen_on(*listening.tcp));
-    loop_.watch(*tcp_, Rank::callers);
+    loop_.watch(*tcp_, Priority::callers);
   }
   if (listening.tls) {
     tls_context_ = std::make_unique<TlsContext>(log, listening.certificates, listening.tls_certificate,
                                                 listening.tls_ca);
     tls_ = std::make_unique<Listener>(*this, TransportKind::tls, listen_on(*listening.tls));
-    loop_.watch(*tls_, Rank::callers);
+    loop_.watch(*tls_, Priority::callers);
     if (tls_context_->watches()) look_at_certificate();
   }
   sweep();
@@ -141,9 +141,9 @@
       log_.line("sip: no descriptor left, connections have to wait");
       return make_room();
     }
-    Connection& connection =
-        add(std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::callers),
-            peer, kind);
+    Connection& connection = add(
+        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers),
+        peer, kind);
     if (kind == TransportKind::tls) connection.tls = TlsSession::accepting(tls_context_->server());
   }
   make_room();
@@ -203,7 +203,7 @@
   if (to.address.sin_port == 0 || (to.kind == TransportKind::tls && !tls_context_)) return nullptr;
   if (!room()) make_room();
   Connection& made = add(std::make_shared<Stream>(loop_, to.address, kConnectTimeout,
-                                                  static_cast<Stream::Owner&>(*this), Rank::callers),
+                                                  static_cast<Stream::Owner&>(*this), Priority::callers),
                          to.address, to.kind);
   made.spoke = true;  // it is ours: only responses come on it
   if (to.kind == TransportKind::tls) {
--- a/src/link/planners.cpp
+++ b/src/link/planners.cpp
@@ -50,7 +50,7 @@
 
 void Planners::connect(std::size_t planner) {
   planners_[planner].stream = std::make_shared<Stream>(loop_, planners_[planner].address, kConnectTimeout,
-                                                       static_cast<Stream::Owner&>(*this), Rank::servers);
+                                                       static_cast<Stream::Owner&>(*this), Priority::servers);
 }
 
 std::size_t Planners::of(const Stream& stream) const {
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -13,7 +13,7 @@
 
 Port::Port(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen)
     : loop_(loop), log_(log), core_(core), acceptor_(loop, listen_on(listen)), told_ready_(core.ready()) {
-  loop_.watch(*this, Rank::callers);
+  loop_.watch(*this, Priority::callers);
 }
 
 Port::~Port() {
@@ -38,7 +38,7 @@
   Fd fd = acceptor_.next();
   if (!fd || forwarders_.size() >= kMostForwarders) return;
   auto stream =
-      std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::callers);
+      std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
   Stream& link = *stream;
   tell_state();  // so that all of them have been told the same
   forwarders_[&link].stream = std::move(stream);
--- a/src/net/coordinator.cpp
+++ b/src/net/coordinator.cpp
@@ -46,7 +46,7 @@
   data_.clear();
   heard_ = progressed_ = began_ = loop_.now();
   stream_ = std::make_shared<Stream>(loop_, address_, kConnectTimeout, static_cast<Stream::Owner&>(*this),
-                                     Rank::news);
+                                     Priority::control);
   watch_silence();
 }
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -5,7 +5,7 @@
 
 namespace quartzarch {
 
-void Loop::watch(Watched& watched, Rank rank) { watched_[rank].push_back(&watched); }
+void Loop::watch(Watched& watched, Priority rank) { watched_[rank].push_back(&watched); }
 
 void Loop::forget(Watched& watched) {
   for (auto& [rank, list] : watched_) std::erase(list, &watched);
@@ -41,7 +41,7 @@
 
 void Loop::pass(Duration longest_wait) {
   std::vector<pollfd> polled;
-  std::vector<std::pair<Rank, Watched*>> order;
+  std::vector<std::pair<Priority, Watched*>> order;
   for (const auto& [rank, list] : watched_) {
     for (Watched* const each : list) {
       polled.push_back({each->descriptor(), each->interest(), 0});
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -16,7 +16,7 @@
 
 namespace quartzarch {
 
-enum class Rank { news, servers, callers };
+enum class Priority { control, servers, callers };
 
 class Watched {
  public:
@@ -34,7 +34,7 @@
 
   explicit Loop(Clock clock = unix_time) : clock_(clock), now_(clock()) {}
 
-  void watch(Watched& watched, Rank rank);
+  void watch(Watched& watched, Priority rank);
   void forget(Watched& watched);
 
   TimerId at(Time when, Step step);
@@ -72,7 +72,7 @@
   void finish();
   int wait_ms(Duration longest_wait) const;
 
-  std::map<Rank, std::vector<Watched*>> watched_;
+  std::map<Priority, std::vector<Watched*>> watched_;
   std::multimap<Time, Timer> timers_;
   std::map<TimerId, std::multimap<Time, Timer>::iterator> timer_of_;
   TimerId last_timer_ = 0;
--- a/src/net/mailbox.hpp
+++ b/src/net/mailbox.hpp
@@ -20,7 +20,7 @@
   // Throws std::system_error.
   explicit Mailbox(Loop& loop) : loop_(&loop), bell_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
     if (!bell_) throw std::system_error(errno, std::generic_category(), "eventfd");
-    loop.watch(*this, Rank::news);
+    loop.watch(*this, Priority::control);
   }
   ~Mailbox() override { close(); }
   Mailbox(const Mailbox&) = delete;
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -182,7 +182,7 @@
   lane.given_up.reset();
   lane.heard = loop_.now();
   lane.stream = std::make_shared<Stream>(loop_, socket_address(link.server), connect_timeout_,
-                                         static_cast<Stream::Owner&>(*this), Rank::servers);
+                                         static_cast<Stream::Owner&>(*this), Priority::servers);
 }
 
 void Servers::reconnect_after_backoff(Link& link, Lane& lane) {
--- a/src/net/signals.hpp
+++ b/src/net/signals.hpp
@@ -21,7 +21,7 @@
     for (const int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&set, signal);
     sigprocmask(SIG_BLOCK, &set, nullptr);
     fd_ = Fd(::signalfd(-1, &set, SFD_CLOEXEC | SFD_NONBLOCK));
-    loop_.watch(*this, Rank::news);
+    loop_.watch(*this, Priority::control);
   }
   ~Signals() override { loop_.forget(*this); }
 
--- a/src/register/client.cpp
+++ b/src/register/client.cpp
@@ -30,7 +30,7 @@
     if (!stream_) {
       connected_to_ = access_.voter();
       stream_ = std::make_shared<Stream>(loop_, voters_.at(connected_to_), kConnect,
-                                         static_cast<Stream::Owner&>(*this), Rank::servers);
+                                         static_cast<Stream::Owner&>(*this), Priority::servers);
     }
     for (std::string& bytes : frames) stream_->send({std::move(bytes), {}, 0});
   }
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -64,7 +64,7 @@
   node_ = std::make_unique<Node>(node, disk_, static_cast<Transport&>(*this), seed ^ id_, loop_.now());
   service_ = std::make_unique<Service>(
       *node_, [this](std::uint64_t client, std::string frame) { send_to_client(client, std::move(frame)); });
-  loop_.watch(*this, Rank::servers);
+  loop_.watch(*this, Priority::servers);
   tick();
 }
 
@@ -111,7 +111,7 @@
   if (!out.stream) {
     if (loop_.now() < out.retry_at) return;
     out.stream = std::make_shared<Stream>(loop_, address->second, kConnect,
-                                          static_cast<Stream::Owner&>(*this), Rank::servers);
+                                          static_cast<Stream::Owner&>(*this), Priority::servers);
     out.stream->limit_output(kMostOutput);
     out.stream->send({frame(FrameType::hello, id_, {settings_.name}), {}, 0});
   }
@@ -127,7 +127,7 @@
     if (!fd) return;
     if (connections_.size() >= kMostConnections) continue;
     auto stream =
-        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::servers);
+        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::servers);
     Stream& came = *stream;
     came.limit_output(kMostOutput);
     Connection& connection = connections_[&came];
--- a/standin/setup_server/setup_server.cpp
+++ b/standin/setup_server/setup_server.cpp
@@ -15,7 +15,7 @@
 
 SetupServer::SetupServer(const Options& options)
     : options_(options), acceptor_(loop_, listen_on(options.listen)), random_(options.seed) {
-  loop_.watch(*this, Rank::callers);
+  loop_.watch(*this, Priority::callers);
   thread_ = std::jthread([this](const std::stop_token& stop) {
     while (!stop.stop_requested()) loop_.pass(kLook);
   });
@@ -31,7 +31,7 @@
 void SetupServer::ready(short) {
   while (Fd fd = acceptor_.next()) {
     auto stream =
-        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::callers);
+        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
     streams_[stream.get()] = stream;
     say(*stream, "group", std::string(16, '0'), "\"with\":{\"load\":" + load() + "}");
   }
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -185,7 +185,7 @@
   } owner;
   Acceptor acceptor(loop, listen_on(any_port()));
   Peer other = Peer::connect(bound_address(acceptor.fd()));
-  Stream stream(loop, acceptor.next(), owner, Rank::callers);
+  Stream stream(loop, acceptor.next(), owner, Priority::callers);
   const int small = 4096;
   ::setsockopt(stream.descriptor(), SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
   stream.limit_output(4 << 20);
@@ -555,7 +555,7 @@
     void lost(Stream&, Lost) override {}
   } nobody;
   NoDescriptorLeft none;
-  const Stream watch(loop, at.address(), milliseconds(1000), nobody, Rank::news);
+  const Stream watch(loop, at.address(), milliseconds(1000), nobody, Priority::control);
   none.give_back();
   EXPECT_GE(watch.descriptor(), 0);
   const auto gave = [](Peer& each) { return each.ended(); };
