--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -5,10 +5,10 @@
 
 namespace quartzarch {
 
-void Loop::watch(Watched& watched, Priority rank) { watched_[rank].push_back(&watched); }
+void Loop::watch(Watched& watched, Priority priority) { watched_[priority].push_back(&watched); }
 
 void Loop::forget(Watched& watched) {
-  for (auto& [rank, list] : watched_) std::erase(list, &watched);
+  for (auto& [priority, list] : watched_) std::erase(list, &watched);
 }
 
 Loop::TimerId Loop::at(Time when, Step step) {
@@ -42,10 +42,10 @@
 void Loop::pass(Duration longest_wait) {
   std::vector<pollfd> polled;
   std::vector<std::pair<Priority, Watched*>> order;
-  for (const auto& [rank, list] : watched_) {
+  for (const auto& [priority, list] : watched_) {
     for (Watched* const each : list) {
       polled.push_back({each->descriptor(), each->interest(), 0});
-      order.emplace_back(rank, each);
+      order.emplace_back(priority, each);
     }
   }
   const int count = ::poll(polled.data(), polled.size(), wait_ms(longest_wait));
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,8 +1,8 @@
 // The one loop: poll(2), timers and the steps that end a pass.
 //
-// A pass takes what is ready in order of rank (news of the servers before what servers say, that before what
-// callers say), then the timers that are due, then the closing steps, in which decisions are carried out and
-// queued bytes written. Nothing that is sent can so be older than news that had already arrived.
+// A pass takes what is ready in order of priority (news of the servers before what servers say, that before
+// what callers say), then the timers that are due, then the closing steps, in which decisions are carried out
+// and queued bytes written. Nothing that is sent can so be older than news that had already arrived.
 #pragma once
 
 #include <poll.h>
@@ -34,7 +34,7 @@
 
   explicit Loop(Clock clock = unix_time) : clock_(clock), now_(clock()) {}
 
-  void watch(Watched& watched, Priority rank);
+  void watch(Watched& watched, Priority priority);
   void forget(Watched& watched);
 
   TimerId at(Time when, Step step);
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -40,13 +40,13 @@
 
 }  // namespace
 
-Stream::Stream(Loop& loop, Fd fd, Owner& owner, Priority rank)
+Stream::Stream(Loop& loop, Fd fd, Owner& owner, Priority priority)
     : loop_(loop), owner_(owner), fd_(std::move(fd)), came_up_(true), last_used_(loop.now()) {
   set_up(fd_.get());
-  loop_.watch(*this, rank);
+  loop_.watch(*this, priority);
 }
 
-Stream::Stream(Loop& loop, const sockaddr_in& to, Duration timeout, Owner& owner, Priority rank)
+Stream::Stream(Loop& loop, const sockaddr_in& to, Duration timeout, Owner& owner, Priority priority)
     : loop_(loop), owner_(owner), state_(State::connecting), last_used_(loop.now()) {
   fd_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
   // Idle callers may hold them all: what news and setup servers need goes before.
@@ -70,7 +70,7 @@
     connect_timer_.reset();
     fail(Lost::timed_out);
   });
-  loop_.watch(*this, rank);
+  loop_.watch(*this, priority);
 }
 
 Stream::~Stream() {
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -37,9 +37,9 @@
   };
 
   // Takes over an accepted connection.
-  Stream(Loop& loop, Fd fd, Owner& owner, Priority rank);
+  Stream(Loop& loop, Fd fd, Owner& owner, Priority priority);
   // Connects; one that is not up after `timeout` is lost.
-  Stream(Loop& loop, const sockaddr_in& to, Duration timeout, Owner& owner, Priority rank);
+  Stream(Loop& loop, const sockaddr_in& to, Duration timeout, Owner& owner, Priority priority);
   ~Stream() override;
 
   // What may wait for the peer to take it; half of it and no more is read from the peer until it does.
