--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -22,11 +22,11 @@
 }
 
 Server::~Server() {
-  loop_.forget(*this);
+  loop_.unwatch(*this);
   for (auto& [raw, stream] : streams_) stream->close();
 }
 
-void Server::ready(short) {
+void Server::on_ready(short) {
   Fd fd = acceptor_.next();
   if (!fd) return;
   if (streams_.size() >= kMostConnections) {
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -28,7 +28,7 @@
   using std::runtime_error::runtime_error;
 };
 
-class Server : private Watched, private Stream::Owner {
+class Server : private IoHandler, private Stream::Owner {
  public:
   // The members of the answer after "ok", each with a comma before it, as in `,"id":"x"`. Throws Refused.
   using Handler = std::function<std::string(simdjson::dom::element request)>;
@@ -44,7 +44,7 @@
  private:
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
-  void ready(short) override;
+  void on_ready(short) override;
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost) override;
   std::string answer(std::string_view line);
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -165,8 +165,8 @@
 }
 
 BinaryFront::~BinaryFront() {
-  loop_.forget(static_cast<const Loop::Spares&>(*this));
-  loop_.forget(static_cast<Watched&>(*this));
+  loop_.unwatch(static_cast<const Loop::Spares&>(*this));
+  loop_.unwatch(static_cast<IoHandler&>(*this));
   loop_.cancel(sweep_timer_);
   for (auto& [stream, connection] : connections_) connection.stream->close();
 }
@@ -179,10 +179,10 @@
 
 void BinaryFront::stop_listening() {
   if (!acceptor_.fd()) return;
-  loop_.forget(static_cast<Watched&>(*this));
+  loop_.unwatch(static_cast<IoHandler&>(*this));
   // What the kernel has in line would be reset with the socket; at the limit of connections it is so anyway.
   std::size_t taken = connections_.size();
-  ready(POLLIN);
+  on_ready(POLLIN);
   taken = connections_.size() - std::min(taken, connections_.size());
   acceptor_.close();
   log_.line("caller: listening no more, %zu connections taken from the line", taken);
@@ -213,7 +213,7 @@
   return room ? POLLIN : 0;
 }
 
-void BinaryFront::ready(short) {
+void BinaryFront::on_ready(short) {
   // One is there for certain; at the limit room is made for that one only.
   if (connections_.size() >= most_connections_ && !make_room()) return;
   while (connections_.size() < most_connections_) {
--- a/src/front/binary.hpp
+++ b/src/front/binary.hpp
@@ -14,7 +14,7 @@
 
 namespace quartzarch {
 
-class BinaryFront : public Front, private Watched, private Stream::Owner, private Loop::Spares {
+class BinaryFront : public Front, private IoHandler, private Stream::Owner, private Loop::Spares {
  public:
   // Callers may hold `most_connections`; throws std::system_error if the address cannot be listened on.
   BinaryFront(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen, std::size_t most_connections,
@@ -56,7 +56,7 @@
 
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override;
-  void ready(short events) override;
+  void on_ready(short events) override;
   bool spare_descriptor() override { return make_room(); }
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost how) override;
--- a/src/front/management.cpp
+++ b/src/front/management.cpp
@@ -73,12 +73,12 @@
 }
 
 ManagementFront::~ManagementFront() {
-  loop_.forget(*this);
+  loop_.unwatch(*this);
   loop_.cancel(sweep_timer_);
   for (auto& [stream, connection] : connections_) connection->stream->close();
 }
 
-void ManagementFront::ready(short) {
+void ManagementFront::on_ready(short) {
   for (;;) {
     Fd fd = acceptor_.next();
     if (!fd) return;
--- a/src/front/management.hpp
+++ b/src/front/management.hpp
@@ -34,7 +34,7 @@
 // .../activate; other paths are 404, other methods on known ones 405. A query is ignored.
 Reply route(std::string_view method, std::string_view target, Operated& operated);
 
-class ManagementFront : private Watched, private Stream::Owner {
+class ManagementFront : private IoHandler, private Stream::Owner {
  public:
   static constexpr std::size_t kLongestRequest = 8 * 1024;
   static constexpr std::size_t kMostConnections = 32;
@@ -51,7 +51,7 @@
 
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
-  void ready(short events) override;
+  void on_ready(short events) override;
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost how) override;
 
--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -57,9 +57,9 @@
 Transport::~Transport() {
   loop_.cancel(sweep_timer_);
   if (certificate_timer_) loop_.cancel(*certificate_timer_);
-  loop_.forget(*this);
-  if (tcp_) loop_.forget(*tcp_);
-  if (tls_) loop_.forget(*tls_);
+  loop_.unwatch(*this);
+  if (tcp_) loop_.unwatch(*tcp_);
+  if (tls_) loop_.unwatch(*tls_);
   for (auto& [id, connection] : connections_) connection.stream->close();
 }
 
@@ -80,7 +80,7 @@
 
 // ---- UDP
 
-void Transport::ready(short) {
+void Transport::on_ready(short) {
   for (int i = 0; i < kDatagramsAtOnce; ++i) {
     std::array<char, 65536> bytes;
     Hop from;
--- a/src/front/sip/transport.hpp
+++ b/src/front/sip/transport.hpp
@@ -33,7 +33,7 @@
 const char* name_of(TransportKind kind);
 int default_port(TransportKind kind);
 
-class Transport : private Watched, private Stream::Owner {
+class Transport : private IoHandler, private Stream::Owner {
  public:
   using OnMessage = std::function<void(const Message&, const Hop& from)>;
 
@@ -50,14 +50,14 @@
   bool flushed() const;
 
  private:
-  class Listener : public Watched {
+  class Listener : public IoHandler {
    public:
     Listener(Transport& transport, TransportKind kind, Fd fd)
         : transport_(transport), kind_(kind), acceptor_(transport.loop_, std::move(fd)) {}
     const Fd& fd() const { return acceptor_.fd(); }
     int descriptor() const override { return fd().get(); }
     short interest() const override { return transport_.room() && !acceptor_.resting() ? POLLIN : 0; }
-    void ready(short) override { transport_.accept_all(acceptor_, kind_); }
+    void on_ready(short) override { transport_.accept_all(acceptor_, kind_); }
 
    private:
     Transport& transport_;
@@ -85,7 +85,7 @@
 
   int descriptor() const override { return udp_.get(); }
   short interest() const override { return POLLIN; }
-  void ready(short events) override;
+  void on_ready(short events) override;
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost how) override;
 
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -17,7 +17,7 @@
 }
 
 Port::~Port() {
-  loop_.forget(*this);
+  loop_.unwatch(*this);
   for (auto& [stream, forwarder] : forwarders_) forwarder.stream->close();
 }
 
@@ -34,7 +34,7 @@
   for (auto& [stream, forwarder] : forwarders_) forwarder.stream->send(state());
 }
 
-void Port::ready(short) {
+void Port::on_ready(short) {
   Fd fd = acceptor_.next();
   if (!fd || forwarders_.size() >= kMostForwarders) return;
   auto stream =
--- a/src/link/port.hpp
+++ b/src/link/port.hpp
@@ -13,7 +13,7 @@
 
 namespace quartzarch::link {
 
-class Port : public Front, private Watched, private Stream::Owner {
+class Port : public Front, private IoHandler, private Stream::Owner {
  public:
   // Throws std::system_error if the address cannot be listened on.
   Port(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen);
@@ -39,7 +39,7 @@
 
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
-  void ready(short events) override;
+  void on_ready(short events) override;
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost how) override;
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -5,9 +5,9 @@
 
 namespace quartzarch {
 
-void Loop::watch(Watched& watched, Priority priority) { watched_[priority].push_back(&watched); }
+void Loop::watch(IoHandler& watched, Priority priority) { watched_[priority].push_back(&watched); }
 
-void Loop::forget(Watched& watched) {
+void Loop::unwatch(IoHandler& watched) {
   for (auto& [priority, list] : watched_) std::erase(list, &watched);
 }
 
@@ -41,9 +41,9 @@
 
 void Loop::pass(Duration longest_wait) {
   std::vector<pollfd> polled;
-  std::vector<std::pair<Priority, Watched*>> order;
+  std::vector<std::pair<Priority, IoHandler*>> order;
   for (const auto& [priority, list] : watched_) {
-    for (Watched* const each : list) {
+    for (IoHandler* const each : list) {
       polled.push_back({each->descriptor(), each->interest(), 0});
       order.emplace_back(priority, each);
     }
@@ -55,7 +55,7 @@
     const auto& list = watched_[order[i].first];
     // One that an earlier step of this pass took away is gone.
     if (std::find(list.begin(), list.end(), order[i].second) == list.end()) continue;
-    order[i].second->ready(polled[i].revents);
+    order[i].second->on_ready(polled[i].revents);
   }
   fire_timers();
   finish();
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -18,12 +18,12 @@
 
 enum class Priority { control, servers, callers };
 
-class Watched {
+class IoHandler {
  public:
-  virtual ~Watched() = default;
+  virtual ~IoHandler() = default;
   virtual int descriptor() const = 0;
   virtual short interest() const = 0;
-  virtual void ready(short events) = 0;
+  virtual void on_ready(short events) = 0;
 };
 
 class Loop {
@@ -34,8 +34,8 @@
 
   explicit Loop(Clock clock = unix_time) : clock_(clock), now_(clock()) {}
 
-  void watch(Watched& watched, Priority priority);
-  void forget(Watched& watched);
+  void watch(IoHandler& watched, Priority priority);
+  void unwatch(IoHandler& watched);
 
   TimerId at(Time when, Step step);
   void cancel(TimerId timer);
@@ -72,7 +72,7 @@
   void finish();
   int wait_ms(Duration longest_wait) const;
 
-  std::map<Priority, std::vector<Watched*>> watched_;
+  std::map<Priority, std::vector<IoHandler*>> watched_;
   std::multimap<Time, Timer> timers_;
   std::map<TimerId, std::multimap<Time, Timer>::iterator> timer_of_;
   TimerId last_timer_ = 0;
--- a/src/net/mailbox.hpp
+++ b/src/net/mailbox.hpp
@@ -15,7 +15,7 @@
 
 namespace quartzarch {
 
-class Mailbox : private Watched {
+class Mailbox : private IoHandler {
  public:
   // Throws std::system_error.
   explicit Mailbox(Loop& loop) : loop_(&loop), bell_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
@@ -37,7 +37,7 @@
   // On the loop's thread. What was posted and has not run is dropped.
   void close() {
     if (!loop_) return;
-    std::exchange(loop_, nullptr)->forget(*this);
+    std::exchange(loop_, nullptr)->unwatch(*this);
     std::vector<Loop::Step> dropped;
     const std::lock_guard lock(mutex_);
     closed_ = true;
@@ -47,7 +47,7 @@
  private:
   int descriptor() const override { return bell_.get(); }
   short interest() const override { return POLLIN; }
-  void ready(short) override {
+  void on_ready(short) override {
     std::uint64_t rung = 0;
     [[maybe_unused]] const auto read = ::read(bell_.get(), &rung, sizeof rung);
     std::vector<Loop::Step> due;
--- a/src/net/signals.hpp
+++ b/src/net/signals.hpp
@@ -13,7 +13,7 @@
 namespace quartzarch {
 
 // Blocked from its making on: a signal that comes while the process starts must not end it.
-class Signals : public Watched {
+class Signals : public IoHandler {
  public:
   explicit Signals(Loop& loop) : loop_(loop) {
     sigset_t set;
@@ -23,7 +23,7 @@
     fd_ = Fd(::signalfd(-1, &set, SFD_CLOEXEC | SFD_NONBLOCK));
     loop_.watch(*this, Priority::control);
   }
-  ~Signals() override { loop_.forget(*this); }
+  ~Signals() override { loop_.unwatch(*this); }
 
   std::optional<Time> stop_came() const { return stop_came_; }
   // True once for all the SIGHUPs that came since it was asked last.
@@ -31,7 +31,7 @@
 
   int descriptor() const override { return fd_.get(); }
   short interest() const override { return POLLIN; }
-  void ready(short) override {
+  void on_ready(short) override {
     signalfd_siginfo info;
     while (::read(fd_.get(), &info, sizeof info) == sizeof info) {
       if (info.ssi_signo == SIGHUP) {
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -75,7 +75,7 @@
 
 Stream::~Stream() {
   if (connect_timer_) loop_.cancel(*connect_timer_);
-  loop_.forget(*this);
+  loop_.unwatch(*this);
 }
 
 void Stream::send(Segment segment) {
@@ -124,7 +124,7 @@
   state_ = State::dead;
   if (connect_timer_) loop_.cancel(*connect_timer_);
   connect_timer_.reset();
-  loop_.forget(*this);
+  loop_.unwatch(*this);
   fd_.reset();
 }
 
@@ -135,7 +135,7 @@
   return static_cast<short>((reads() ? POLLIN : POLLRDHUP) | (output_.empty() ? 0 : POLLOUT));
 }
 
-void Stream::ready(short events) {
+void Stream::on_ready(short events) {
   if (state_ == State::connecting) {
     int error = 0;
     socklen_t size = sizeof error;
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -24,7 +24,7 @@
 // `unmade`: this process had no socket for it, which tells nothing of the peer.
 enum class Lost { closed, reset, refused, timed_out, unmade };
 
-class Stream : public Watched {
+class Stream : public IoHandler {
  public:
   class Owner {
    public:
@@ -72,7 +72,7 @@
 
   int descriptor() const override { return fd_.get(); }
   short interest() const override;
-  void ready(short events) override;
+  void on_ready(short events) override;
 
  private:
   enum class State { connecting, up, dead };
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -69,7 +69,7 @@
 }
 
 VoterServer::~VoterServer() {
-  loop_.forget(*this);
+  loop_.unwatch(*this);
   loop_.cancel(timer_);
   service_.reset();
   for (auto& [stream, connection] : connections_) connection.stream->close();
@@ -121,7 +121,7 @@
 
 // ---- Who connects
 
-void VoterServer::ready(short) {
+void VoterServer::on_ready(short) {
   while (true) {
     Fd fd = acceptor_.next();
     if (!fd) return;
--- a/src/register/voter_server.hpp
+++ b/src/register/voter_server.hpp
@@ -28,7 +28,7 @@
 // That of one that came later, or lost its disk: like no other.
 VoterId fresh_identity(const std::string& name);
 
-class VoterServer : private Transport, private Watched, private Stream::Owner {
+class VoterServer : private Transport, private IoHandler, private Stream::Owner {
  public:
   struct Settings {
     std::string name{};
@@ -68,7 +68,7 @@
   void send(VoterId to, const std::string& address, std::string bytes) override;
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return acceptor_.resting() ? short{0} : POLLIN; }
-  void ready(short events) override;
+  void on_ready(short events) override;
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost how) override;
 
--- a/standin/setup_server/setup_server.cpp
+++ b/standin/setup_server/setup_server.cpp
@@ -25,10 +25,10 @@
   thread_.request_stop();
   thread_.join();
   for (auto& [raw, stream] : streams_) stream->close();
-  loop_.forget(*this);
+  loop_.unwatch(*this);
 }
 
-void SetupServer::ready(short) {
+void SetupServer::on_ready(short) {
   while (Fd fd = acceptor_.next()) {
     auto stream =
         std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
--- a/standin/setup_server/setup_server.hpp
+++ b/standin/setup_server/setup_server.hpp
@@ -16,7 +16,7 @@
 
 namespace quartzarch::standin {
 
-class SetupServer : private Watched, private Stream::Owner {
+class SetupServer : private IoHandler, private Stream::Owner {
  public:
   struct Options {
     sockaddr_in listen{};  // port 0: any
@@ -48,7 +48,7 @@
 
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return POLLIN; }
-  void ready(short) override;
+  void on_ready(short) override;
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost) override;
 
