--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -5,10 +5,10 @@
 
 namespace quartzarch {
 
-void Loop::watch(IoHandler& watched, Priority priority) { watched_[priority].push_back(&watched); }
+void Loop::watch(IoHandler& handler, Priority priority) { handlers_[priority].push_back(&handler); }
 
-void Loop::unwatch(IoHandler& watched) {
-  for (auto& [priority, list] : watched_) std::erase(list, &watched);
+void Loop::unwatch(IoHandler& handler) {
+  for (auto& [priority, list] : handlers_) std::erase(list, &handler);
 }
 
 Loop::TimerId Loop::at(Time when, Step step) {
@@ -42,7 +42,7 @@
 void Loop::pass(Duration longest_wait) {
   std::vector<pollfd> polled;
   std::vector<std::pair<Priority, IoHandler*>> order;
-  for (const auto& [priority, list] : watched_) {
+  for (const auto& [priority, list] : handlers_) {
     for (IoHandler* const each : list) {
       polled.push_back({each->descriptor(), each->interest(), 0});
       order.emplace_back(priority, each);
@@ -52,7 +52,7 @@
   read_clock();
   for (std::size_t i = 0; i < polled.size() && count > 0; ++i) {
     if (polled[i].revents == 0) continue;
-    const auto& list = watched_[order[i].first];
+    const auto& list = handlers_[order[i].first];
     // One that an earlier step of this pass took away is gone.
     if (std::find(list.begin(), list.end(), order[i].second) == list.end()) continue;
     order[i].second->on_ready(polled[i].revents);
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -34,8 +34,8 @@
 
   explicit Loop(Clock clock = unix_time) : clock_(clock), now_(clock()) {}
 
-  void watch(IoHandler& watched, Priority priority);
-  void unwatch(IoHandler& watched);
+  void watch(IoHandler& handler, Priority priority);
+  void unwatch(IoHandler& handler);
 
   TimerId at(Time when, Step step);
   void cancel(TimerId timer);
@@ -72,7 +72,7 @@
   void finish();
   int wait_ms(Duration longest_wait) const;
 
-  std::map<Priority, std::vector<IoHandler*>> watched_;
+  std::map<Priority, std::vector<IoHandler*>> handlers_;
   std::multimap<Time, Timer> timers_;
   std::map<TimerId, std::multimap<Time, Timer>::iterator> timer_of_;
   TimerId last_timer_ = 0;
