--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -160,12 +160,12 @@
       most_connections_(most_connections),
       longest_output_(longest_output) {
   loop_.watch(*this, Priority::callers);
-  loop_.spare_by(*this);
+  loop_.add_reclaimer(*this);
   sweep();
 }
 
 BinaryFront::~BinaryFront() {
-  loop_.unwatch(static_cast<const Loop::Spares&>(*this));
+  loop_.remove_reclaimer(static_cast<const Loop::DescriptorReclaimer&>(*this));
   loop_.unwatch(static_cast<IoHandler&>(*this));
   loop_.cancel(sweep_timer_);
   for (auto& [stream, connection] : connections_) connection.stream->close();
--- a/src/front/binary.hpp
+++ b/src/front/binary.hpp
@@ -14,7 +14,10 @@
 
 namespace quartzarch {
 
-class BinaryFront : public Front, private IoHandler, private Stream::Owner, private Loop::Spares {
+class BinaryFront : public Front,
+                    private IoHandler,
+                    private Stream::Owner,
+                    private Loop::DescriptorReclaimer {
  public:
   // Callers may hold `most_connections`; throws std::system_error if the address cannot be listened on.
   BinaryFront(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen, std::size_t most_connections,
@@ -57,7 +60,7 @@
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override;
   void on_ready(short events) override;
-  bool spare_descriptor() override { return make_room(); }
+  bool reclaim_descriptor() override { return make_room(); }
   void arrived(Stream& stream) override;
   void lost(Stream& stream, Lost how) override;
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -24,8 +24,9 @@
   timer_of_.erase(found);
 }
 
-bool Loop::spare_descriptor() {
-  return std::any_of(spares_.begin(), spares_.end(), [](Spares* each) { return each->spare_descriptor(); });
+bool Loop::reclaim_descriptor() {
+  return std::any_of(reclaimers_.begin(), reclaimers_.end(),
+                     [](DescriptorReclaimer* each) { return each->reclaim_descriptor(); });
 }
 
 // The clock may be set back; the decisions must not see it.
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -45,14 +45,14 @@
   // Runs at the end of every pass, before the single steps; true if it did something.
   void at_each_end(std::function<bool()> step) { each_end_.push_back(std::move(step)); }
   // Asked when a socket cannot be had for want of descriptors: whether one was given back.
-  class Spares {
+  class DescriptorReclaimer {
    public:
-    virtual ~Spares() = default;
-    virtual bool spare_descriptor() = 0;
+    virtual ~DescriptorReclaimer() = default;
+    virtual bool reclaim_descriptor() = 0;
   };
-  void spare_by(Spares& spares) { spares_.push_back(&spares); }
-  void forget(const Spares& spares) { std::erase(spares_, &spares); }
-  bool spare_descriptor();
+  void add_reclaimer(DescriptorReclaimer& reclaimer) { reclaimers_.push_back(&reclaimer); }
+  void remove_reclaimer(const DescriptorReclaimer& reclaimer) { std::erase(reclaimers_, &reclaimer); }
+  bool reclaim_descriptor();
   // Kept until the pass is over: the object may still be on the stack.
   void bury(std::shared_ptr<void> object) { graves_.push_back(std::move(object)); }
 
@@ -79,7 +79,7 @@
   std::vector<Step> ending_;
   std::vector<std::function<bool()>> each_end_;
   std::vector<std::shared_ptr<void>> graves_;
-  std::vector<Spares*> spares_;
+  std::vector<DescriptorReclaimer*> reclaimers_;
   Clock clock_;
   Time now_;
 };
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -50,7 +50,7 @@
     : loop_(loop), owner_(owner), state_(State::connecting), last_used_(loop.now()) {
   fd_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
   // Idle callers may hold them all: what news and setup servers need goes before.
-  if (!fd_ && no_descriptor(errno) && loop_.spare_descriptor()) fd_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
+  if (!fd_ && no_descriptor(errno) && loop_.reclaim_descriptor()) fd_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
   const auto later = [this](Lost how) {
     loop_.at_end([this, how, living = std::weak_ptr(living_)] {
       if (!living.expired()) fail(how);
