--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -35,7 +35,7 @@
       return a.second->last_used() < b.second->last_used();
     });
     oldest->second->close();
-    loop_.bury(oldest->second);
+    loop_.keep_until_pass_end(oldest->second);
     streams_.erase(oldest);
   }
   auto stream =
@@ -47,7 +47,7 @@
 void Server::lost(Stream& stream, Lost) {
   const auto found = streams_.find(&stream);
   if (found == streams_.end()) return;
-  loop_.bury(found->second);
+  loop_.keep_until_pass_end(found->second);
   streams_.erase(found);
 }
 
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -347,7 +347,7 @@
   if (found == connections_.end()) return;
   Connection gone = std::move(found->second);
   connections_.erase(found);
-  loop_.bury(gone.stream);
+  loop_.keep_until_pass_end(gone.stream);
   for (const CallId call : gone.open) {
     calls_.erase(call);
     core_.cancel(call);
--- a/src/front/management.cpp
+++ b/src/front/management.cpp
@@ -150,7 +150,7 @@
   std::unique_ptr<Connection> gone = std::move(found->second);
   connections_.erase(found);
   gone->stream->close();
-  loop_.bury(gone->stream);
+  loop_.keep_until_pass_end(gone->stream);
 }
 
 void ManagementFront::lost(Stream& stream, Lost) { close(&stream); }
--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -157,7 +157,7 @@
       });
   if (oldest == connections_.end()) return;
   oldest->second.stream->close();
-  loop_.bury(oldest->second.stream);
+  loop_.keep_until_pass_end(oldest->second.stream);
   connections_.erase(oldest);
 }
 
@@ -302,7 +302,7 @@
   if (!found) return;
   const Connection gone = std::move(*found);
   connections_.erase(gone.id);
-  loop_.bury(gone.stream);
+  loop_.keep_until_pass_end(gone.stream);
   if (!stream.came_up()) {
     log_.line("sip: no connection to %s", address_text(gone.peer).c_str());
     return;  // its timers decide what becomes of what was to be sent
--- a/src/link/planners.cpp
+++ b/src/link/planners.cpp
@@ -211,7 +211,7 @@
   const std::size_t at = of(stream);
   if (at == planners_.size()) return;
   Planner& planner = planners_[at];
-  loop_.bury(std::exchange(planner.stream, nullptr));
+  loop_.keep_until_pass_end(std::exchange(planner.stream, nullptr));
   if (std::exchange(planner.ready, false)) log_.line("link: planner %zu lost", at);
   for (const Segment& segment : stream.unsent()) {
     if (decode_head(segment).type == Type::release && planner.waiting.size() < kMostWaiting) {
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -92,7 +92,7 @@
   if (found == forwarders_.end()) return;
   const Forwarder gone = std::move(found->second);
   forwarders_.erase(found);
-  loop_.bury(gone.stream);
+  loop_.keep_until_pass_end(gone.stream);
   log_.line("link: forwarder lost, %zu requests given up", gone.open.size());
   for (const CallId call : gone.open) {
     calls_.erase(call);
--- a/src/net/coordinator.cpp
+++ b/src/net/coordinator.cpp
@@ -77,7 +77,7 @@
 void Coordinator::hang_up() {
   if (stream_) {
     stream_->close();
-    loop_.bury(std::exchange(stream_, nullptr));
+    loop_.keep_until_pass_end(std::exchange(stream_, nullptr));
   }
   if (timer_) loop_.cancel(*std::exchange(timer_, std::nullopt));
 }
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -80,7 +80,7 @@
       more = true;
     }
   }
-  graves_.clear();
+  kept_alive_.clear();
 }
 
 }  // namespace quartzarch
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -54,7 +54,7 @@
   void remove_reclaimer(const DescriptorReclaimer& reclaimer) { std::erase(reclaimers_, &reclaimer); }
   bool reclaim_descriptor();
   // Kept until the pass is over: the object may still be on the stack.
-  void bury(std::shared_ptr<void> object) { graves_.push_back(std::move(object)); }
+  void keep_until_pass_end(std::shared_ptr<void> object) { kept_alive_.push_back(std::move(object)); }
 
   // The start of what is being handled; never runs backwards.
   Time now() const { return now_; }
@@ -78,7 +78,7 @@
   TimerId last_timer_ = 0;
   std::vector<Step> ending_;
   std::vector<std::function<bool()>> each_end_;
-  std::vector<std::shared_ptr<void>> graves_;
+  std::vector<std::shared_ptr<void>> kept_alive_;
   std::vector<DescriptorReclaimer*> reclaimers_;
   Clock clock_;
   Time now_;
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -163,7 +163,7 @@
   if (lane.retry) loop_.cancel(*std::exchange(lane.retry, std::nullopt));
   if (!lane.stream) return;
   lane.stream->close();
-  loop_.bury(std::exchange(lane.stream, nullptr));
+  loop_.keep_until_pass_end(std::exchange(lane.stream, nullptr));
 }
 
 // One more connection, if there is room. One that is due later takes its place, unless none is up.
@@ -377,7 +377,8 @@
   const ServerId server = at.link->server;
   std::set<CallId> unsent;
   for (const Segment& segment : stream.unsent()) unsent.insert(segment.tag);
-  loop_.bury(std::exchange(at.lane->stream, nullptr));  // `stream` lives until the end of the pass
+  loop_.keep_until_pass_end(
+      std::exchange(at.lane->stream, nullptr));  // `stream` lives until the end of the pass
   if (stream.came_up()) {
     const auto out = std::exchange(at.lane->out, {});
     const auto ended = std::exchange(at.lane->ended, {});
--- a/src/register/client.cpp
+++ b/src/register/client.cpp
@@ -43,7 +43,7 @@
 
 void Client::drop() {
   stream_->close();
-  loop_.bury(std::exchange(stream_, nullptr));
+  loop_.keep_until_pass_end(std::exchange(stream_, nullptr));
 }
 
 void Client::arrived(Stream& stream) {
@@ -64,7 +64,7 @@
 
 void Client::lost(Stream& stream, Lost) {
   if (stream_.get() != &stream) return;
-  loop_.bury(std::exchange(stream_, nullptr));
+  loop_.keep_until_pass_end(std::exchange(stream_, nullptr));
   access_.disconnected(loop_.now());
   pump();
 }
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -265,13 +265,13 @@
     const Connection gone = std::move(found->second);
     connections_.erase(found);
     clients_.erase(gone.client);
-    loop_.bury(gone.stream);
+    loop_.keep_until_pass_end(gone.stream);
     service_->gone(gone.client);
     return;
   }
   for (auto& [name, out] : outgoing_) {
     if (out.stream.get() != &stream) continue;
-    loop_.bury(std::exchange(out.stream, nullptr));
+    loop_.keep_until_pass_end(std::exchange(out.stream, nullptr));
     out.retry_at = loop_.now() + kRetry;
   }
 }
--- a/standin/setup_server/setup_server.cpp
+++ b/standin/setup_server/setup_server.cpp
@@ -48,7 +48,7 @@
     ++counts_.given_up;
     return true;
   });
-  loop_.bury(found->second);
+  loop_.keep_until_pass_end(found->second);
   streams_.erase(found);
 }
 
