--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -52,7 +52,7 @@
       servers_(loop, log, *this, start_.connect_timeout),
       bounds_(bounds) {
   for (const std::string& name : start_.class_names) tally_.know(name);
-  loop_.at_each_end([this] { return send_due(); });
+  loop_.after_each_pass([this] { return send_due(); });
 }
 
 // ---- The list
--- a/src/duty/runner.cpp
+++ b/src/duty/runner.cpp
@@ -83,7 +83,7 @@
   int ends[2];
   if (::pipe2(ends, O_CLOEXEC) != 0) {
     log_.line("duty=%s event=error what=\"no pipe: %s\"", duty_.c_str(), std::strerror(errno));
-    loop_.at_end([this, token] { member_.ended(duty_, token, true); });
+    loop_.defer([this, token] { member_.ended(duty_, token, true); });
     return;
   }
   Fd read_end(ends[0]);
@@ -106,7 +106,7 @@
   }
   if (guardian_ < 0) {
     log_.line("duty=%s event=error what=\"no process: %s\"", duty_.c_str(), std::strerror(errno));
-    loop_.at_end([this, token] { member_.ended(duty_, token, true); });
+    loop_.defer([this, token] { member_.ended(duty_, token, true); });
     return;
   }
   look();
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -41,9 +41,9 @@
   void cancel(TimerId timer);
 
   // Runs once, at the end of this pass, or of the next one if none is on.
-  void at_end(Step step) { ending_.push_back(std::move(step)); }
+  void defer(Step step) { ending_.push_back(std::move(step)); }
   // Runs at the end of every pass, before the single steps; true if it did something.
-  void at_each_end(std::function<bool()> step) { each_end_.push_back(std::move(step)); }
+  void after_each_pass(std::function<bool()> step) { each_end_.push_back(std::move(step)); }
   // Asked when a socket cannot be had for want of descriptors: whether one was given back.
   class DescriptorReclaimer {
    public:
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -52,7 +52,7 @@
   // Idle callers may hold them all: what news and setup servers need goes before.
   if (!fd_ && no_descriptor(errno) && loop_.reclaim_descriptor()) fd_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
   const auto later = [this](Lost how) {
-    loop_.at_end([this, how, living = std::weak_ptr(living_)] {
+    loop_.defer([this, how, living = std::weak_ptr(living_)] {
       if (!living.expired()) fail(how);
     });
   };
@@ -91,7 +91,7 @@
 void Stream::flush_at_end() {
   if (flush_due_) return;
   flush_due_ = true;
-  loop_.at_end([this, living = std::weak_ptr(living_)] {
+  loop_.defer([this, living = std::weak_ptr(living_)] {
     if (living.expired()) return;
     flush_due_ = false;
     if (state_ == State::up) flush();
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -210,7 +210,7 @@
     Peer gateway = caller();
     gateway.say(setup(0xaa, "d", ms));
     until([this] { return planner->owed() == 1; }, "the set-up, held");
-    loop.at_end([this] { planner->news({1, true, {host(listener, 0)}}); });
+    loop.defer([this] { planner->news({1, true, {host(listener, 0)}}); });
     loop.pass(Duration{0});
     return gateway;
   }
