--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -33,7 +33,7 @@
 void Loop::read_clock() { now_ = std::max(now_, clock_()); }
 
 int Loop::wait_ms(Duration longest_wait) const {
-  if (!ending_.empty()) return 0;
+  if (!deferred_.empty()) return 0;
   Duration wait = longest_wait;
   if (!timers_.empty()) wait = std::min(wait, timers_.begin()->first - std::max(now_, clock_()));
   if (wait <= Duration{0}) return 0;
@@ -58,11 +58,11 @@
     if (std::find(list.begin(), list.end(), order[i].second) == list.end()) continue;
     order[i].second->on_ready(polled[i].revents);
   }
-  fire_timers();
-  finish();
+  run_due_timers();
+  run_deferred();
 }
 
-void Loop::fire_timers() {
+void Loop::run_due_timers() {
   while (!timers_.empty() && timers_.begin()->first <= now_) {
     Step step = std::move(timers_.begin()->second.step);
     timer_of_.erase(timers_.begin()->second.id);
@@ -71,11 +71,11 @@
   }
 }
 
-void Loop::finish() {
+void Loop::run_deferred() {
   for (bool more = true; more;) {
     more = false;
-    for (const auto& step : each_end_) more |= step();
-    for (const Step& step : std::exchange(ending_, {})) {
+    for (const auto& step : after_each_pass_) more |= step();
+    for (const Step& step : std::exchange(deferred_, {})) {
       step();
       more = true;
     }
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -41,9 +41,9 @@
   void cancel(TimerId timer);
 
   // Runs once, at the end of this pass, or of the next one if none is on.
-  void defer(Step step) { ending_.push_back(std::move(step)); }
+  void defer(Step step) { deferred_.push_back(std::move(step)); }
   // Runs at the end of every pass, before the single steps; true if it did something.
-  void after_each_pass(std::function<bool()> step) { each_end_.push_back(std::move(step)); }
+  void after_each_pass(std::function<bool()> step) { after_each_pass_.push_back(std::move(step)); }
   // Asked when a socket cannot be had for want of descriptors: whether one was given back.
   class DescriptorReclaimer {
    public:
@@ -68,16 +68,16 @@
   };
 
   void read_clock();
-  void fire_timers();
-  void finish();
+  void run_due_timers();
+  void run_deferred();
   int wait_ms(Duration longest_wait) const;
 
   std::map<Priority, std::vector<IoHandler*>> handlers_;
   std::multimap<Time, Timer> timers_;
   std::map<TimerId, std::multimap<Time, Timer>::iterator> timer_of_;
   TimerId last_timer_ = 0;
-  std::vector<Step> ending_;
-  std::vector<std::function<bool()>> each_end_;
+  std::vector<Step> deferred_;
+  std::vector<std::function<bool()>> after_each_pass_;
   std::vector<std::shared_ptr<void>> kept_alive_;
   std::vector<DescriptorReclaimer*> reclaimers_;
   Clock clock_;
