--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -11,9 +11,9 @@
   for (auto& [priority, list] : handlers_) std::erase(list, &handler);
 }
 
-Loop::TimerId Loop::at(Time when, Step step) {
+Loop::TimerId Loop::at(Time when, Callback callback) {
   const TimerId id = ++last_timer_;
-  timer_of_[id] = timers_.emplace(when, Timer{id, std::move(step)});
+  timer_of_[id] = timers_.emplace(when, Timer{id, std::move(callback)});
   return id;
 }
 
@@ -54,7 +54,7 @@
   for (std::size_t i = 0; i < polled.size() && count > 0; ++i) {
     if (polled[i].revents == 0) continue;
     const auto& list = handlers_[order[i].first];
-    // One that an earlier step of this pass took away is gone.
+    // One that an earlier callback of this pass took away is gone.
     if (std::find(list.begin(), list.end(), order[i].second) == list.end()) continue;
     order[i].second->on_ready(polled[i].revents);
   }
@@ -64,19 +64,19 @@
 
 void Loop::run_due_timers() {
   while (!timers_.empty() && timers_.begin()->first <= now_) {
-    Step step = std::move(timers_.begin()->second.step);
+    Callback callback = std::move(timers_.begin()->second.callback);
     timer_of_.erase(timers_.begin()->second.id);
     timers_.erase(timers_.begin());
-    step();
+    callback();
   }
 }
 
 void Loop::run_deferred() {
   for (bool more = true; more;) {
     more = false;
-    for (const auto& step : after_each_pass_) more |= step();
-    for (const Step& step : std::exchange(deferred_, {})) {
-      step();
+    for (const auto& callback : after_each_pass_) more |= callback();
+    for (const Callback& callback : std::exchange(deferred_, {})) {
+      callback();
       more = true;
     }
   }
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -28,7 +28,7 @@
 
 class Loop {
  public:
-  using Step = std::function<void()>;
+  using Callback = std::function<void()>;
   using TimerId = std::uint64_t;
   using Clock = Time (*)();
 
@@ -37,13 +37,13 @@
   void watch(IoHandler& handler, Priority priority);
   void unwatch(IoHandler& handler);
 
-  TimerId at(Time when, Step step);
+  TimerId at(Time when, Callback callback);
   void cancel(TimerId timer);
 
   // Runs once, at the end of this pass, or of the next one if none is on.
-  void defer(Step step) { deferred_.push_back(std::move(step)); }
+  void defer(Callback callback) { deferred_.push_back(std::move(callback)); }
   // Runs at the end of every pass, before the single steps; true if it did something.
-  void after_each_pass(std::function<bool()> step) { after_each_pass_.push_back(std::move(step)); }
+  void after_each_pass(std::function<bool()> callback) { after_each_pass_.push_back(std::move(callback)); }
   // Asked when a socket cannot be had for want of descriptors: whether one was given back.
   class DescriptorReclaimer {
    public:
@@ -64,7 +64,7 @@
  private:
   struct Timer {
     TimerId id;
-    Step step;
+    Callback callback;
   };
 
   void read_clock();
@@ -76,7 +76,7 @@
   std::multimap<Time, Timer> timers_;
   std::map<TimerId, std::multimap<Time, Timer>::iterator> timer_of_;
   TimerId last_timer_ = 0;
-  std::vector<Step> deferred_;
+  std::vector<Callback> deferred_;
   std::vector<std::function<bool()>> after_each_pass_;
   std::vector<std::shared_ptr<void>> kept_alive_;
   std::vector<DescriptorReclaimer*> reclaimers_;
--- a/src/net/mailbox.hpp
+++ b/src/net/mailbox.hpp
@@ -27,7 +27,7 @@
   Mailbox& operator=(const Mailbox&) = delete;
 
   // Runs on the loop's thread, in the order of posting; never if the mailbox was closed before.
-  void post(Loop::Step step) {
+  void post(Loop::Callback step) {
     const std::lock_guard lock(mutex_);
     if (closed_) return;
     steps_.push_back(std::move(step));
@@ -38,7 +38,7 @@
   void close() {
     if (!loop_) return;
     std::exchange(loop_, nullptr)->unwatch(*this);
-    std::vector<Loop::Step> dropped;
+    std::vector<Loop::Callback> dropped;
     const std::lock_guard lock(mutex_);
     closed_ = true;
     dropped.swap(steps_);
@@ -50,18 +50,18 @@
   void on_ready(short) override {
     std::uint64_t rung = 0;
     [[maybe_unused]] const auto read = ::read(bell_.get(), &rung, sizeof rung);
-    std::vector<Loop::Step> due;
+    std::vector<Loop::Callback> due;
     {
       const std::lock_guard lock(mutex_);
       due.swap(steps_);
     }
-    for (const Loop::Step& step : due) step();
+    for (const Loop::Callback& step : due) step();
   }
 
   Loop* loop_;
   Fd bell_;
   std::mutex mutex_;
-  std::vector<Loop::Step> steps_;
+  std::vector<Loop::Callback> steps_;
   bool closed_ = false;
 };
 
