--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -42,7 +42,7 @@
     if (taken == link::Taken::whole) answer_.assign(message.values.begin(), message.values.end());
     over_ = true;
   }
-  void lost(Stream&, Lost) override { over_ = true; }
+  void lost(Stream&, DisconnectReason) override { over_ = true; }
 
   std::shared_ptr<Stream> stream_;
   std::vector<std::string> answer_;
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -44,7 +44,7 @@
   streams_[stream.get()] = std::move(stream);
 }
 
-void Server::lost(Stream& stream, Lost) {
+void Server::lost(Stream& stream, DisconnectReason) {
   const auto found = streams_.find(&stream);
   if (found == streams_.end()) return;
   loop_.keep_until_pass_end(found->second);
@@ -60,7 +60,7 @@
       log_.line("control: an endless line, connection closed");
       stream.send({failure("the line is too long"), {}, 0});
       stream.close();
-      return lost(stream, Lost::closed);
+      return lost(stream, DisconnectReason::closed);
     }
     std::string reply = answer(input.substr(0, end));
     stream.consume(end + 1);
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -46,7 +46,7 @@
   short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
   void on_ready(short) override;
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost) override;
+  void lost(Stream& stream, DisconnectReason) override;
   std::string answer(std::string_view line);
 
   Loop& loop_;
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -337,12 +337,12 @@
   if (why) log_.line("caller: connection closed: %s", why);
   Stream& stream = *connection->second.stream;
   stream.close();
-  lost(stream, Lost::closed);
+  lost(stream, DisconnectReason::closed);
 }
 
 // The set-ups open on it are given up. A call that stands goes on, unless its answer never left; what ends
 // such calls goes out on another connection.
-void BinaryFront::lost(Stream& stream, Lost) {
+void BinaryFront::lost(Stream& stream, DisconnectReason) {
   const auto found = connections_.find(&stream);
   if (found == connections_.end()) return;
   Connection gone = std::move(found->second);
--- a/src/front/binary.hpp
+++ b/src/front/binary.hpp
@@ -62,7 +62,7 @@
   void on_ready(short events) override;
   bool reclaim_descriptor() override { return make_room(); }
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void lost(Stream& stream, DisconnectReason how) override;
 
   bool take(Connection& from, std::string_view message);
   bool take_setup(Connection& from, CallId call, std::string_view parameters);
--- a/src/front/management.cpp
+++ b/src/front/management.cpp
@@ -153,7 +153,7 @@
   loop_.keep_until_pass_end(gone->stream);
 }
 
-void ManagementFront::lost(Stream& stream, Lost) { close(&stream); }
+void ManagementFront::lost(Stream& stream, DisconnectReason) { close(&stream); }
 
 void ManagementFront::sweep() {
   std::vector<const Stream*> late;
--- a/src/front/management.hpp
+++ b/src/front/management.hpp
@@ -53,7 +53,7 @@
   short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
   void on_ready(short events) override;
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void lost(Stream& stream, DisconnectReason how) override;
 
   void answer(Stream& stream, const Reply& reply);
   void close(const Stream* stream);
--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -294,10 +294,10 @@
   log_.line("sip: %s from %s, connection closed", why, address_text(connection.peer).c_str());
   Stream& stream = *connection.stream;
   stream.close();
-  lost(stream, Lost::closed);
+  lost(stream, DisconnectReason::closed);
 }
 
-void Transport::lost(Stream& stream, Lost) {
+void Transport::lost(Stream& stream, DisconnectReason) {
   Connection* const found = of(stream);
   if (!found) return;
   const Connection gone = std::move(*found);
--- a/src/front/sip/transport.hpp
+++ b/src/front/sip/transport.hpp
@@ -87,7 +87,7 @@
   short interest() const override { return POLLIN; }
   void on_ready(short events) override;
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void lost(Stream& stream, DisconnectReason how) override;
 
   bool room() const { return connections_.size() < most_connections_; }
   void accept_all(Acceptor& acceptor, TransportKind kind);
--- a/src/link/planners.hpp
+++ b/src/link/planners.hpp
@@ -46,7 +46,7 @@
 
   void connected(Stream& stream) override;
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void lost(Stream& stream, DisconnectReason how) override;
 
   void connect(std::size_t planner);
   std::size_t of(const Stream& stream) const;
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -57,7 +57,7 @@
     if (taken == Taken::malformed || !take(found->second, message)) {
       log_.line("link: malformed message from a forwarder, connection closed");
       stream.close();
-      return lost(stream, Lost::closed);
+      return lost(stream, DisconnectReason::closed);
     }
     stream.consume(length);
   }
@@ -87,7 +87,7 @@
   return true;
 }
 
-void Port::lost(Stream& stream, Lost) {
+void Port::lost(Stream& stream, DisconnectReason) {
   const auto found = forwarders_.find(&stream);
   if (found == forwarders_.end()) return;
   const Forwarder gone = std::move(found->second);
--- a/src/link/port.hpp
+++ b/src/link/port.hpp
@@ -41,7 +41,7 @@
   short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
   void on_ready(short events) override;
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void lost(Stream& stream, DisconnectReason how) override;
 
   bool take(Forwarder& from, const LinkMessage& message);
   Forwarder* owner_of(CallId call);
--- a/src/net/coordinator.cpp
+++ b/src/net/coordinator.cpp
@@ -98,11 +98,11 @@
                0});
 }
 
-void Coordinator::lost(Stream&, Lost how) {
-  retry(how == Lost::refused     ? "refused"
-        : how == Lost::timed_out ? "not up in time"
-        : how == Lost::unmade    ? "without a socket"
-                                 : "ended");
+void Coordinator::lost(Stream&, DisconnectReason how) {
+  retry(how == DisconnectReason::refused     ? "refused"
+        : how == DisconnectReason::timed_out ? "not up in time"
+        : how == DisconnectReason::no_socket ? "without a socket"
+                                             : "ended");
 }
 
 void Coordinator::arrived(Stream& stream) {
--- a/src/net/coordinator.hpp
+++ b/src/net/coordinator.hpp
@@ -27,7 +27,7 @@
 
   void connected(Stream& stream) override;
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void lost(Stream& stream, DisconnectReason how) override;
 
   void connect();
   void hang_up();
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -354,7 +354,7 @@
   log_.line("server %s: %s, connection closed", server_text(at.link->server).c_str(), why);
   stream.close();
   refresh_soon(*at.link);
-  lost(stream, Lost::closed);
+  lost(stream, DisconnectReason::closed);
 }
 
 // A release that was on its way on a connection that is closed here comes again on the next one opened, but
@@ -371,7 +371,7 @@
 
 // The end of a connection gives up the set-ups on it; the calls that stand there go on. Only if the process
 // refuses the next connection is it gone, and its calls with it.
-void Servers::lost(Stream& stream, Lost how) {
+void Servers::lost(Stream& stream, DisconnectReason how) {
   const Place at = place_of(stream);
   if (!at.link) return;
   const ServerId server = at.link->server;
@@ -384,7 +384,7 @@
     const auto ended = std::exchange(at.lane->ended, {});
     at.link->standing.merge(std::exchange(at.lane->standing, {}));
     log_.line("server %s: connection %s, %zu set-ups out", server_text(server).c_str(),
-              how == Lost::reset ? "reset" : "closed", out.size());
+              how == DisconnectReason::reset ? "reset" : "closed", out.size());
     at.link->broken = true;
     connect(*at.link);
     // What was to be released must not stay standing: said once more, which does no harm.
@@ -402,17 +402,17 @@
     }
     return;
   }
-  at.link->doubted |= how == Lost::timed_out;
+  at.link->doubted |= how == DisconnectReason::timed_out;
   if (best_lane(*at.link)) return;
   // What waits goes on waiting: it is this process that lacks something, not the server.
-  if (how == Lost::unmade) {
+  if (how == DisconnectReason::no_socket) {
     log_.line("server %s: no socket to be had", server_text(server).c_str());
     return connect_after(*at.link, *at.lane, kUnmadeBackoff);
   }
-  const bool died = how == Lost::refused && std::exchange(at.link->broken, false);
+  const bool died = how == DisconnectReason::refused && std::exchange(at.link->broken, false);
   reconnect_after_backoff(*at.link, *at.lane);
   log_.line("server %s: connection %s", server_text(server).c_str(),
-            how == Lost::refused ? "refused" : "not up in time");
+            how == DisconnectReason::refused ? "refused" : "not up in time");
   const auto waiting = std::exchange(at.link->waiting, {});
   if (died) owner_.died(server);
   for (const Waiting& what : waiting) {
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -143,7 +143,7 @@
 
   void connected(Stream& stream) override;
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void lost(Stream& stream, DisconnectReason how) override;
 
   Link& link(const ServerId& server);
   Place place_of(const Stream& stream);
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -33,9 +33,10 @@
 
 // Only a refusal proves that no process listens there. What this machine lacks says nothing of the peer, and
 // a reset may be one connection's end that came between its making and the look at it.
-Lost failed_connect(int error) {
-  if (error == ECONNREFUSED) return Lost::refused;
-  return no_descriptor(error) || error == EADDRNOTAVAIL || error == EAGAIN ? Lost::unmade : Lost::timed_out;
+DisconnectReason failed_connect(int error) {
+  if (error == ECONNREFUSED) return DisconnectReason::refused;
+  return no_descriptor(error) || error == EADDRNOTAVAIL || error == EAGAIN ? DisconnectReason::no_socket
+                                                                           : DisconnectReason::timed_out;
 }
 
 }  // namespace
@@ -51,13 +52,13 @@
   fd_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
   // Idle callers may hold them all: what news and setup servers need goes before.
   if (!fd_ && no_descriptor(errno) && loop_.reclaim_descriptor()) fd_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
-  const auto later = [this](Lost how) {
+  const auto later = [this](DisconnectReason how) {
     loop_.defer([this, how, living = std::weak_ptr(living_)] {
       if (!living.expired()) fail(how);
     });
   };
   if (!fd_) {
-    later(Lost::unmade);
+    later(DisconnectReason::no_socket);
     return;
   }
   set_up(fd_.get());
@@ -68,7 +69,7 @@
   }
   connect_timer_ = loop_.at(loop_.now() + timeout, [this] {
     connect_timer_.reset();
-    fail(Lost::timed_out);
+    fail(DisconnectReason::timed_out);
   });
   loop_.watch(*this, priority);
 }
@@ -149,7 +150,7 @@
     if (state_ == State::up && !output_.empty()) flush_at_end();
     return;
   }
-  if ((events & POLLRDHUP) && !reads()) return fail(Lost::closed);
+  if ((events & POLLRDHUP) && !reads()) return fail(DisconnectReason::closed);
   if (events & (POLLIN | POLLHUP | POLLERR)) read();
   if (state_ == State::up && (events & POLLOUT)) flush_at_end();
 }
@@ -157,7 +158,7 @@
 void Stream::read() {
   if (taken_ > 0) input_.erase(0, std::exchange(taken_, 0));
   const std::size_t had = input_.size();
-  std::optional<Lost> end;
+  std::optional<DisconnectReason> end;
   while (input_.size() - had < kReadAtOnce) {
     char bytes[16 * 1024];
     const ssize_t count = ::recv(fd_.get(), bytes, sizeof bytes, 0);
@@ -166,8 +167,8 @@
       continue;
     }
     if (count < 0 && errno == EINTR) continue;
-    if (count == 0) end = Lost::closed;
-    if (count < 0 && errno != EAGAIN && errno != EWOULDBLOCK) end = Lost::reset;
+    if (count == 0) end = DisconnectReason::closed;
+    if (count < 0 && errno != EAGAIN && errno != EWOULDBLOCK) end = DisconnectReason::reset;
     break;
   }
   if (input_.size() > had) {
@@ -200,7 +201,7 @@
       if (errno == EAGAIN || errno == EWOULDBLOCK) break;
       if (closing_) return die();
       // What the peer had sent before it broke off is still to be read; the read tells of the end.
-      return queued_ > longest_output_ ? fail(Lost::reset) : read();
+      return queued_ > longest_output_ ? fail(DisconnectReason::reset) : read();
     }
     written_ += static_cast<std::size_t>(sent);
     last_written_ = loop_.now();
@@ -212,10 +213,10 @@
       output_.pop_front();
     }
   }
-  if (queued_ > longest_output_) fail(Lost::reset);
+  if (queued_ > longest_output_) fail(DisconnectReason::reset);
 }
 
-void Stream::fail(Lost how) {
+void Stream::fail(DisconnectReason how) {
   if (state_ == State::dead) return;
   die();
   // A close of the owner's own is no loss: it may be going through its connections.
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -21,8 +21,8 @@
   std::uint64_t tag = 0;
 };
 
-// `unmade`: this process had no socket for it, which tells nothing of the peer.
-enum class Lost { closed, reset, refused, timed_out, unmade };
+// `no_socket`: this process had no socket for it, which tells nothing of the peer.
+enum class DisconnectReason { closed, reset, refused, timed_out, no_socket };
 
 class Stream : public IoHandler {
  public:
@@ -33,7 +33,7 @@
     // Takes whole messages off the input; what is left comes again with more.
     virtual void arrived(Stream&) = 0;
     // Comes once, never for a close of the owner's own. The stream is unusable afterwards.
-    virtual void lost(Stream&, Lost how) = 0;
+    virtual void lost(Stream&, DisconnectReason how) = 0;
   };
 
   // Takes over an accepted connection.
@@ -81,7 +81,7 @@
   void read();
   void flush();
   void flush_at_end();
-  void fail(Lost how);
+  void fail(DisconnectReason how);
   void die();
 
   Loop& loop_;
--- a/src/register/client.cpp
+++ b/src/register/client.cpp
@@ -62,7 +62,7 @@
   pump();
 }
 
-void Client::lost(Stream& stream, Lost) {
+void Client::lost(Stream& stream, DisconnectReason) {
   if (stream_.get() != &stream) return;
   loop_.keep_until_pass_end(std::exchange(stream_, nullptr));
   access_.disconnected(loop_.now());
--- a/src/register/client.hpp
+++ b/src/register/client.hpp
@@ -27,7 +27,7 @@
 
  private:
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void lost(Stream& stream, DisconnectReason how) override;
   void drop();
 
   Loop& loop_;
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -151,7 +151,7 @@
       log_.line("register: what came from %s is no message of this version, connection closed",
                 from.name.empty() ? "a client" : from.name.c_str());
       stream.close();
-      return lost(stream, Lost::closed);
+      return lost(stream, DisconnectReason::closed);
     }
     if (stream.alive()) stream.consume(length);
   }
@@ -260,7 +260,7 @@
   return resigning_;
 }
 
-void VoterServer::lost(Stream& stream, Lost) {
+void VoterServer::lost(Stream& stream, DisconnectReason) {
   if (const auto found = connections_.find(&stream); found != connections_.end()) {
     const Connection gone = std::move(found->second);
     connections_.erase(found);
--- a/src/register/voter_server.hpp
+++ b/src/register/voter_server.hpp
@@ -70,7 +70,7 @@
   short interest() const override { return acceptor_.resting() ? short{0} : POLLIN; }
   void on_ready(short events) override;
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void lost(Stream& stream, DisconnectReason how) override;
 
   bool take(Connection& from, const link::LinkMessage& message, std::string_view bytes);
   bool join(const Connection& from);
--- a/standin/setup_server/setup_server.cpp
+++ b/standin/setup_server/setup_server.cpp
@@ -37,7 +37,7 @@
   }
 }
 
-void SetupServer::lost(Stream& stream, Lost) {
+void SetupServer::lost(Stream& stream, DisconnectReason) {
   const auto found = streams_.find(&stream);
   if (found == streams_.end()) return;
   // The set-ups open on a connection are given up with it; a call that stands belongs to none.
--- a/standin/setup_server/setup_server.hpp
+++ b/standin/setup_server/setup_server.hpp
@@ -50,7 +50,7 @@
   short interest() const override { return POLLIN; }
   void on_ready(short) override;
   void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost) override;
+  void lost(Stream& stream, DisconnectReason) override;
 
   void take(Stream& stream, std::string_view line);
   void offer(Stream& stream, const std::string& call);
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -180,7 +180,7 @@
 TEST_F(Program, ACallerThatTakesNoAnswersIsSeenToLeave) {
   struct Ends : Stream::Owner {
     void arrived(Stream& stream) override { stream.consume(stream.input().size()); }
-    void lost(Stream&, Lost) override { ended = true; }
+    void lost(Stream&, DisconnectReason) override { ended = true; }
     bool ended = false;
   } owner;
   Acceptor acceptor(loop, listen_on(any_port()));
@@ -552,7 +552,7 @@
   }
   struct Nobody : Stream::Owner {
     void arrived(Stream&) override {}
-    void lost(Stream&, Lost) override {}
+    void lost(Stream&, DisconnectReason) override {}
   } nobody;
   NoDescriptorLeft none;
   const Stream watch(loop, at.address(), milliseconds(1000), nobody, Priority::control);
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -102,7 +102,7 @@
 TEST_F(Program, WhoTakesNoAnswersIsNotAskedForMore) {
   struct Idle : Stream::Owner {
     void arrived(Stream& stream) override { stream.consume(stream.input().size()); }
-    void lost(Stream&, Lost) override {}
+    void lost(Stream&, DisconnectReason) override {}
   } owner;
   Acceptor acceptor(loop, listen_on(any_port()));
   Peer other = Peer::connect(bound_address(acceptor.fd()));
