--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -34,7 +34,7 @@
   const std::vector<std::string>& answer() const { return answer_; }
 
  private:
-  void arrived(Stream& stream) override {
+  void on_data(Stream& stream) override {
     link::LinkMessage message;
     std::size_t length = 0;
     const auto taken = link::decode(stream.input(), message, length);
@@ -42,7 +42,7 @@
     if (taken == link::Taken::whole) answer_.assign(message.values.begin(), message.values.end());
     over_ = true;
   }
-  void lost(Stream&, DisconnectReason) override { over_ = true; }
+  void on_disconnected(Stream&, DisconnectReason) override { over_ = true; }
 
   std::shared_ptr<Stream> stream_;
   std::vector<std::string> answer_;
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -44,14 +44,14 @@
   streams_[stream.get()] = std::move(stream);
 }
 
-void Server::lost(Stream& stream, DisconnectReason) {
+void Server::on_disconnected(Stream& stream, DisconnectReason) {
   const auto found = streams_.find(&stream);
   if (found == streams_.end()) return;
   loop_.keep_until_pass_end(found->second);
   streams_.erase(found);
 }
 
-void Server::arrived(Stream& stream) {
+void Server::on_data(Stream& stream) {
   while (stream.alive()) {
     const std::string_view input = stream.input();
     const auto end = input.find('\n');
@@ -60,7 +60,7 @@
       log_.line("control: an endless line, connection closed");
       stream.send({failure("the line is too long"), {}, 0});
       stream.close();
-      return lost(stream, DisconnectReason::closed);
+      return on_disconnected(stream, DisconnectReason::closed);
     }
     std::string reply = answer(input.substr(0, end));
     stream.consume(end + 1);
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -45,8 +45,8 @@
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
   void on_ready(short) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason) override;
   std::string answer(std::string_view line);
 
   Loop& loop_;
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -337,12 +337,12 @@
   if (why) log_.line("caller: connection closed: %s", why);
   Stream& stream = *connection->second.stream;
   stream.close();
-  lost(stream, DisconnectReason::closed);
+  on_disconnected(stream, DisconnectReason::closed);
 }
 
 // The set-ups open on it are given up. A call that stands goes on, unless its answer never left; what ends
 // such calls goes out on another connection.
-void BinaryFront::lost(Stream& stream, DisconnectReason) {
+void BinaryFront::on_disconnected(Stream& stream, DisconnectReason) {
   const auto found = connections_.find(&stream);
   if (found == connections_.end()) return;
   Connection gone = std::move(found->second);
@@ -366,7 +366,7 @@
 
 // ---- From callers
 
-void BinaryFront::arrived(Stream& stream) {
+void BinaryFront::on_data(Stream& stream) {
   while (stream.alive()) {
     const std::string_view input = stream.input();
     if (input.size() < kPrefix) break;
--- a/src/front/binary.hpp
+++ b/src/front/binary.hpp
@@ -61,8 +61,8 @@
   short interest() const override;
   void on_ready(short events) override;
   bool reclaim_descriptor() override { return make_room(); }
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason how) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   bool take(Connection& from, std::string_view message);
   bool take_setup(Connection& from, CallId call, std::string_view parameters);
--- a/src/front/management.cpp
+++ b/src/front/management.cpp
@@ -101,7 +101,7 @@
   }
 }
 
-void ManagementFront::arrived(Stream& stream) {
+void ManagementFront::on_data(Stream& stream) {
   const auto found = connections_.find(&stream);
   if (found == connections_.end()) return;
   Connection& connection = *found->second;
@@ -153,7 +153,7 @@
   loop_.keep_until_pass_end(gone->stream);
 }
 
-void ManagementFront::lost(Stream& stream, DisconnectReason) { close(&stream); }
+void ManagementFront::on_disconnected(Stream& stream, DisconnectReason) { close(&stream); }
 
 void ManagementFront::sweep() {
   std::vector<const Stream*> late;
--- a/src/front/management.hpp
+++ b/src/front/management.hpp
@@ -52,8 +52,8 @@
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
   void on_ready(short events) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason how) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   void answer(Stream& stream, const Reply& reply);
   void close(const Stream* stream);
--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -231,7 +231,7 @@
   connection.undelivered.emplace(tag, std::move(message));
 }
 
-void Transport::arrived(Stream& stream) {
+void Transport::on_data(Stream& stream) {
   Connection* const connection = of(stream);
   if (!connection) return;
   const std::uint64_t id = connection->id;
@@ -294,10 +294,10 @@
   log_.line("sip: %s from %s, connection closed", why, address_text(connection.peer).c_str());
   Stream& stream = *connection.stream;
   stream.close();
-  lost(stream, DisconnectReason::closed);
+  on_disconnected(stream, DisconnectReason::closed);
 }
 
-void Transport::lost(Stream& stream, DisconnectReason) {
+void Transport::on_disconnected(Stream& stream, DisconnectReason) {
   Connection* const found = of(stream);
   if (!found) return;
   const Connection gone = std::move(*found);
--- a/src/front/sip/transport.hpp
+++ b/src/front/sip/transport.hpp
@@ -86,8 +86,8 @@
   int descriptor() const override { return udp_.get(); }
   short interest() const override { return POLLIN; }
   void on_ready(short events) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason how) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   bool room() const { return connections_.size() < most_connections_; }
   void accept_all(Acceptor& acceptor, TransportKind kind);
--- a/src/link/planners.cpp
+++ b/src/link/planners.cpp
@@ -144,9 +144,9 @@
 
 // ---- From the planners
 
-void Planners::connected(Stream&) {}
+void Planners::on_connected(Stream&) {}
 
-void Planners::arrived(Stream& stream) {
+void Planners::on_data(Stream& stream) {
   while (stream.alive()) {
     LinkMessage message;
     std::size_t length = 0;
@@ -157,7 +157,7 @@
     if (taken == Taken::malformed || !take(planner, message)) {
       log_.line("link: malformed message from planner %zu, connection closed", planner);
       stream.close();
-      return lost(stream, DisconnectReason::closed);
+      return on_disconnected(stream, DisconnectReason::closed);
     }
     stream.consume(length);
   }
@@ -207,7 +207,7 @@
 
 // What was open there has no planner any more: its attempts are given up with the planner, and each call gets
 // its one final answer now. Calls that stand go on; their releases wait for the planner to come back.
-void Planners::lost(Stream& stream, DisconnectReason) {
+void Planners::on_disconnected(Stream& stream, DisconnectReason) {
   const std::size_t at = of(stream);
   if (at == planners_.size()) return;
   Planner& planner = planners_[at];
--- a/src/link/planners.hpp
+++ b/src/link/planners.hpp
@@ -44,9 +44,9 @@
     bool open = true;
   };
 
-  void connected(Stream& stream) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason how) override;
+  void on_connected(Stream& stream) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   void connect(std::size_t planner);
   std::size_t of(const Stream& stream) const;
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -46,7 +46,7 @@
   for (Segment& segment : std::exchange(homeless_, {})) link.send(std::move(segment));
 }
 
-void Port::arrived(Stream& stream) {
+void Port::on_data(Stream& stream) {
   while (stream.alive()) {
     LinkMessage message;
     std::size_t length = 0;
@@ -57,7 +57,7 @@
     if (taken == Taken::malformed || !take(found->second, message)) {
       log_.line("link: malformed message from a forwarder, connection closed");
       stream.close();
-      return lost(stream, DisconnectReason::closed);
+      return on_disconnected(stream, DisconnectReason::closed);
     }
     stream.consume(length);
   }
@@ -87,7 +87,7 @@
   return true;
 }
 
-void Port::lost(Stream& stream, DisconnectReason) {
+void Port::on_disconnected(Stream& stream, DisconnectReason) {
   const auto found = forwarders_.find(&stream);
   if (found == forwarders_.end()) return;
   const Forwarder gone = std::move(found->second);
--- a/src/link/port.hpp
+++ b/src/link/port.hpp
@@ -40,8 +40,8 @@
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
   void on_ready(short events) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason how) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   bool take(Forwarder& from, const LinkMessage& message);
   Forwarder* owner_of(CallId call);
--- a/src/net/coordinator.cpp
+++ b/src/net/coordinator.cpp
@@ -91,21 +91,21 @@
   connect();
 }
 
-void Coordinator::connected(Stream& stream) {
+void Coordinator::on_connected(Stream& stream) {
   stream.send({"GET /v2/stream HTTP/1.1\r\nHost: " + address_text(address_) +
                    "\r\nAccept: text/event-stream\r\nLast-Event-ID: " + std::to_string(index_) + "\r\n\r\n",
                {},
                0});
 }
 
-void Coordinator::lost(Stream&, DisconnectReason how) {
+void Coordinator::on_disconnected(Stream&, DisconnectReason how) {
   retry(how == DisconnectReason::refused     ? "refused"
         : how == DisconnectReason::timed_out ? "not up in time"
         : how == DisconnectReason::no_socket ? "without a socket"
                                              : "ended");
 }
 
-void Coordinator::arrived(Stream& stream) {
+void Coordinator::on_data(Stream& stream) {
   heard_ = loop_.now();
   while (stream.alive()) {
     const std::string_view input = stream.input();
--- a/src/net/coordinator.hpp
+++ b/src/net/coordinator.hpp
@@ -25,9 +25,9 @@
  private:
   enum class Part { status, headers, body, chunk_size, chunk, chunk_end };
 
-  void connected(Stream& stream) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason how) override;
+  void on_connected(Stream& stream) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   void connect();
   void hang_up();
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -284,7 +284,7 @@
   lane.stream->send(end_segment(what.offer.call, what.cause));
 }
 
-void Servers::connected(Stream& stream) {
+void Servers::on_connected(Stream& stream) {
   const Place at = place_of(stream);
   if (!at.link) return;
   at.lane->backoff = Duration{0};
@@ -294,7 +294,7 @@
   for (const Waiting& what : std::exchange(at.link->waiting, {})) write(*at.link, *at.lane, what);
 }
 
-void Servers::arrived(Stream& stream) {
+void Servers::on_data(Stream& stream) {
   while (stream.alive()) {
     const std::string_view input = stream.input();
     const auto length = input.find('\n');
@@ -354,7 +354,7 @@
   log_.line("server %s: %s, connection closed", server_text(at.link->server).c_str(), why);
   stream.close();
   refresh_soon(*at.link);
-  lost(stream, DisconnectReason::closed);
+  on_disconnected(stream, DisconnectReason::closed);
 }
 
 // A release that was on its way on a connection that is closed here comes again on the next one opened, but
@@ -371,7 +371,7 @@
 
 // The end of a connection gives up the set-ups on it; the calls that stand there go on. Only if the process
 // refuses the next connection is it gone, and its calls with it.
-void Servers::lost(Stream& stream, DisconnectReason how) {
+void Servers::on_disconnected(Stream& stream, DisconnectReason how) {
   const Place at = place_of(stream);
   if (!at.link) return;
   const ServerId server = at.link->server;
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -141,9 +141,9 @@
     Lane* lane = nullptr;
   };
 
-  void connected(Stream& stream) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason how) override;
+  void on_connected(Stream& stream) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   Link& link(const ServerId& server);
   Place place_of(const Stream& stream);
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -146,7 +146,7 @@
     connect_timer_.reset();
     state_ = State::up;
     came_up_ = true;
-    owner_.connected(*this);
+    owner_.on_connected(*this);
     if (state_ == State::up && !output_.empty()) flush_at_end();
     return;
   }
@@ -173,7 +173,7 @@
   }
   if (input_.size() > had) {
     last_used_ = loop_.now();
-    owner_.arrived(*this);
+    owner_.on_data(*this);
   }
   // What was taken is given back: hundreds of connections would keep the size of their longest message for
   // good.
@@ -220,7 +220,7 @@
   if (state_ == State::dead) return;
   die();
   // A close of the owner's own is no loss: it may be going through its connections.
-  if (!closing_) owner_.lost(*this, how);
+  if (!closing_) owner_.on_disconnected(*this, how);
 }
 
 Fd Acceptor::next(sockaddr_in* peer) {
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -29,11 +29,11 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void connected(Stream&) {}
+    virtual void on_connected(Stream&) {}
     // Takes whole messages off the input; what is left comes again with more.
-    virtual void arrived(Stream&) = 0;
+    virtual void on_data(Stream&) = 0;
     // Comes once, never for a close of the owner's own. The stream is unusable afterwards.
-    virtual void lost(Stream&, DisconnectReason how) = 0;
+    virtual void on_disconnected(Stream&, DisconnectReason how) = 0;
   };
 
   // Takes over an accepted connection.
--- a/src/register/client.cpp
+++ b/src/register/client.cpp
@@ -46,7 +46,7 @@
   loop_.keep_until_pass_end(std::exchange(stream_, nullptr));
 }
 
-void Client::arrived(Stream& stream) {
+void Client::on_data(Stream& stream) {
   while (stream.alive() && stream_.get() == &stream) {
     link::LinkMessage message;
     std::size_t length = 0;
@@ -62,7 +62,7 @@
   pump();
 }
 
-void Client::lost(Stream& stream, DisconnectReason) {
+void Client::on_disconnected(Stream& stream, DisconnectReason) {
   if (stream_.get() != &stream) return;
   loop_.keep_until_pass_end(std::exchange(stream_, nullptr));
   access_.disconnected(loop_.now());
--- a/src/register/client.hpp
+++ b/src/register/client.hpp
@@ -26,8 +26,8 @@
   const std::string& voter() const { return access_.voter(); }
 
  private:
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason how) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
   void drop();
 
   Loop& loop_;
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -137,7 +137,7 @@
   }
 }
 
-void VoterServer::arrived(Stream& stream) {
+void VoterServer::on_data(Stream& stream) {
   while (stream.alive()) {
     const auto found = connections_.find(&stream);
     if (found == connections_.end()) return;  // one of our own to another voter: nothing is said on it
@@ -151,7 +151,7 @@
       log_.line("register: what came from %s is no message of this version, connection closed",
                 from.name.empty() ? "a client" : from.name.c_str());
       stream.close();
-      return lost(stream, DisconnectReason::closed);
+      return on_disconnected(stream, DisconnectReason::closed);
     }
     if (stream.alive()) stream.consume(length);
   }
@@ -260,7 +260,7 @@
   return resigning_;
 }
 
-void VoterServer::lost(Stream& stream, DisconnectReason) {
+void VoterServer::on_disconnected(Stream& stream, DisconnectReason) {
   if (const auto found = connections_.find(&stream); found != connections_.end()) {
     const Connection gone = std::move(found->second);
     connections_.erase(found);
--- a/src/register/voter_server.hpp
+++ b/src/register/voter_server.hpp
@@ -69,8 +69,8 @@
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return acceptor_.resting() ? short{0} : POLLIN; }
   void on_ready(short events) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason how) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   bool take(Connection& from, const link::LinkMessage& message, std::string_view bytes);
   bool join(const Connection& from);
--- a/standin/setup_server/setup_server.cpp
+++ b/standin/setup_server/setup_server.cpp
@@ -37,7 +37,7 @@
   }
 }
 
-void SetupServer::lost(Stream& stream, DisconnectReason) {
+void SetupServer::on_disconnected(Stream& stream, DisconnectReason) {
   const auto found = streams_.find(&stream);
   if (found == streams_.end()) return;
   // The set-ups open on a connection are given up with it; a call that stands belongs to none.
@@ -52,7 +52,7 @@
   streams_.erase(found);
 }
 
-void SetupServer::arrived(Stream& stream) {
+void SetupServer::on_data(Stream& stream) {
   for (;;) {
     const std::string_view input = stream.input();
     const auto end = input.find('\n');
--- a/standin/setup_server/setup_server.hpp
+++ b/standin/setup_server/setup_server.hpp
@@ -49,8 +49,8 @@
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return POLLIN; }
   void on_ready(short) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, DisconnectReason) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason) override;
 
   void take(Stream& stream, std::string_view line);
   void offer(Stream& stream, const std::string& call);
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -179,8 +179,8 @@
 // Who takes no answers is not read; that it closes its side is seen all the same.
 TEST_F(Program, ACallerThatTakesNoAnswersIsSeenToLeave) {
   struct Ends : Stream::Owner {
-    void arrived(Stream& stream) override { stream.consume(stream.input().size()); }
-    void lost(Stream&, DisconnectReason) override { ended = true; }
+    void on_data(Stream& stream) override { stream.consume(stream.input().size()); }
+    void on_disconnected(Stream&, DisconnectReason) override { ended = true; }
     bool ended = false;
   } owner;
   Acceptor acceptor(loop, listen_on(any_port()));
@@ -551,8 +551,8 @@
     hears(idle.back(), kPassed);
   }
   struct Nobody : Stream::Owner {
-    void arrived(Stream&) override {}
-    void lost(Stream&, DisconnectReason) override {}
+    void on_data(Stream&) override {}
+    void on_disconnected(Stream&, DisconnectReason) override {}
   } nobody;
   NoDescriptorLeft none;
   const Stream watch(loop, at.address(), milliseconds(1000), nobody, Priority::control);
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -101,8 +101,8 @@
 // A peer that asks on and takes no answers is not read any further, and what it sent is not kept.
 TEST_F(Program, WhoTakesNoAnswersIsNotAskedForMore) {
   struct Idle : Stream::Owner {
-    void arrived(Stream& stream) override { stream.consume(stream.input().size()); }
-    void lost(Stream&, DisconnectReason) override {}
+    void on_data(Stream& stream) override { stream.consume(stream.input().size()); }
+    void on_disconnected(Stream&, DisconnectReason) override {}
   } owner;
   Acceptor acceptor(loop, listen_on(any_port()));
   Peer other = Peer::connect(bound_address(acceptor.fd()));
