--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -225,7 +225,7 @@
   // A server that takes nothing leaves it in the line of its connection.
   for (Lane& lane : found->second.lanes) {
     const auto out = lane.out.find(call);
-    if (out == lane.out.end() || !lane.up() || !lane.stream->take_back(call)) continue;
+    if (out == lane.out.end() || !lane.up() || !lane.stream->cancel_unsent(call)) continue;
     lane.out.erase(out);
     return true;
   }
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -99,7 +99,7 @@
   });
 }
 
-bool Stream::take_back(std::uint64_t tag) {
+bool Stream::cancel_unsent(std::uint64_t tag) {
   if (state_ == State::dead) return false;
   const auto begun = output_.begin() + (written_ > 0 ? 1 : 0);
   const auto found =
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -50,7 +50,7 @@
 
   void send(Segment segment);
   // Takes a segment back of which no byte was written; false if there is none with that tag.
-  bool take_back(std::uint64_t tag);
+  bool cancel_unsent(std::uint64_t tag);
   // Reads what has arrived by now, outside its turn: whoever closes a connection for want of use looks first.
   void read_now() {
     if (state_ == State::up) read();
