--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -303,7 +303,7 @@
   const Connection gone = std::move(*found);
   connections_.erase(gone.id);
   loop_.keep_until_pass_end(gone.stream);
-  if (!stream.came_up()) {
+  if (!stream.was_connected()) {
     log_.line("sip: no connection to %s", address_text(gone.peer).c_str());
     return;  // its timers decide what becomes of what was to be sent
   }
--- a/src/net/coordinator.cpp
+++ b/src/net/coordinator.cpp
@@ -64,7 +64,7 @@
 void Coordinator::retry(const char* why) {
   log_.line("coordinator: stream %s, asked again after event %llu", why,
             static_cast<unsigned long long>(index_));
-  const bool lasted = stream_ && stream_->came_up() && loop_.now() - began_ >= kLasting;
+  const bool lasted = stream_ && stream_->was_connected() && loop_.now() - began_ >= kLasting;
   hang_up();
   if (lasted) backoff_ = Duration{0};
   timer_ = loop_.at(loop_.now() + backoff_, [this] {
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -379,7 +379,7 @@
   for (const Segment& segment : stream.unsent()) unsent.insert(segment.tag);
   loop_.keep_until_pass_end(
       std::exchange(at.lane->stream, nullptr));  // `stream` lives until the end of the pass
-  if (stream.came_up()) {
+  if (stream.was_connected()) {
     const auto out = std::exchange(at.lane->out, {});
     const auto ended = std::exchange(at.lane->ended, {});
     at.link->standing.merge(std::exchange(at.lane->standing, {}));
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -42,7 +42,7 @@
 }  // namespace
 
 Stream::Stream(Loop& loop, Fd fd, Owner& owner, Priority priority)
-    : loop_(loop), owner_(owner), fd_(std::move(fd)), came_up_(true), last_used_(loop.now()) {
+    : loop_(loop), owner_(owner), fd_(std::move(fd)), was_connected_(true), last_used_(loop.now()) {
   set_up(fd_.get());
   loop_.watch(*this, priority);
 }
@@ -145,7 +145,7 @@
     if (connect_timer_) loop_.cancel(*connect_timer_);
     connect_timer_.reset();
     state_ = State::up;
-    came_up_ = true;
+    was_connected_ = true;
     owner_.on_connected(*this);
     if (state_ == State::up && !output_.empty()) flush_at_end();
     return;
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -59,7 +59,7 @@
   const std::deque<Segment>& unsent() const { return output_; }
   bool up() const { return state_ == State::up; }
   // It was up once: what is lost then was more than an attempt to connect.
-  bool came_up() const { return came_up_; }
+  bool was_connected() const { return was_connected_; }
   bool alive() const { return state_ != State::dead; }
   Time last_used() const { return last_used_; }
   // When the peer took something last, or what it has not taken yet was queued.
@@ -95,7 +95,7 @@
   std::size_t queued_ = 0;
   std::size_t longest_output_ = 1024 * 1024;
   bool flush_due_ = false;
-  bool came_up_ = false;
+  bool was_connected_ = false;
   bool closing_ = false;  // by the owner, who hears nothing more
   std::optional<Loop::TimerId> connect_timer_;
   Time last_used_{};
