--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -27,7 +27,7 @@
 }
 
 void Server::on_ready(short) {
-  Fd fd = acceptor_.next();
+  Fd fd = acceptor_.accept();
   if (!fd) return;
   if (streams_.size() >= kMostConnections) {
     // The one that has been quiet for longest goes: it may be a client that does not read.
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -43,7 +43,7 @@
 
  private:
   int descriptor() const override { return acceptor_.fd().get(); }
-  short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
+  short interest() const override { return acceptor_.paused() ? 0 : POLLIN; }
   void on_ready(short) override;
   void on_data(Stream& stream) override;
   void on_disconnected(Stream& stream, DisconnectReason) override;
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -208,7 +208,7 @@
 // At the limit callers wait in the kernel's line until there is room, or a connection that may be closed for
 // them; so they do while the process is out of descriptors.
 short BinaryFront::interest() const {
-  if (acceptor_.resting()) return 0;
+  if (acceptor_.paused()) return 0;
   const bool room = connections_.size() < most_connections_ || least_missed() != connections_.end();
   return room ? POLLIN : 0;
 }
@@ -218,11 +218,11 @@
   if (connections_.size() >= most_connections_ && !make_room()) return;
   while (connections_.size() < most_connections_) {
     sockaddr_in peer{};
-    Fd fd = acceptor_.next(&peer);
+    Fd fd = acceptor_.accept(&peer);
     if (!fd) {
-      if (!acceptor_.resting()) return;
+      if (!acceptor_.paused()) return;
       log_.line("caller: no descriptor left, connections have to wait");
-      if (make_room()) acceptor_.rest_no_more();
+      if (make_room()) acceptor_.resume();
       return;
     }
     Connection connection;
--- a/src/front/management.cpp
+++ b/src/front/management.cpp
@@ -80,7 +80,7 @@
 
 void ManagementFront::on_ready(short) {
   for (;;) {
-    Fd fd = acceptor_.next();
+    Fd fd = acceptor_.accept();
     if (!fd) return;
     // Callers that say nothing must not keep out those that ask: the one waiting longest goes.
     if (connections_.size() >= kMostConnections) {
--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -135,9 +135,9 @@
 void Transport::accept_all(Acceptor& acceptor, TransportKind kind) {
   while (room()) {
     sockaddr_in peer{};
-    Fd fd = acceptor.next(&peer);
+    Fd fd = acceptor.accept(&peer);
     if (!fd) {
-      if (!acceptor.resting()) return;
+      if (!acceptor.paused()) return;
       log_.line("sip: no descriptor left, connections have to wait");
       return make_room();
     }
--- a/src/front/sip/transport.hpp
+++ b/src/front/sip/transport.hpp
@@ -56,7 +56,7 @@
         : transport_(transport), kind_(kind), acceptor_(transport.loop_, std::move(fd)) {}
     const Fd& fd() const { return acceptor_.fd(); }
     int descriptor() const override { return fd().get(); }
-    short interest() const override { return transport_.room() && !acceptor_.resting() ? POLLIN : 0; }
+    short interest() const override { return transport_.room() && !acceptor_.paused() ? POLLIN : 0; }
     void on_ready(short) override { transport_.accept_all(acceptor_, kind_); }
 
    private:
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -35,7 +35,7 @@
 }
 
 void Port::on_ready(short) {
-  Fd fd = acceptor_.next();
+  Fd fd = acceptor_.accept();
   if (!fd || forwarders_.size() >= kMostForwarders) return;
   auto stream =
       std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
--- a/src/link/port.hpp
+++ b/src/link/port.hpp
@@ -38,7 +38,7 @@
   };
 
   int descriptor() const override { return acceptor_.fd().get(); }
-  short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
+  short interest() const override { return acceptor_.paused() ? 0 : POLLIN; }
   void on_ready(short events) override;
   void on_data(Stream& stream) override;
   void on_disconnected(Stream& stream, DisconnectReason how) override;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -223,12 +223,12 @@
   if (!closing_) owner_.on_disconnected(*this, how);
 }
 
-Fd Acceptor::next(sockaddr_in* peer) {
+Fd Acceptor::accept(sockaddr_in* peer) {
   socklen_t size = sizeof *peer;
   for (;;) {
     Fd fd(::accept(fd_.get(), reinterpret_cast<sockaddr*>(peer), peer ? &size : nullptr));
     if (fd || (errno != EINTR && errno != ECONNABORTED)) {
-      if (!fd && no_descriptor(errno)) rests_until_ = loop_.now() + kRest;
+      if (!fd && no_descriptor(errno)) paused_until_ = loop_.now() + kRest;
       return fd;
     }
   }
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -110,18 +110,18 @@
  public:
   Acceptor(Loop& loop, Fd fd) : loop_(loop), fd_(std::move(fd)) {}
   const Fd& fd() const { return fd_; }
-  bool resting() const { return loop_.now() < rests_until_; }
+  bool paused() const { return loop_.now() < paused_until_; }
   // A descriptor was given back.
-  void rest_no_more() { rests_until_ = Time{}; }
+  void resume() { paused_until_ = Time{}; }
   // The next connection in line, or none.
-  Fd next(sockaddr_in* peer = nullptr);
+  Fd accept(sockaddr_in* peer = nullptr);
   // No more connections: what is in line must have been taken first, for what is left is reset.
   void close() { fd_.reset(); }
 
  private:
   Loop& loop_;
   Fd fd_;
-  Time rests_until_{};
+  Time paused_until_{};
 };
 
 // An address as "10.0.0.4:5070"; nothing if it is none.
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -123,7 +123,7 @@
 
 void VoterServer::on_ready(short) {
   while (true) {
-    Fd fd = acceptor_.next();
+    Fd fd = acceptor_.accept();
     if (!fd) return;
     if (connections_.size() >= kMostConnections) continue;
     auto stream =
--- a/src/register/voter_server.hpp
+++ b/src/register/voter_server.hpp
@@ -67,7 +67,7 @@
 
   void send(VoterId to, const std::string& address, std::string bytes) override;
   int descriptor() const override { return acceptor_.fd().get(); }
-  short interest() const override { return acceptor_.resting() ? short{0} : POLLIN; }
+  short interest() const override { return acceptor_.paused() ? short{0} : POLLIN; }
   void on_ready(short events) override;
   void on_data(Stream& stream) override;
   void on_disconnected(Stream& stream, DisconnectReason how) override;
--- a/standin/setup_server/setup_server.cpp
+++ b/standin/setup_server/setup_server.cpp
@@ -29,7 +29,7 @@
 }
 
 void SetupServer::on_ready(short) {
-  while (Fd fd = acceptor_.next()) {
+  while (Fd fd = acceptor_.accept()) {
     auto stream =
         std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
     streams_[stream.get()] = stream;
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -185,7 +185,7 @@
   } owner;
   Acceptor acceptor(loop, listen_on(any_port()));
   Peer other = Peer::connect(bound_address(acceptor.fd()));
-  Stream stream(loop, acceptor.next(), owner, Priority::callers);
+  Stream stream(loop, acceptor.accept(), owner, Priority::callers);
   const int small = 4096;
   ::setsockopt(stream.descriptor(), SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
   stream.limit_output(4 << 20);
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -106,7 +106,7 @@
   } owner;
   Acceptor acceptor(loop, listen_on(any_port()));
   Peer other = Peer::connect(bound_address(acceptor.fd()));
-  Stream stream(loop, acceptor.next(), owner, Priority::callers);
+  Stream stream(loop, acceptor.accept(), owner, Priority::callers);
   const int small = 4096;
   ::setsockopt(stream.descriptor(), SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
   stream.limit_output(4 << 20);
@@ -126,11 +126,11 @@
   ::getrlimit(RLIMIT_NOFILE, &before);
   none = {static_cast<rlim_t>(Fd(::dup(0)).get()), before.rlim_max};
   ::setrlimit(RLIMIT_NOFILE, &none);
-  EXPECT_FALSE(acceptor.next());
+  EXPECT_FALSE(acceptor.accept());
   ::setrlimit(RLIMIT_NOFILE, &before);
-  EXPECT_TRUE(acceptor.resting());
-  until([&] { return !acceptor.resting(); }, "the end of its rest");
-  EXPECT_TRUE(acceptor.next());
+  EXPECT_TRUE(acceptor.paused());
+  until([&] { return !acceptor.paused(); }, "the end of its rest");
+  EXPECT_TRUE(acceptor.accept());
 }
 
 // ---- Bad peers
