--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -156,7 +156,7 @@
     : loop_(loop),
       log_(log),
       core_(core),
-      acceptor_(loop, listen_on(listen, Sharing::shared)),
+      acceptor_(loop, listen_on(listen, PortSharing::shared)),
       most_connections_(most_connections),
       longest_output_(longest_output) {
   loop_.watch(*this, Priority::callers);
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -258,7 +258,7 @@
 
 namespace {
 
-Fd bound(const sockaddr_in& address, int type, Sharing sharing) {
+Fd bound(const sockaddr_in& address, int type, PortSharing port_sharing) {
   Fd fd(::socket(AF_INET, type, 0));
   const int on = 1;
   const auto fail = [&](const char* what) {
@@ -268,7 +268,7 @@
   // For a TCP port that a process before has just left. On UDP it would let two sockets share one port, and
   // the later one take the datagrams of the other.
   if (type == SOCK_STREAM) ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (sharing == Sharing::shared) ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
+  if (port_sharing == PortSharing::shared) ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
   set_up(fd.get());
   if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     fail("cannot listen on");
@@ -278,15 +278,15 @@
 
 }  // namespace
 
-Fd listen_on(const sockaddr_in& address, Sharing sharing) {
-  Fd fd = bound(address, SOCK_STREAM, sharing);
+Fd listen_on(const sockaddr_in& address, PortSharing port_sharing) {
+  Fd fd = bound(address, SOCK_STREAM, port_sharing);
   if (::listen(fd.get(), 512) != 0) {
     throw std::system_error(errno, std::generic_category(), "cannot listen on " + address_text(address));
   }
   return fd;
 }
 
-Fd bind_udp(const sockaddr_in& address) { return bound(address, SOCK_DGRAM, Sharing::alone); }
+Fd bind_udp(const sockaddr_in& address) { return bound(address, SOCK_DGRAM, PortSharing::exclusive); }
 
 sockaddr_in bound_address(const Fd& fd) {
   sockaddr_in address{};
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -131,8 +131,8 @@
 // `shared`: with SO_REUSEPORT, so that a process started beside this one on the same address listens too and
 // the kernel spreads new connections over both (an upgrade); a socket bound there without it still keeps it
 // out.
-enum class Sharing { alone, shared };
-Fd listen_on(const sockaddr_in& address, Sharing sharing = Sharing::alone);
+enum class PortSharing { exclusive, shared };
+Fd listen_on(const sockaddr_in& address, PortSharing port_sharing = PortSharing::exclusive);
 Fd bind_udp(const sockaddr_in& address);
 // The address a socket is bound to: for one bound to port 0, the port it got.
 sockaddr_in bound_address(const Fd& fd);
