--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -29,7 +29,7 @@
                      [](DescriptorReclaimer* each) { return each->reclaim_descriptor(); });
 }
 
-// The clock may be set back; the decisions must not see it.
+// The system clock may be set back; now() must not follow it.
 void Loop::read_clock() { now_ = std::max(now_, clock_()); }
 
 int Loop::wait_ms(Duration longest_wait) const {
@@ -54,7 +54,7 @@
   for (std::size_t i = 0; i < polled.size() && count > 0; ++i) {
     if (polled[i].revents == 0) continue;
     const auto& list = handlers_[order[i].first];
-    // One that an earlier callback of this pass took away is gone.
+    // An earlier callback of this pass may have removed the handler.
     if (std::find(list.begin(), list.end(), order[i].second) == list.end()) continue;
     order[i].second->on_ready(polled[i].revents);
   }
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,8 +1,9 @@
-// The one loop: poll(2), timers and the steps that end a pass.
+// The event loop of a thread: poll(2), timers and deferred callbacks.
 //
-// A pass takes what is ready in order of priority (news of the servers before what servers say, that before
-// what callers say), then the timers that are due, then the closing steps, in which decisions are carried out
-// and queued bytes written. Nothing that is sent can so be older than news that had already arrived.
+// A pass handles ready descriptors in order of priority (membership updates before messages of setup servers,
+// those before messages of callers), then the timers that are due, then the deferred callbacks, in which
+// decisions are carried out and queued bytes are written. Nothing is therefore sent without regard to an
+// update that has already arrived.
 #pragma once
 
 #include <poll.h>
@@ -16,8 +17,10 @@
 
 namespace quartzarch {
 
+// The order in which ready descriptors are handled within a pass, first to last.
 enum class Priority { control, servers, callers };
 
+// A descriptor registered with the loop: the poll events it waits for and the callback for them.
 class IoHandler {
  public:
   virtual ~IoHandler() = default;
@@ -40,11 +43,12 @@
   TimerId at(Time when, Callback callback);
   void cancel(TimerId timer);
 
-  // Runs once, at the end of this pass, or of the next one if none is on.
+  // Runs the callback once, at the end of the current pass, or of the next one if none is running.
   void defer(Callback callback) { deferred_.push_back(std::move(callback)); }
-  // Runs at the end of every pass, before the single steps; true if it did something.
+  // Runs the callback at the end of every pass, before the deferred ones, and again until none does anything
+  // more; it returns true if it did something.
   void after_each_pass(std::function<bool()> callback) { after_each_pass_.push_back(std::move(callback)); }
-  // Asked when a socket cannot be had for want of descriptors: whether one was given back.
+  // Asked to free a file descriptor when no socket can be created for lack of them; returns whether it did.
   class DescriptorReclaimer {
    public:
     virtual ~DescriptorReclaimer() = default;
@@ -53,10 +57,10 @@
   void add_reclaimer(DescriptorReclaimer& reclaimer) { reclaimers_.push_back(&reclaimer); }
   void remove_reclaimer(const DescriptorReclaimer& reclaimer) { std::erase(reclaimers_, &reclaimer); }
   bool reclaim_descriptor();
-  // Kept until the pass is over: the object may still be on the stack.
+  // Keeps the object alive until the pass is over, since one of its methods may still be on the stack.
   void keep_until_pass_end(std::shared_ptr<void> object) { kept_alive_.push_back(std::move(object)); }
 
-  // The start of what is being handled; never runs backwards.
+  // The time at which the current pass began to handle events; never goes backwards.
   Time now() const { return now_; }
 
   void pass(Duration longest_wait = std::chrono::seconds(1));
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -14,57 +14,64 @@
 namespace quartzarch {
 namespace {
 
-// A peer that sends on without end has to wait for its turn.
-constexpr std::size_t kReadAtOnce = 64 * 1024;
-constexpr Duration kRest = std::chrono::milliseconds(100);
-constexpr std::size_t kKeptInput = 4 * 1024;
-constexpr std::size_t kGathered = 64;
-
-void set_up(int fd) {
+// Bounds what is read from one connection per pass, so that a peer that never stops sending does not starve
+// the others.
+constexpr std::size_t kMaxBytesPerRead = 64 * 1024;
+// How long accepting is paused when the process is out of file descriptors.
+constexpr Duration kAcceptPause = std::chrono::milliseconds(100);
+// Unused input capacity above this is freed.
+constexpr std::size_t kMaxSpareInputCapacity = 4 * 1024;
+// Pieces per writev call; a segment takes up to two.
+constexpr std::size_t kMaxIovecs = 64;
+
+// Makes the socket non-blocking and close-on-exec and turns off Nagle's algorithm.
+void configure_socket(int fd) {
   ::fcntl(fd, F_SETFL, ::fcntl(fd, F_GETFL) | O_NONBLOCK);
   ::fcntl(fd, F_SETFD, FD_CLOEXEC);
-  const int on = 1;
-  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  const int enable = 1;
+  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
 }
 
-bool no_descriptor(int error) {
+bool out_of_resources(int error) {
   return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
 }
 
-// Only a refusal proves that no process listens there. What this machine lacks says nothing of the peer, and
-// a reset may be one connection's end that came between its making and the look at it.
-DisconnectReason failed_connect(int error) {
+// Only ECONNREFUSED proves that no process listens there. A local shortage of resources says nothing about
+// the peer, and a reset may be the end of a connection that was established and broke before it was polled.
+DisconnectReason connect_failure(int error) {
   if (error == ECONNREFUSED) return DisconnectReason::refused;
-  return no_descriptor(error) || error == EADDRNOTAVAIL || error == EAGAIN ? DisconnectReason::no_socket
-                                                                           : DisconnectReason::timed_out;
+  return out_of_resources(error) || error == EADDRNOTAVAIL || error == EAGAIN ? DisconnectReason::no_socket
+                                                                              : DisconnectReason::timed_out;
 }
 
 }  // namespace
 
 Stream::Stream(Loop& loop, Fd fd, Owner& owner, Priority priority)
     : loop_(loop), owner_(owner), fd_(std::move(fd)), was_connected_(true), last_used_(loop.now()) {
-  set_up(fd_.get());
+  configure_socket(fd_.get());
   loop_.watch(*this, priority);
 }
 
 Stream::Stream(Loop& loop, const sockaddr_in& to, Duration timeout, Owner& owner, Priority priority)
     : loop_(loop), owner_(owner), state_(State::connecting), last_used_(loop.now()) {
   fd_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
-  // Idle callers may hold them all: what news and setup servers need goes before.
-  if (!fd_ && no_descriptor(errno) && loop_.reclaim_descriptor()) fd_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
-  const auto later = [this](DisconnectReason how) {
-    loop_.defer([this, how, living = std::weak_ptr(living_)] {
-      if (!living.expired()) fail(how);
+  // Idle callers may hold all descriptors; connections to the coordinator and to setup servers take
+  // precedence.
+  if (!fd_ && out_of_resources(errno) && loop_.reclaim_descriptor())
+    fd_ = Fd(::socket(AF_INET, SOCK_STREAM, 0));
+  const auto fail_at_pass_end = [this](DisconnectReason reason) {
+    loop_.defer([this, reason, alive_token = std::weak_ptr(alive_token_)] {
+      if (!alive_token.expired()) fail(reason);
     });
   };
   if (!fd_) {
-    later(DisconnectReason::no_socket);
+    fail_at_pass_end(DisconnectReason::no_socket);
     return;
   }
-  set_up(fd_.get());
+  configure_socket(fd_.get());
   const auto* const address = reinterpret_cast<const sockaddr*>(&to);
   if (::connect(fd_.get(), address, sizeof to) != 0 && errno != EINPROGRESS) {
-    later(failed_connect(errno));
+    fail_at_pass_end(connect_failure(errno));
     return;
   }
   connect_timer_ = loop_.at(loop_.now() + timeout, [this] {
@@ -83,29 +90,30 @@
   if (state_ == State::dead) return;
   last_used_ = loop_.now();
   if (output_.empty()) last_written_ = loop_.now();
-  queued_ += segment.head.size() + segment.body.size();
+  queued_bytes_ += segment.head.size() + segment.body.size();
   output_.push_back(std::move(segment));
-  flush_at_end();
+  flush_at_pass_end();
 }
 
-// Never before: what is read later in the same pass, a withdrawal for one, may still stop what is queued.
-void Stream::flush_at_end() {
-  if (flush_due_) return;
-  flush_due_ = true;
-  loop_.defer([this, living = std::weak_ptr(living_)] {
-    if (living.expired()) return;
-    flush_due_ = false;
+// Nothing is written before the end of the pass: a message read later in the same pass, such as a
+// cancellation, may still remove what is queued.
+void Stream::flush_at_pass_end() {
+  if (flush_scheduled_) return;
+  flush_scheduled_ = true;
+  loop_.defer([this, alive_token = std::weak_ptr(alive_token_)] {
+    if (alive_token.expired()) return;
+    flush_scheduled_ = false;
     if (state_ == State::up) flush();
   });
 }
 
 bool Stream::cancel_unsent(std::uint64_t tag) {
   if (state_ == State::dead) return false;
-  const auto begun = output_.begin() + (written_ > 0 ? 1 : 0);
-  const auto found =
-      std::find_if(begun, output_.end(), [tag](const Segment& segment) { return segment.tag == tag; });
+  const auto first_unwritten = output_.begin() + (front_bytes_written_ > 0 ? 1 : 0);
+  const auto found = std::find_if(first_unwritten, output_.end(),
+                                  [tag](const Segment& segment) { return segment.tag == tag; });
   if (found == output_.end()) return false;
-  queued_ -= found->head.size() + found->body.size();
+  queued_bytes_ -= found->head.size() + found->body.size();
   output_.erase(found);
   return true;
 }
@@ -113,7 +121,7 @@
 void Stream::close() {
   closing_ = true;
   if (state_ == State::up) flush();
-  if (state_ != State::dead) die();
+  if (state_ != State::dead) discard();
 }
 
 void Stream::end_output() {
@@ -121,7 +129,7 @@
   if (state_ == State::up && output_.empty()) ::shutdown(fd_.get(), SHUT_WR);
 }
 
-void Stream::die() {
+void Stream::discard() {
   state_ = State::dead;
   if (connect_timer_) loop_.cancel(*connect_timer_);
   connect_timer_.reset();
@@ -131,9 +139,9 @@
 
 short Stream::interest() const {
   if (state_ == State::connecting) return POLLOUT;
-  // Who asks on and takes no answers has to wait: its answers are not to fill the memory.
-  // That it has left is to be noticed all the same.
-  return static_cast<short>((reads() ? POLLIN : POLLRDHUP) | (output_.empty() ? 0 : POLLOUT));
+  // A peer that keeps sending requests without reading the answers is not read from, so that its answers do
+  // not fill the memory. POLLRDHUP still reports that it has disconnected.
+  return static_cast<short>((accepts_input() ? POLLIN : POLLRDHUP) | (output_.empty() ? 0 : POLLOUT));
 }
 
 void Stream::on_ready(short events) {
@@ -141,25 +149,25 @@
     int error = 0;
     socklen_t size = sizeof error;
     ::getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return fail(failed_connect(error));
+    if (error != 0) return fail(connect_failure(error));
     if (connect_timer_) loop_.cancel(*connect_timer_);
     connect_timer_.reset();
     state_ = State::up;
     was_connected_ = true;
     owner_.on_connected(*this);
-    if (state_ == State::up && !output_.empty()) flush_at_end();
+    if (state_ == State::up && !output_.empty()) flush_at_pass_end();
     return;
   }
-  if ((events & POLLRDHUP) && !reads()) return fail(DisconnectReason::closed);
+  if ((events & POLLRDHUP) && !accepts_input()) return fail(DisconnectReason::closed);
   if (events & (POLLIN | POLLHUP | POLLERR)) read();
-  if (state_ == State::up && (events & POLLOUT)) flush_at_end();
+  if (state_ == State::up && (events & POLLOUT)) flush_at_pass_end();
 }
 
 void Stream::read() {
-  if (taken_ > 0) input_.erase(0, std::exchange(taken_, 0));
+  if (consumed_ > 0) input_.erase(0, std::exchange(consumed_, 0));
   const std::size_t had = input_.size();
   std::optional<DisconnectReason> end;
-  while (input_.size() - had < kReadAtOnce) {
+  while (input_.size() - had < kMaxBytesPerRead) {
     char bytes[16 * 1024];
     const ssize_t count = ::recv(fd_.get(), bytes, sizeof bytes, 0);
     if (count > 0) {
@@ -175,23 +183,23 @@
     last_used_ = loop_.now();
     owner_.on_data(*this);
   }
-  // What was taken is given back: hundreds of connections would keep the size of their longest message for
-  // good.
-  if (taken_ > 0) input_.erase(0, std::exchange(taken_, 0));
-  if (input_.capacity() - input_.size() > kKeptInput) input_.shrink_to_fit();
+  // Consumed input is freed; otherwise hundreds of connections would each keep the capacity of their longest
+  // message for good.
+  if (consumed_ > 0) input_.erase(0, std::exchange(consumed_, 0));
+  if (input_.capacity() - input_.size() > kMaxSpareInputCapacity) input_.shrink_to_fit();
   if (end && state_ == State::up) fail(*end);
 }
 
 void Stream::flush() {
   while (!output_.empty()) {
-    std::array<iovec, kGathered> pieces;
-    std::size_t count = 0, skip = written_;
+    std::array<iovec, kMaxIovecs> pieces;
+    std::size_t count = 0, skip = front_bytes_written_;
     const auto add = [&](std::string& bytes) {
       const std::size_t from = std::min(skip, bytes.size());
       skip -= from;
       if (from < bytes.size()) pieces[count++] = {bytes.data() + from, bytes.size() - from};
     };
-    for (auto segment = output_.begin(); segment != output_.end() && count + 2 <= kGathered; ++segment) {
+    for (auto segment = output_.begin(); segment != output_.end() && count + 2 <= kMaxIovecs; ++segment) {
       add(segment->head);
       add(segment->body);
     }
@@ -199,28 +207,28 @@
     if (sent < 0) {
       if (errno == EINTR) continue;
       if (errno == EAGAIN || errno == EWOULDBLOCK) break;
-      if (closing_) return die();
-      // What the peer had sent before it broke off is still to be read; the read tells of the end.
-      return queued_ > longest_output_ ? fail(DisconnectReason::reset) : read();
+      if (closing_) return discard();
+      // What the peer sent before it disconnected is still read; the read then reports the end.
+      return queued_bytes_ > max_output_bytes_ ? fail(DisconnectReason::reset) : read();
     }
-    written_ += static_cast<std::size_t>(sent);
+    front_bytes_written_ += static_cast<std::size_t>(sent);
     last_written_ = loop_.now();
     while (!output_.empty()) {
       const std::size_t size = output_.front().head.size() + output_.front().body.size();
-      if (written_ < size) break;
-      written_ -= size;
-      queued_ -= size;
+      if (front_bytes_written_ < size) break;
+      front_bytes_written_ -= size;
+      queued_bytes_ -= size;
       output_.pop_front();
     }
   }
-  if (queued_ > longest_output_) fail(DisconnectReason::reset);
+  if (queued_bytes_ > max_output_bytes_) fail(DisconnectReason::reset);
 }
 
-void Stream::fail(DisconnectReason how) {
+void Stream::fail(DisconnectReason reason) {
   if (state_ == State::dead) return;
-  die();
-  // A close of the owner's own is no loss: it may be going through its connections.
-  if (!closing_) owner_.on_disconnected(*this, how);
+  discard();
+  // The owner is not called back for its own close: it may be iterating over its connections.
+  if (!closing_) owner_.on_disconnected(*this, reason);
 }
 
 Fd Acceptor::accept(sockaddr_in* peer) {
@@ -228,7 +236,7 @@
   for (;;) {
     Fd fd(::accept(fd_.get(), reinterpret_cast<sockaddr*>(peer), peer ? &size : nullptr));
     if (fd || (errno != EINTR && errno != ECONNABORTED)) {
-      if (!fd && no_descriptor(errno)) paused_until_ = loop_.now() + kRest;
+      if (!fd && out_of_resources(errno)) paused_until_ = loop_.now() + kAcceptPause;
       return fd;
     }
   }
@@ -258,18 +266,19 @@
 
 namespace {
 
-Fd bound(const sockaddr_in& address, int type, PortSharing port_sharing) {
+Fd bound_socket(const sockaddr_in& address, int type, PortSharing port_sharing) {
   Fd fd(::socket(AF_INET, type, 0));
-  const int on = 1;
+  const int enable = 1;
   const auto fail = [&](const char* what) {
     throw std::system_error(errno, std::generic_category(), what + (" " + address_text(address)));
   };
   if (!fd) fail("no socket for");
-  // For a TCP port that a process before has just left. On UDP it would let two sockets share one port, and
-  // the later one take the datagrams of the other.
-  if (type == SOCK_STREAM) ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (port_sharing == PortSharing::shared) ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
-  set_up(fd.get());
+  // SO_REUSEADDR allows a TCP port that an earlier process has just left. On UDP it would let two sockets
+  // share one port, and the later one would take the datagrams of the other.
+  if (type == SOCK_STREAM) ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &enable, sizeof enable);
+  if (port_sharing == PortSharing::shared)
+    ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &enable, sizeof enable);
+  configure_socket(fd.get());
   if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     fail("cannot listen on");
   }
@@ -279,14 +288,14 @@
 }  // namespace
 
 Fd listen_on(const sockaddr_in& address, PortSharing port_sharing) {
-  Fd fd = bound(address, SOCK_STREAM, port_sharing);
+  Fd fd = bound_socket(address, SOCK_STREAM, port_sharing);
   if (::listen(fd.get(), 512) != 0) {
     throw std::system_error(errno, std::generic_category(), "cannot listen on " + address_text(address));
   }
   return fd;
 }
 
-Fd bind_udp(const sockaddr_in& address) { return bound(address, SOCK_DGRAM, PortSharing::exclusive); }
+Fd bind_udp(const sockaddr_in& address) { return bound_socket(address, SOCK_DGRAM, PortSharing::exclusive); }
 
 sockaddr_in bound_address(const Fd& fd) {
   sockaddr_in address{};
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,4 +1,5 @@
-// A TCP connection on the loop: bytes in, segments out by gathered writes.
+// A non-blocking TCP connection on the event loop: input is buffered, output is queued in segments and
+// written with writev. Also the listening socket (Acceptor) and helpers for IPv4 addresses.
 #pragma once
 
 #include <netinet/in.h>
@@ -14,14 +15,16 @@
 
 namespace quartzarch {
 
-// What is written as one: a head of ours and a body that passes on unchanged. `tag` is the owner's.
+// A message to be written: a head built by this process and a body that is passed on unchanged. `tag` is
+// chosen by the owner.
 struct Segment {
   std::string head{};
   std::string body{};
   std::uint64_t tag = 0;
 };
 
-// `no_socket`: this process had no socket for it, which tells nothing of the peer.
+// Why a connection ended or was not established. `no_socket`: this process could not get a socket for it,
+// which says nothing about the peer.
 enum class DisconnectReason { closed, reset, refused, timed_out, no_socket };
 
 class Stream : public IoHandler {
@@ -30,44 +33,47 @@
    public:
     virtual ~Owner() = default;
     virtual void on_connected(Stream&) {}
-    // Takes whole messages off the input; what is left comes again with more.
+    // Input has arrived: consumes the complete messages of input(); the rest is offered again with more
+    // input.
     virtual void on_data(Stream&) = 0;
-    // Comes once, never for a close of the owner's own. The stream is unusable afterwards.
-    virtual void on_disconnected(Stream&, DisconnectReason how) = 0;
+    // Called at most once, and never after the owner's own close(). The stream is unusable afterwards.
+    virtual void on_disconnected(Stream&, DisconnectReason reason) = 0;
   };
 
   // Takes over an accepted connection.
   Stream(Loop& loop, Fd fd, Owner& owner, Priority priority);
-  // Connects; one that is not up after `timeout` is lost.
+  // Connects; a connection that is not up after `timeout` is reported as timed_out.
   Stream(Loop& loop, const sockaddr_in& to, Duration timeout, Owner& owner, Priority priority);
   ~Stream() override;
 
-  // What may wait for the peer to take it; half of it and no more is read from the peer until it does.
-  void limit_output(std::size_t bytes) { longest_output_ = bytes; }
+  // Bounds the output queued for the peer: beyond `bytes` the connection is dropped, and beyond half of it
+  // nothing is read from the peer until it has taken some.
+  void limit_output(std::size_t bytes) { max_output_bytes_ = bytes; }
 
-  std::string_view input() const { return std::string_view(input_).substr(taken_); }
-  void consume(std::size_t count) { taken_ += count; }
+  std::string_view input() const { return std::string_view(input_).substr(consumed_); }
+  void consume(std::size_t count) { consumed_ += count; }
 
   void send(Segment segment);
-  // Takes a segment back of which no byte was written; false if there is none with that tag.
+  // Removes a queued segment of which no byte was written; false if there is none with that tag.
   bool cancel_unsent(std::uint64_t tag);
-  // Reads what has arrived by now, outside its turn: whoever closes a connection for want of use looks first.
+  // Reads what has arrived by now without waiting for poll: an owner calls it before it closes the connection
+  // as idle.
   void read_now() {
     if (state_ == State::up) read();
   }
-  // Segments not written in full.
+  // Queued segments, including one that is partly written.
   const std::deque<Segment>& unsent() const { return output_; }
   bool up() const { return state_ == State::up; }
-  // It was up once: what is lost then was more than an attempt to connect.
+  // It was established once, so its end is not a failed attempt to connect.
   bool was_connected() const { return was_connected_; }
   bool alive() const { return state_ != State::dead; }
   Time last_used() const { return last_used_; }
-  // When the peer took something last, or what it has not taken yet was queued.
+  // When bytes were last written to the socket, or when the first of those still unwritten were queued.
   Time last_written() const { return last_written_; }
-  // Writes what the socket takes at once, then closes.
+  // Writes what the socket accepts without blocking, then closes.
   void close();
-  // Writes what the socket takes at once and, if that is all, tells the peer that nothing more will come.
-  // What the peer sends is read on, so that nothing unread resets the connection under what was written.
+  // Writes what the socket accepts without blocking and, if that is everything, shuts down the sending side.
+  // Reading continues: unread input would make the kernel reset the connection and discard what was written.
   void end_output();
 
   int descriptor() const override { return fd_.get(); }
@@ -77,45 +83,45 @@
  private:
   enum class State { connecting, up, dead };
 
-  bool reads() const { return queued_ <= longest_output_ / 2; }
+  bool accepts_input() const { return queued_bytes_ <= max_output_bytes_ / 2; }
   void read();
   void flush();
-  void flush_at_end();
-  void fail(DisconnectReason how);
-  void die();
+  void flush_at_pass_end();
+  void fail(DisconnectReason reason);
+  void discard();
 
   Loop& loop_;
   Owner& owner_;
   Fd fd_;
   State state_ = State::up;
   std::string input_;
-  std::size_t taken_ = 0;
+  std::size_t consumed_ = 0;
   std::deque<Segment> output_;
-  std::size_t written_ = 0;  // of the first segment
-  std::size_t queued_ = 0;
-  std::size_t longest_output_ = 1024 * 1024;
-  bool flush_due_ = false;
+  std::size_t front_bytes_written_ = 0;  // of the first segment of output_
+  std::size_t queued_bytes_ = 0;
+  std::size_t max_output_bytes_ = 1024 * 1024;
+  bool flush_scheduled_ = false;
   bool was_connected_ = false;
-  bool closing_ = false;  // by the owner, who hears nothing more
+  bool closing_ = false;  // by the owner, which gets no more callbacks
   std::optional<Loop::TimerId> connect_timer_;
   Time last_used_{};
   Time last_written_{};
-  // Steps of the loop that outlive the stream find it gone by this.
-  std::shared_ptr<bool> living_ = std::make_shared<bool>(true);
+  // Deferred callbacks that outlive the stream hold a weak reference to this and so detect that it is gone.
+  std::shared_ptr<bool> alive_token_ = std::make_shared<bool>(true);
 };
 
-// A listening socket. Out of descriptors it rests for a moment: what is in line would wake the loop at once,
-// again and again.
+// A listening socket. When the process is out of descriptors accepting is paused for a moment, since a
+// connection in the listen backlog would otherwise wake the loop continuously.
 class Acceptor {
  public:
   Acceptor(Loop& loop, Fd fd) : loop_(loop), fd_(std::move(fd)) {}
   const Fd& fd() const { return fd_; }
   bool paused() const { return loop_.now() < paused_until_; }
-  // A descriptor was given back.
+  // Ends the pause: a descriptor has become free.
   void resume() { paused_until_ = Time{}; }
-  // The next connection in line, or none.
+  // Accepts the next connection of the listen backlog; an empty Fd if there is none.
   Fd accept(sockaddr_in* peer = nullptr);
-  // No more connections: what is in line must have been taken first, for what is left is reset.
+  // Stops listening. Connections must have been accepted first: the kernel resets those left in the backlog.
   void close() { fd_.reset(); }
 
  private:
@@ -124,17 +130,17 @@
   Time paused_until_{};
 };
 
-// An address as "10.0.0.4:5070"; nothing if it is none.
+// Parses an address such as "10.0.0.4:5070"; nullopt if it is malformed.
 std::optional<sockaddr_in> parse_address(std::string_view text);
 std::string address_text(const sockaddr_in& address);
 // A listening TCP socket or a bound UDP one; throws std::system_error.
-// `shared`: with SO_REUSEPORT, so that a process started beside this one on the same address listens too and
-// the kernel spreads new connections over both (an upgrade); a socket bound there without it still keeps it
-// out.
+// `shared`: with SO_REUSEPORT, so that a second process started on the same address (an upgrade) can listen
+// too and the kernel distributes new connections over both; it fails if a socket without the option is bound
+// there.
 enum class PortSharing { exclusive, shared };
 Fd listen_on(const sockaddr_in& address, PortSharing port_sharing = PortSharing::exclusive);
 Fd bind_udp(const sockaddr_in& address);
-// The address a socket is bound to: for one bound to port 0, the port it got.
+// The address a socket is bound to; for port 0, with the port that the kernel assigned.
 sockaddr_in bound_address(const Fd& fd);
 
 }  // namespace quartzarch
