--- a/src/net/coordinator.cpp
+++ b/src/net/coordinator.cpp
@@ -31,15 +31,15 @@
 
 }  // namespace
 
-Coordinator::Coordinator(Loop& loop, Logger& log, const sockaddr_in& address, std::uint64_t index,
-                         OnNews on_news)
-    : loop_(loop), log_(log), address_(address), index_(index), on_news_(std::move(on_news)) {
+CoordinatorClient::CoordinatorClient(Loop& loop, Logger& log, const sockaddr_in& address, std::uint64_t index,
+                                     OnUpdate on_update)
+    : loop_(loop), log_(log), address_(address), index_(index), on_update_(std::move(on_update)) {
   connect();
 }
 
-Coordinator::~Coordinator() { hang_up(); }
+CoordinatorClient::~CoordinatorClient() { hang_up(); }
 
-void Coordinator::connect() {
+void CoordinatorClient::connect() {
   part_ = Part::status;
   chunked_ = false;
   line_.clear();
@@ -50,7 +50,7 @@
   watch_silence();
 }
 
-void Coordinator::watch_silence() {
+void CoordinatorClient::watch_silence() {
   if (timer_) loop_.cancel(*timer_);
   const Time due = std::min(heard_ + kLongestSilence, progressed_ + kLongestWithoutProgress);
   timer_ = loop_.at(due, [this] {
@@ -61,7 +61,7 @@
   });
 }
 
-void Coordinator::retry(const char* why) {
+void CoordinatorClient::retry(const char* why) {
   log_.line("coordinator: stream %s, asked again after event %llu", why,
             static_cast<unsigned long long>(index_));
   const bool lasted = stream_ && stream_->was_connected() && loop_.now() - began_ >= kLasting;
@@ -74,7 +74,7 @@
   backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kLongestBackoff);
 }
 
-void Coordinator::hang_up() {
+void CoordinatorClient::hang_up() {
   if (stream_) {
     stream_->close();
     loop_.keep_until_pass_end(std::exchange(stream_, nullptr));
@@ -82,7 +82,7 @@
   if (timer_) loop_.cancel(*std::exchange(timer_, std::nullopt));
 }
 
-void Coordinator::move(const sockaddr_in& address) {
+void CoordinatorClient::set_address(const sockaddr_in& address) {
   if (address.sin_addr.s_addr == address_.sin_addr.s_addr && address.sin_port == address_.sin_port) return;
   address_ = address;
   log_.line("coordinator: moved to %s", address_text(address_).c_str());
@@ -91,21 +91,21 @@
   connect();
 }
 
-void Coordinator::on_connected(Stream& stream) {
+void CoordinatorClient::on_connected(Stream& stream) {
   stream.send({"GET /v2/stream HTTP/1.1\r\nHost: " + address_text(address_) +
                    "\r\nAccept: text/event-stream\r\nLast-Event-ID: " + std::to_string(index_) + "\r\n\r\n",
                {},
                0});
 }
 
-void Coordinator::on_disconnected(Stream&, DisconnectReason how) {
+void CoordinatorClient::on_disconnected(Stream&, DisconnectReason how) {
   retry(how == DisconnectReason::refused     ? "refused"
         : how == DisconnectReason::timed_out ? "not up in time"
         : how == DisconnectReason::no_socket ? "without a socket"
                                              : "ended");
 }
 
-void Coordinator::on_data(Stream& stream) {
+void CoordinatorClient::on_data(Stream& stream) {
   heard_ = loop_.now();
   while (stream.alive()) {
     const std::string_view input = stream.input();
@@ -132,7 +132,7 @@
   }
 }
 
-bool Coordinator::head_line(std::string_view line) {
+bool CoordinatorClient::head_line(std::string_view line) {
   if (part_ == Part::status) {
     part_ = Part::headers;
     return line.starts_with("HTTP/1.") && line.substr(8, 4) == " 200";
@@ -159,7 +159,7 @@
   return error == std::errc{} && end != line.data() && chunk_left_ > 0;
 }
 
-bool Coordinator::take_body(std::string_view bytes) {
+bool CoordinatorClient::take_body(std::string_view bytes) {
   while (!bytes.empty()) {
     const auto length = bytes.find('\n');
     line_ += bytes.substr(0, length);
@@ -173,7 +173,7 @@
   return true;
 }
 
-bool Coordinator::event_line(std::string_view line) {
+bool CoordinatorClient::event_line(std::string_view line) {
   if (line.empty()) return data_.empty() || event();
   const auto colon = line.find(':');
   const std::string_view name = line.substr(0, colon);
@@ -187,12 +187,12 @@
   return true;
 }
 
-bool Coordinator::event() {
+bool CoordinatorClient::event() {
   try {
     const FleetNews news = parse_news(std::exchange(data_, {}));
     if (news.index <= index_) return true;  // told before
     index_ = news.index;
-    on_news_(news);
+    on_update_(news);
     return true;
   } catch (const ConfigError& error) {
     log_.line("coordinator: %s", error.what());
--- a/src/net/coordinator.hpp
+++ b/src/net/coordinator.hpp
@@ -11,16 +11,17 @@
 
 namespace quartzarch {
 
-class Coordinator : private Stream::Owner {
+class CoordinatorClient : private Stream::Owner {
  public:
-  using OnNews = std::function<void(const FleetNews&)>;
+  using OnUpdate = std::function<void(const FleetNews&)>;
 
   // Asks for what comes after event `index`.
-  Coordinator(Loop& loop, Logger& log, const sockaddr_in& address, std::uint64_t index, OnNews on_news);
-  ~Coordinator() override;
+  CoordinatorClient(Loop& loop, Logger& log, const sockaddr_in& address, std::uint64_t index,
+                    OnUpdate on_update);
+  ~CoordinatorClient() override;
 
   // The coordinator is at another address from now on; the numbers of the events go on.
-  void move(const sockaddr_in& address);
+  void set_address(const sockaddr_in& address);
 
  private:
   enum class Part { status, headers, body, chunk_size, chunk, chunk_end };
@@ -42,7 +43,7 @@
   Logger& log_;
   sockaddr_in address_;
   std::uint64_t index_;
-  OnNews on_news_;
+  OnUpdate on_update_;
   std::shared_ptr<Stream> stream_{};
   Part part_ = Part::status;
   bool chunked_ = false;
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -243,8 +243,8 @@
     management.emplace(loop, log, operations, *address);
     log.line("%s: management at %s", config.name.c_str(), address_text(management->address()).c_str());
   }
-  Coordinator coordinator(loop, log, config.coordinator, config.known_index,
-                          [&planner](const FleetNews& news) { planner.news(news); });
+  CoordinatorClient coordinator(loop, log, config.coordinator, config.known_index,
+                                [&planner](const FleetNews& news) { planner.news(news); });
   log.line("%s: serving at %s", config.name.c_str(), address_text(config.listen).c_str());
   service.run({.owed = [&] { return planner.owed(); },
                .idle = [&] { return fronts.idle(); },
@@ -259,7 +259,7 @@
                .no_connections = [&] { return fronts.no_connections(); },
                .reload =
                    [&](const Config& fresh) {
-                     coordinator.move(fresh.coordinator);
+                     coordinator.set_address(fresh.coordinator);
                      planner.limit(bounds_of(fresh.limits));
                      planner.resettle(fresh.start);
                      fronts.limit(fresh.limits);
@@ -279,8 +279,8 @@
   for (const FleetNews& news : config.known) planner.news(news);
   link::Port port(loop, log, planner, planners[index]);
   planner.strays_to(port);
-  Coordinator coordinator(loop, log, config.coordinator, config.known_index,
-                          [&planner](const FleetNews& news) { planner.news(news); });
+  CoordinatorClient coordinator(loop, log, config.coordinator, config.known_index,
+                                [&planner](const FleetNews& news) { planner.news(news); });
   log.line("%s: planner %zu of %zu at %s", config.name.c_str(), index, planners.size(),
            address_text(planners[index]).c_str());
   Drain drain;
@@ -300,7 +300,7 @@
                .no_connections = [] { return true; },
                .reload =
                    [&](const Config& fresh) {
-                     coordinator.move(fresh.coordinator);
+                     coordinator.set_address(fresh.coordinator);
                      planner.limit(bounds_of(fresh.limits));
                    }});
 }
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -476,8 +476,8 @@
 TEST_F(Program, AWatchThatFallsSilentIsAskedForAgain) {
   Listener at;
   std::uint64_t told = 4;
-  const Coordinator coordinator(loop, log, at.address(), 4,
-                                [&](const FleetNews& news) { told = news.index; });
+  const CoordinatorClient coordinator(loop, log, at.address(), 4,
+                                      [&](const FleetNews& news) { told = news.index; });
   Peer first, second, third;
   until([&] { return static_cast<bool>(first = at.accept()); }, "the first");
   hears(first, "Last-Event-ID: 4\r\n");
@@ -500,8 +500,8 @@
     const HeldClock held;
     Listener at;
     std::uint64_t told = 4;
-    const Coordinator coordinator(loop, log, at.address(), 4,
-                                  [&](const FleetNews& news) { told = news.index; });
+    const CoordinatorClient coordinator(loop, log, at.address(), 4,
+                                        [&](const FleetNews& news) { told = news.index; });
     Peer first, second;
     until([&] { return static_cast<bool>(first = at.accept()); }, "the first");
     hears(first, "Last-Event-ID: 4\r\n");
@@ -524,8 +524,8 @@
   const HeldClock held;
   Listener at;
   std::uint64_t told = 4;
-  const Coordinator coordinator(loop, log, at.address(), 4,
-                                [&](const FleetNews& news) { told = news.index; });
+  const CoordinatorClient coordinator(loop, log, at.address(), 4,
+                                      [&](const FleetNews& news) { told = news.index; });
   Peer stream;
   until([&] { return static_cast<bool>(stream = at.accept()); }, "the stream");
   for (const char* part :
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -183,8 +183,8 @@
 TEST_F(Program, TheCoordinatorsStreamIsTakenUpWhereItEnded) {
   Listener at;
   std::vector<std::uint64_t> told;
-  const Coordinator coordinator(loop, log, at.address(), 4,
-                                [&](const FleetNews& news) { told.push_back(news.index); });
+  const CoordinatorClient coordinator(loop, log, at.address(), 4,
+                                      [&](const FleetNews& news) { told.push_back(news.index); });
   const std::string event =
       R"(data: {"index":5,"endpoints":{"hosts":[{"host":"a","dial":"127.0.0.1:9","health":"in_service"}]}})";
   settle(3);
