--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -325,7 +325,7 @@
   duty::Runner runner(loop, log, member, duty_name_, command_, settings.ending);
   member.does(duty_name_, runner);
   member.start();
-  while (!signals.stop_came() && !(once_ && runner.done())) loop.pass(milliseconds(200));
+  while (!signals.stop_requested_at() && !(once_ && runner.done())) loop.pass(milliseconds(200));
   member.leave();
   // The program has the lease's time to end, and no longer.
   for (const Time until = loop.now() + settings.ttl + milliseconds(500);
--- a/src/net/signals.hpp
+++ b/src/net/signals.hpp
@@ -25,9 +25,9 @@
   }
   ~Signals() override { loop_.unwatch(*this); }
 
-  std::optional<Time> stop_came() const { return stop_came_; }
+  std::optional<Time> stop_requested_at() const { return stop_requested_at_; }
   // True once for all the SIGHUPs that came since it was asked last.
-  bool take_reload() { return std::exchange(reload_came_, false); }
+  bool take_reload_request() { return std::exchange(reload_requested_, false); }
 
   int descriptor() const override { return fd_.get(); }
   short interest() const override { return POLLIN; }
@@ -35,9 +35,9 @@
     signalfd_siginfo info;
     while (::read(fd_.get(), &info, sizeof info) == sizeof info) {
       if (info.ssi_signo == SIGHUP) {
-        reload_came_ = true;
-      } else if (!stop_came_) {
-        stop_came_ = loop_.now();
+        reload_requested_ = true;
+      } else if (!stop_requested_at_) {
+        stop_requested_at_ = loop_.now();
       }
     }
   }
@@ -45,8 +45,8 @@
  private:
   Loop& loop_;
   Fd fd_;
-  std::optional<Time> stop_came_{};
-  bool reload_came_ = false;
+  std::optional<Time> stop_requested_at_{};
+  bool reload_requested_ = false;
 };
 
 }  // namespace quartzarch
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -74,7 +74,7 @@
   void started_with(std::string text) { running_ = std::move(text); }
   // Where files taken and turned down at SIGHUP are counted.
   void count_in(Tally& tally) { tally_ = &tally; }
-  std::optional<Time> stop_came() const { return signals_.stop_came(); }
+  std::optional<Time> stop_requested_at() const { return signals_.stop_requested_at(); }
 
   // What a serving process does at the steps of its life.
   struct Served {
@@ -97,9 +97,9 @@
     const auto nothing_owed = [&] { return served.owed() == 0 && served.idle(); };
     Time last_owed = loop_.now();
     for (;;) {
-      loop_.pass(signals_.stop_came() ? kStopStep : milliseconds(1000));
-      if (signals_.take_reload()) read_again(served.reload);
-      const auto stop = signals_.stop_came();
+      loop_.pass(signals_.stop_requested_at() ? kStopStep : milliseconds(1000));
+      if (signals_.take_reload_request()) read_again(served.reload);
+      const auto stop = signals_.stop_requested_at();
       if (stop && !schedule_) begin_stop(served);
       served.each_pass(stop.has_value());
       if (!stop) continue;
@@ -221,7 +221,7 @@
 
 // A pass of a stopping process that has callers.
 void stop_step(const Loop& loop, const Service& service, Drain& drain, Fronts& fronts) {
-  const Time stop = *service.stop_came();
+  const Time stop = *service.stop_requested_at();
   drain.stop(stop, *service.schedule());
   if (loop.now() - stop >= kListenAfterStop) fronts.stop_listening();
 }
@@ -290,7 +290,7 @@
                .told = [&] { return planner.idle(); },
                .each_pass =
                    [&](bool stopping) {
-                     if (stopping) drain.stop(*service.stop_came(), *service.schedule());
+                     if (stopping) drain.stop(*service.stop_requested_at(), *service.schedule());
                      if (stopping) port.stop();
                      port.tell_state();
                    },
