--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -1,4 +1,4 @@
-// The system's clocks.
+// The system's clocks as microseconds of the type Time.
 #pragma once
 
 #include <time.h>
@@ -9,12 +9,12 @@
 
 namespace quartzarch {
 
-// By which all rules of calls are measured.
+// Wall-clock time, which all deadlines and time-outs of calls use.
 inline Time unix_time() {
   return std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch());
 }
 
-// By which leases are counted: nobody sets it, and it goes on while the machine sleeps.
+// Monotonic time, which leases use: it cannot be set and continues while the machine is suspended.
 inline Time steady_time() {
   timespec now{};
   ::clock_gettime(CLOCK_BOOTTIME, &now);
--- a/src/net/fd.hpp
+++ b/src/net/fd.hpp
@@ -1,4 +1,4 @@
-// File descriptors that close themselves.
+// Owner of a file descriptor, which it closes on destruction.
 #pragma once
 
 #include <unistd.h>
--- a/src/net/signals.hpp
+++ b/src/net/signals.hpp
@@ -1,4 +1,4 @@
-// SIGTERM and SIGINT (stop) and SIGHUP (read the configuration again) as events of a loop.
+// SIGTERM and SIGINT (stop) and SIGHUP (reload the configuration) as events of the loop, by signalfd.
 #pragma once
 
 #include <sys/signalfd.h>
@@ -12,7 +12,7 @@
 
 namespace quartzarch {
 
-// Blocked from its making on: a signal that comes while the process starts must not end it.
+// The constructor blocks the signals: one that arrives while the process starts must not terminate it.
 class Signals : public IoHandler {
  public:
   explicit Signals(Loop& loop) : loop_(loop) {
@@ -25,8 +25,9 @@
   }
   ~Signals() override { loop_.unwatch(*this); }
 
+  // When the first SIGTERM or SIGINT arrived.
   std::optional<Time> stop_requested_at() const { return stop_requested_at_; }
-  // True once for all the SIGHUPs that came since it was asked last.
+  // True if SIGHUP arrived since the last call; several count as one.
   bool take_reload_request() { return std::exchange(reload_requested_, false); }
 
   int descriptor() const override { return fd_.get(); }
