--- a/src/front/binary.hpp
+++ b/src/front/binary.hpp
@@ -29,7 +29,7 @@
   // Takes what is in line and listens no more: a process beside it on the same address takes what comes next.
   void stop_listening();
   // While it drains, connections with nothing open are closed as it says; it must outlive this.
-  void drain_by(const Drain& drain) { drain_ = &drain; }
+  void follow_drain(const Drain& drain) { drain_ = &drain; }
   // Everything that is owed has been written.
   bool idle() const;
   // The end of a stop: tells all callers that nothing more will come. A set-up that crosses this is not
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -193,7 +193,7 @@
   void limit(const Limits& limits) { binary_.limit(limits.callers(), limits.output_bytes()); }
   Front& strays() { return binary_; }
   void stop_listening() { binary_.stop_listening(); }
-  void drain_by(const Drain& drain) { binary_.drain_by(drain); }
+  void follow_drain(const Drain& drain) { binary_.follow_drain(drain); }
   bool idle() const { return binary_.idle(); }
   void end_connections() { binary_.end_connections(); }
   bool no_connections() const { return binary_.no_connections(); }
@@ -234,7 +234,7 @@
   Fronts fronts(loop, log, planner, config, sip);
   planner.strays_to(fronts.strays());
   Drain drain;
-  fronts.drain_by(drain);
+  fronts.follow_drain(drain);
   planner.drain_by(&drain);
   service.count_in(planner.tally());
   Managed operations(loop, planner, drain);
@@ -314,7 +314,7 @@
   log.line("%s: forwarding at %s to %zu planners", config.name.c_str(), address_text(config.listen).c_str(),
            addresses.size());
   Drain drain;
-  fronts.drain_by(drain);
+  fronts.follow_drain(drain);
   planners.drain_by(&drain);
   service.run({.owed = [&] { return planners.owed(); },
                .idle = [&] { return fronts.idle(); },
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -288,7 +288,7 @@
   const HeldClock held;
   open_server();
   Drain drain;
-  front->drain_by(drain);
+  front->follow_drain(drain);
   Peer gateway = caller();
   const std::string whole = setup(0xaa, "d");
   gateway.say(whole.substr(0, 20));
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -11,7 +11,7 @@
 class Operations : public Program {
  protected:
   Operations() : managed(loop, *planner, drain), management(loop, log, managed, any_port()) {
-    front->drain_by(drain);
+    front->follow_drain(drain);
   }
   // One call of HTTP/1.1: what came back until the program closed the connection.
   std::string call(const std::string& request) {
@@ -100,7 +100,7 @@
   std::FILE* const lines = std::tmpfile();
   Logger told(lines);
   BinaryFront drained(loop, told, *planner, any_port(), 8, 1 << 20);
-  drained.drain_by(drain);
+  drained.follow_drain(drain);
   Peer asking = Peer::connect(drained.address());
   asking.say(setup(0xbb, "d"));
   hears(server, "offer");
