--- a/src/front/binary.hpp
+++ b/src/front/binary.hpp
@@ -1,4 +1,5 @@
-// The platform's own protocol: binary messages of callers over TCP.
+// Front for the platform's own protocol: binary messages of callers over TCP. It accepts callers'
+// connections, passes their set-ups and releases to the core and writes the answers.
 #pragma once
 
 #include <deque>
@@ -19,21 +20,23 @@
                     private Stream::Owner,
                     private Loop::DescriptorReclaimer {
  public:
-  // Callers may hold `most_connections`; throws std::system_error if the address cannot be listened on.
-  BinaryFront(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen, std::size_t most_connections,
-              std::size_t longest_output);
+  // Callers may hold `max_connections`; throws std::system_error if the address cannot be listened on.
+  BinaryFront(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen, std::size_t max_connections,
+              std::size_t max_output_bytes);
   ~BinaryFront() override;
 
   sockaddr_in address() const { return bound_address(acceptor_.fd()); }
-  void limit(std::size_t most_connections, std::size_t longest_output);
-  // Takes what is in line and listens no more: a process beside it on the same address takes what comes next.
+  void limit(std::size_t max_connections, std::size_t max_output_bytes);
+  // Accepts the listen backlog and closes the listening socket; new connections then go to another process
+  // that listens on the same address.
   void stop_listening();
-  // While it drains, connections with nothing open are closed as it says; it must outlive this.
+  // Follows the drain state: while it drains, idle connections are closed as it says. `drain` must outlive
+  // this.
   void follow_drain(const Drain& drain) { drain_ = &drain; }
-  // Everything that is owed has been written.
+  // No set-up is unanswered and no output or partial message is pending.
   bool idle() const;
-  // The end of a stop: tells all callers that nothing more will come. A set-up that crosses this is not
-  // taken.
+  // Last step of a stop: shuts down the sending side of all connections. Messages that arrive afterwards are
+  // ignored.
   void end_connections();
   bool no_connections() const { return connections_.empty(); }
 
@@ -43,57 +46,59 @@
   void over(CallId call, int cause) override;
 
  private:
-  // What its caller has shown itself to be; releases without a home go to the best there is.
-  enum class Standing { silent, tested, asked, served };
+  // What the caller has done on this connection so far. Releases whose connection is gone go to the
+  // connection with the most advanced activity: requested a call, or was served one.
+  enum class CallerActivity { none, tested, requested, served };
   struct Connection {
     std::shared_ptr<Stream> stream{};
     std::set<CallId> open{};  // set-ups without an answer
-    Time came{};
-    std::uint32_t peer = 0;  // IPv4 address, in host order
-    Standing standing = Standing::silent;
-    std::optional<Time> cut_short{};  // since when a message has been waiting for its rest
+    Time accepted_at{};
+    std::uint32_t peer = 0;  // IPv4 address in host byte order
+    CallerActivity activity = CallerActivity::none;
+    std::optional<Time> partial_since{};  // since when a message has been incomplete
 
-    bool unused() const { return open.empty() && stream->unsent().empty(); }
+    bool idle() const { return open.empty() && stream->unsent().empty(); }
   };
   using Connections = std::map<const Stream*, Connection>;
 
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override;
   void on_ready(short events) override;
-  bool reclaim_descriptor() override { return make_room(); }
+  bool reclaim_descriptor() override { return evict_one(); }
   void on_data(Stream& stream) override;
-  void on_disconnected(Stream& stream, DisconnectReason how) override;
+  void on_disconnected(Stream& stream, DisconnectReason reason) override;
 
-  bool take(Connection& from, std::string_view message);
-  bool take_setup(Connection& from, CallId call, std::string_view parameters);
-  void turn_away(Connection& from, CallId call);
-  void take_release(Connection& from, CallId call, std::string_view parameters);
+  bool handle_message(Connection& from, std::string_view message);
+  bool handle_setup(Connection& from, CallId call, std::string_view parameters);
+  void reject_setup(Connection& from, CallId call);
+  void handle_release(Connection& from, CallId call, std::string_view parameters);
   Connection* owner_of(CallId call);
-  Connection* settle(CallId call);
+  Connection* finish_setup(CallId call);
   void close(Connections::const_iterator connection, const char* why);
-  enum class Stay { may, unused, stalled, unread, drained };
-  Stay stay_of(const Connection& connection) const;
-  Connections::const_iterator least_missed() const;
-  bool make_room();
-  bool close_unless_used(Connections::const_iterator connection, const char* why);
+  enum class CloseReason { none, idle, stalled, unread, drained };
+  CloseReason close_reason(const Connection& connection) const;
+  Connections::const_iterator eviction_candidate() const;
+  bool evict_one();
+  bool close_if_idle(Connections::const_iterator connection, const char* why);
   void sweep();
-  void tell_held();
-  Connection* best_known();
-  void send_homeless();
+  void log_held_connections();
+  Connection* most_trusted();
+  void send_undelivered_releases();
 
   Loop& loop_;
   Logger& log_;
   Core& core_;
   Acceptor acceptor_;
-  std::size_t most_connections_, longest_output_;
+  std::size_t max_connections_, max_output_bytes_;
   Loop::TimerId sweep_timer_ = 0;
   const Drain* drain_ = nullptr;
-  bool held_told_ = false;            // of this drain
-  bool ending_ = false;               // connections are being ended
-  std::set<const Stream*> carrying_;  // while it drains: connections with calls open or standing
+  bool held_logged_ = false;            // the current drain's open connections were logged
+  bool ending_connections_ = false;     // end_connections() was called
+  std::set<const Stream*> with_calls_;  // during a drain: connections with calls
   Connections connections_;
-  std::unordered_map<CallId, const Stream*> calls_;  // open and standing ones, by the connection they came on
-  std::deque<Segment> homeless_;                     // releases that no known caller is connected for
+  // Open set-ups and established calls, with the connection they came on.
+  std::unordered_map<CallId, const Stream*> calls_;
+  std::deque<Segment> undelivered_releases_;  // releases waiting for a caller that has sent a set-up
 };
 
 }  // namespace quartzarch
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -113,11 +113,12 @@
   };
   until(
       [&] {
-        return text().find("a connection is held: 1 set-ups open, 0 calls standing") != std::string::npos;
+        return text().find("connection still open: 1 set-ups pending, 0 calls established") !=
+               std::string::npos;
       },
       "the line");
   settle(100);
-  EXPECT_EQ(count(text(), "is held"), 1u);
+  EXPECT_EQ(count(text(), "still open"), 1u);
   asking.close();
   settle(5);
 }
