--- a/src/front/management.cpp
+++ b/src/front/management.cpp
@@ -35,25 +35,25 @@
 
 }  // namespace
 
-Reply route(std::string_view method, std::string_view target, Operated& operated) {
+Reply route(std::string_view method, std::string_view target, ManagementHandler& handler) {
   const std::string_view path = target.substr(0, target.find('?'));
   const bool get = method == "GET" || method == "HEAD", post = method == "POST";
   if (path == "/v1/readyz") {
     if (!get) return text(405, "method not allowed");
-    return operated.ready() ? text(200, "ready") : text(503, "not ready");
+    return handler.ready() ? text(200, "ready") : text(503, "not ready");
   }
   if (path == "/v1/metrics") {
     if (!get) return text(405, "method not allowed");
-    return {200, operated.metrics()};
+    return {200, handler.metrics()};
   }
   if (path == "/v1/call-controller/drain") {
     if (!post) return text(405, "method not allowed");
-    operated.drain();
+    handler.drain();
     return text(200, "draining");
   }
   if (path == "/v1/call-controller/activate") {
     if (!post) return text(405, "method not allowed");
-    operated.activate();
+    handler.activate();
     return text(200, "active");
   }
   return text(404, "not found");
@@ -65,8 +65,9 @@
   Time came{};
 };
 
-ManagementFront::ManagementFront(Loop& loop, Logger& log, Operated& operated, const sockaddr_in& listen)
-    : loop_(loop), log_(log), operated_(operated), acceptor_(loop, listen_on(listen)) {
+ManagementFront::ManagementFront(Loop& loop, Logger& log, ManagementHandler& handler,
+                                 const sockaddr_in& listen)
+    : loop_(loop), log_(log), handler_(handler), acceptor_(loop, listen_on(listen)) {
   // Before what callers and servers say: its answer is due within a second however busy the rest is.
   loop_.watch(*this, Priority::control);
   sweep();
@@ -126,7 +127,7 @@
   const auto& request = parser.get();
   const std::string_view method(request.method_string().data(), request.method_string().size());
   const std::string_view target(request.target().data(), request.target().size());
-  const Reply reply = route(method, target, operated_);
+  const Reply reply = route(method, target, handler_);
   // What changes something, or was wrong, is told; the many questions of the platform are not.
   if (method != "GET" || reply.status >= 400) {
     log_.line("management: %.*s %.*s: %d", static_cast<int>(method.size()), method.data(),
--- a/src/front/management.hpp
+++ b/src/front/management.hpp
@@ -16,9 +16,9 @@
 namespace quartzarch {
 
 // What the calls of the second address ask of the call controller.
-class Operated {
+class ManagementHandler {
  public:
-  virtual ~Operated() = default;
+  virtual ~ManagementHandler() = default;
   virtual bool ready() const = 0;
   virtual std::string metrics() const = 0;  // one JSON object
   virtual void drain() = 0;
@@ -32,7 +32,7 @@
 
 // Which call a method and target are: GET /v1/readyz, GET /v1/metrics, POST /v1/call-controller/drain and
 // .../activate; other paths are 404, other methods on known ones 405. A query is ignored.
-Reply route(std::string_view method, std::string_view target, Operated& operated);
+Reply route(std::string_view method, std::string_view target, ManagementHandler& handler);
 
 class ManagementFront : private IoHandler, private Stream::Owner {
  public:
@@ -41,7 +41,7 @@
   static constexpr Duration kLongestWait = std::chrono::milliseconds(1000);
 
   // Throws std::system_error if the address cannot be listened on.
-  ManagementFront(Loop& loop, Logger& log, Operated& operated, const sockaddr_in& listen);
+  ManagementFront(Loop& loop, Logger& log, ManagementHandler& handler, const sockaddr_in& listen);
   ~ManagementFront() override;
 
   sockaddr_in address() const { return bound_address(acceptor_.fd()); }
@@ -61,7 +61,7 @@
 
   Loop& loop_;
   Logger& log_;
-  Operated& operated_;
+  ManagementHandler& handler_;
   Acceptor acceptor_;
   std::map<const Stream*, std::unique_ptr<Connection>> connections_;
   Loop::TimerId sweep_timer_ = 0;
--- a/src/managed.cpp
+++ b/src/managed.cpp
@@ -4,7 +4,7 @@
 
 namespace quartzarch {
 
-std::string Managed::metrics() const {
+std::string ManagedController::metrics() const {
   const Tally& tally = planner_.tally();
   std::string success, overload, error;
   for (const auto& [name, outcomes] : tally.by_class) {
--- a/src/managed.hpp
+++ b/src/managed.hpp
@@ -10,9 +10,10 @@
 
 namespace quartzarch {
 
-class Managed : public Operated {
+class ManagedController : public ManagementHandler {
  public:
-  Managed(Loop& loop, Planner& planner, Drain& drain) : loop_(loop), planner_(planner), drain_(drain) {}
+  ManagedController(Loop& loop, Planner& planner, Drain& drain)
+      : loop_(loop), planner_(planner), drain_(drain) {}
 
   bool ready() const override { return drain_.ready(planner_.ready()); }
   void drain() override { drain_.drain(loop_.now()); }
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -237,7 +237,7 @@
   fronts.follow_drain(drain);
   planner.drain_by(&drain);
   service.count_in(planner.tally());
-  Managed operations(loop, planner, drain);
+  ManagedController operations(loop, planner, drain);
   std::optional<ManagementFront> management;
   if (const auto address = management_address(config)) {
     management.emplace(loop, log, operations, *address);
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -27,7 +27,7 @@
   static std::string status(const std::string& answer) { return answer.substr(9, 3); }
 
   Drain drain;
-  Managed managed;
+  ManagedController managed;
   ManagementFront management;
 };
 
