--- a/src/front/management.cpp
+++ b/src/front/management.cpp
@@ -84,7 +84,7 @@
     Fd fd = acceptor_.accept();
     if (!fd) return;
     // Callers that say nothing must not keep out those that ask: the one waiting longest goes.
-    if (connections_.size() >= kMostConnections) {
+    if (connections_.size() >= kMaxConnections) {
       auto oldest = connections_.begin();
       for (auto each = connections_.begin(); each != connections_.end(); ++each) {
         if (each->second->came < oldest->second->came) oldest = each;
@@ -93,8 +93,8 @@
     }
     auto connection = std::make_unique<Connection>();
     connection->came = loop_.now();
-    connection->parser.header_limit(kLongestRequest);
-    connection->parser.body_limit(kLongestRequest);
+    connection->parser.header_limit(kMaxRequestBytes);
+    connection->parser.body_limit(kMaxRequestBytes);
     connection->stream =
         std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::control);
     const Stream* const key = connection->stream.get();
@@ -114,7 +114,7 @@
     stream.consume(used);
     if (error == http::error::need_more) {
       error = {};
-      if (stream.input().size() > kLongestRequest) error = http::error::header_limit;
+      if (stream.input().size() > kMaxRequestBytes) error = http::error::header_limit;
       break;
     }
     if (error) break;
@@ -159,7 +159,7 @@
 void ManagementFront::sweep() {
   std::vector<const Stream*> late;
   for (const auto& [stream, connection] : connections_) {
-    if (loop_.now() - connection->came > kLongestWait) late.push_back(stream);
+    if (loop_.now() - connection->came > kRequestTimeout) late.push_back(stream);
   }
   for (const Stream* const stream : late) close(stream);
   sweep_timer_ = loop_.at(loop_.now() + kSweep, [this] { sweep(); });
--- a/src/front/management.hpp
+++ b/src/front/management.hpp
@@ -1,8 +1,8 @@
 // The second address: HTTP/1.1 for operators and the platform, one call a connection (RFC 9112). Requests are
 // read by Boost.Beast's parser on the program's own loop, so that the answer never waits for another thread;
-// what is wrong with one gets 400 and a close, never more than kLongestRequest bytes are kept, and a caller
-// that has not finished its request within kLongestWait is closed, as is the oldest one when all places are
-// taken.
+// what is wrong with one gets 400 and a close, never more than kMaxRequestBytes bytes are kept, and a caller
+// that has not finished its request within kRequestTimeout is closed, as is the oldest one when all places
+// are taken.
 #pragma once
 
 #include <map>
@@ -36,9 +36,9 @@
 
 class ManagementFront : private IoHandler, private Stream::Owner {
  public:
-  static constexpr std::size_t kLongestRequest = 8 * 1024;
-  static constexpr std::size_t kMostConnections = 32;
-  static constexpr Duration kLongestWait = std::chrono::milliseconds(1000);
+  static constexpr std::size_t kMaxRequestBytes = 8 * 1024;
+  static constexpr std::size_t kMaxConnections = 32;
+  static constexpr Duration kRequestTimeout = std::chrono::milliseconds(1000);
 
   // Throws std::system_error if the address cannot be listened on.
   ManagementFront(Loop& loop, Logger& log, ManagementHandler& handler, const sockaddr_in& listen);
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -126,7 +126,7 @@
 TEST_F(Operations, CallersThatSayNothingNeitherBlockNorHoldIt) {
   open_server();
   std::vector<Peer> silent;
-  for (std::size_t i = 0; i < ManagementFront::kMostConnections + 8; ++i) {
+  for (std::size_t i = 0; i < ManagementFront::kMaxConnections + 8; ++i) {
     silent.push_back(Peer::connect(management.address()));
   }
   EXPECT_EQ(status(get("/v1/readyz")), "200");
