--- a/src/certificates.cpp
+++ b/src/certificates.cpp
@@ -32,11 +32,11 @@
                                         acme::Environment::real(std::move(round)), std::move(kept));
 }
 
-void Certificates::begin() {
+void Certificates::start() {
   thread_ = std::jthread([this](const std::stop_token& stop) { run(stop); });
 }
 
-std::function<void()> Certificates::read_again() {
+std::function<void()> Certificates::reload() {
   return [this, fresh = read(path_)] { take(fresh); };
 }
 
--- a/src/certificates.hpp
+++ b/src/certificates.hpp
@@ -14,7 +14,7 @@
 
 namespace quartzarch {
 
-class Certificates : public KeptCertificates {
+class Certificates : public CertificateManager {
  public:
   // Where a keeper's state is; `stopped` ends what waits. Called for each new keeper.
   using KeepIn = std::function<acme::Kept(const acme::Settings& settings, std::function<bool()> stopped)>;
@@ -28,8 +28,8 @@
 
   const std::string& path() const override { return path_; }
   std::shared_ptr<tls::Registry> registry() const override { return registry_; }
-  void begin() override;
-  std::function<void()> read_again() override;
+  void start() override;
+  std::function<void()> reload() override;
   void stop() override { thread_.request_stop(); }
 
  private:
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -67,7 +67,7 @@
       : loop_(loop), log_(log), config_path_(config_path), signals_(loop) {}
 
   // Its settings are read again with the configuration; it is told of the stop.
-  void with(KeptCertificates* certificates) { certificates_ = certificates; }
+  void with(CertificateManager* certificates) { certificates_ = certificates; }
   // It is told of the stop.
   void with(Extension* extension) { extension_ = extension; }
   // The text of the file that it started with: what a file read again must have too.
@@ -93,7 +93,7 @@
   std::optional<StopSchedule> schedule() const { return schedule_; }
 
   void run(const Served& served) {
-    if (certificates_) certificates_->begin();
+    if (certificates_) certificates_->start();
     const auto nothing_owed = [&] { return served.owed() == 0 && served.idle(); };
     Time last_owed = loop_.now();
     for (;;) {
@@ -140,7 +140,7 @@
       std::function<void()> take_certificates;
       if (certificates_) {
         reading = certificates_->path();
-        take_certificates = certificates_->read_again();
+        take_certificates = certificates_->reload();
       }
       reload(fresh);
       if (take_certificates) take_certificates();
@@ -156,7 +156,7 @@
   Loop& loop_;
   Logger& log_;
   const char* config_path_;
-  KeptCertificates* certificates_ = nullptr;
+  CertificateManager* certificates_ = nullptr;
   Extension* extension_ = nullptr;
   Tally* tally_ = nullptr;
   std::string running_;  // the text of the file in force
@@ -367,7 +367,7 @@
     fleet = options.make_fleet(log, *options.fleet, config.name, config.seed);
     service.with(fleet.get());
   }
-  std::unique_ptr<KeptCertificates> certificates;
+  std::unique_ptr<CertificateManager> certificates;
   if (options.certs) {
     files.reading = options.certs->c_str();
     certificates = options.make_certificates(log, *options.certs, sip && sip->listening.tls);
--- a/src/serve.hpp
+++ b/src/serve.hpp
@@ -13,15 +13,15 @@
 
 // The certificates that a process keeps itself, as serving sees them. What makes them is given from above, so
 // that a program that keeps none carries nothing of it.
-class KeptCertificates {
+class CertificateManager {
  public:
-  virtual ~KeptCertificates() = default;
+  virtual ~CertificateManager() = default;
   virtual const std::string& path() const = 0;
   virtual std::shared_ptr<tls::Registry> registry() const = 0;
   // Begins to renew. The TLS port must be listened on by now: the authority is asked to look at it.
-  virtual void begin() = 0;
+  virtual void start() = 0;
   // Reads the file again; the step that takes it up, which does not wait. Throws ConfigError.
-  virtual std::function<void()> read_again() = 0;
+  virtual std::function<void()> reload() = 0;
   // Tells it to end; does not wait.
   virtual void stop() = 0;
 };
@@ -46,7 +46,7 @@
   std::optional<std::size_t> planner{};
   bool forwarder = false;
   // Throws ConfigError if the file is bad. `tls_port`: whether the process has one.
-  std::function<std::unique_ptr<KeptCertificates>(Logger& log, const std::string& path, bool tls_port)>
+  std::function<std::unique_ptr<CertificateManager>(Logger& log, const std::string& path, bool tls_port)>
       make_certificates{};
   // Reads its file and attaches what operators need; before any call comes. Throws ConfigError.
   std::function<std::unique_ptr<Extension>(Loop&, Logger&, Planner&, const std::string& path,
