--- a/src/front/management.cpp
+++ b/src/front/management.cpp
@@ -10,9 +10,9 @@
 
 namespace http = boost::beast::http;
 
-constexpr Duration kSweep = std::chrono::milliseconds(100);
+constexpr Duration kSweepInterval = std::chrono::milliseconds(100);
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -29,8 +29,8 @@
   }
 }
 
-Reply text(int status, std::string_view words) {
-  return {status, "{\"status\":\"" + std::string(words) + "\"}"};
+Reply status_reply(int status, std::string_view status_text) {
+  return {status, "{\"status\":\"" + std::string(status_text) + "\"}"};
 }
 
 }  // namespace
@@ -39,36 +39,36 @@
   const std::string_view path = target.substr(0, target.find('?'));
   const bool get = method == "GET" || method == "HEAD", post = method == "POST";
   if (path == "/v1/readyz") {
-    if (!get) return text(405, "method not allowed");
-    return handler.ready() ? text(200, "ready") : text(503, "not ready");
+    if (!get) return status_reply(405, "method not allowed");
+    return handler.ready() ? status_reply(200, "ready") : status_reply(503, "not ready");
   }
   if (path == "/v1/metrics") {
-    if (!get) return text(405, "method not allowed");
+    if (!get) return status_reply(405, "method not allowed");
     return {200, handler.metrics()};
   }
   if (path == "/v1/call-controller/drain") {
-    if (!post) return text(405, "method not allowed");
+    if (!post) return status_reply(405, "method not allowed");
     handler.drain();
-    return text(200, "draining");
+    return status_reply(200, "draining");
   }
   if (path == "/v1/call-controller/activate") {
-    if (!post) return text(405, "method not allowed");
+    if (!post) return status_reply(405, "method not allowed");
     handler.activate();
-    return text(200, "active");
+    return status_reply(200, "active");
   }
-  return text(404, "not found");
+  return status_reply(404, "not found");
 }
 
 struct ManagementFront::Connection {
   std::shared_ptr<Stream> stream{};
   http::request_parser<http::string_body> parser{};
-  Time came{};
+  Time accepted_at{};
 };
 
 ManagementFront::ManagementFront(Loop& loop, Logger& log, ManagementHandler& handler,
                                  const sockaddr_in& listen)
     : loop_(loop), log_(log), handler_(handler), acceptor_(loop, listen_on(listen)) {
-  // Before what callers and servers say: its answer is due within a second however busy the rest is.
+  // Handled before callers and setup servers: an answer is due within a second whatever the load.
   loop_.watch(*this, Priority::control);
   sweep();
 }
@@ -83,16 +83,16 @@
   for (;;) {
     Fd fd = acceptor_.accept();
     if (!fd) return;
-    // Callers that say nothing must not keep out those that ask: the one waiting longest goes.
+    // Connections without a request must not lock others out: the oldest one is closed.
     if (connections_.size() >= kMaxConnections) {
       auto oldest = connections_.begin();
       for (auto each = connections_.begin(); each != connections_.end(); ++each) {
-        if (each->second->came < oldest->second->came) oldest = each;
+        if (each->second->accepted_at < oldest->second->accepted_at) oldest = each;
       }
       close(oldest->first);
     }
     auto connection = std::make_unique<Connection>();
-    connection->came = loop_.now();
+    connection->accepted_at = loop_.now();
     connection->parser.header_limit(kMaxRequestBytes);
     connection->parser.body_limit(kMaxRequestBytes);
     connection->stream =
@@ -120,15 +120,15 @@
     if (error) break;
   }
   if (error) {
-    log_.line("management: a malformed request: %s", error.message().c_str());
-    return answer(stream, text(400, "bad request"));
+    log_.line("management: malformed request: %s", error.message().c_str());
+    return answer(stream, status_reply(400, "bad request"));
   }
   if (!parser.is_done()) return;
   const auto& request = parser.get();
   const std::string_view method(request.method_string().data(), request.method_string().size());
   const std::string_view target(request.target().data(), request.target().size());
   const Reply reply = route(method, target, handler_);
-  // What changes something, or was wrong, is told; the many questions of the platform are not.
+  // Requests that change state or fail are logged; the platform's frequent successful GETs are not.
   if (method != "GET" || reply.status >= 400) {
     log_.line("management: %.*s %.*s: %d", static_cast<int>(method.size()), method.data(),
               static_cast<int>(std::min<std::size_t>(target.size(), 80)), target.data(), reply.status);
@@ -138,7 +138,7 @@
 
 void ManagementFront::answer(Stream& stream, const Reply& reply) {
   std::string head =
-      "HTTP/1.1 " + std::to_string(reply.status) + " " + reason(reply.status) +
+      "HTTP/1.1 " + std::to_string(reply.status) + " " + reason_phrase(reply.status) +
       "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(reply.body.size()) +
       "\r\nConnection: close\r\n\r\n";
   stream.send({std::move(head), reply.body, 0});
@@ -148,21 +148,21 @@
 void ManagementFront::close(const Stream* stream) {
   const auto found = connections_.find(stream);
   if (found == connections_.end()) return;
-  std::unique_ptr<Connection> gone = std::move(found->second);
+  std::unique_ptr<Connection> closed = std::move(found->second);
   connections_.erase(found);
-  gone->stream->close();
-  loop_.keep_until_pass_end(gone->stream);
+  closed->stream->close();
+  loop_.keep_until_pass_end(closed->stream);
 }
 
 void ManagementFront::on_disconnected(Stream& stream, DisconnectReason) { close(&stream); }
 
 void ManagementFront::sweep() {
-  std::vector<const Stream*> late;
+  std::vector<const Stream*> overdue;
   for (const auto& [stream, connection] : connections_) {
-    if (loop_.now() - connection->came > kRequestTimeout) late.push_back(stream);
+    if (loop_.now() - connection->accepted_at > kRequestTimeout) overdue.push_back(stream);
   }
-  for (const Stream* const stream : late) close(stream);
-  sweep_timer_ = loop_.at(loop_.now() + kSweep, [this] { sweep(); });
+  for (const Stream* const stream : overdue) close(stream);
+  sweep_timer_ = loop_.at(loop_.now() + kSweepInterval, [this] { sweep(); });
 }
 
 }  // namespace quartzarch
--- a/src/front/management.hpp
+++ b/src/front/management.hpp
@@ -1,8 +1,8 @@
-// The second address: HTTP/1.1 for operators and the platform, one call a connection (RFC 9112). Requests are
-// read by Boost.Beast's parser on the program's own loop, so that the answer never waits for another thread;
-// what is wrong with one gets 400 and a close, never more than kMaxRequestBytes bytes are kept, and a caller
-// that has not finished its request within kRequestTimeout is closed, as is the oldest one when all places
-// are taken.
+// The management front: HTTP/1.1 (RFC 9112) for operators and the platform on an address of its own, one
+// request per connection. Boost.Beast parses the requests on the program's event loop, so that no answer
+// waits for another thread. A malformed request is answered 400; at most kMaxRequestBytes are buffered for a
+// head or a body. A connection whose request is not complete within kRequestTimeout is closed, as is the
+// oldest one when kMaxConnections are open and another arrives.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 namespace quartzarch {
 
-// What the calls of the second address ask of the call controller.
+// Carries out the requests of the management front.
 class ManagementHandler {
  public:
   virtual ~ManagementHandler() = default;
@@ -30,8 +30,9 @@
   std::string body{};
 };
 
-// Which call a method and target are: GET /v1/readyz, GET /v1/metrics, POST /v1/call-controller/drain and
-// .../activate; other paths are 404, other methods on known ones 405. A query is ignored.
+// Dispatches a request: GET /v1/readyz, GET /v1/metrics, POST /v1/call-controller/drain and .../activate.
+// Other paths are answered 404, other methods on known paths 405. HEAD counts as GET; a query string is
+// ignored.
 Reply route(std::string_view method, std::string_view target, ManagementHandler& handler);
 
 class ManagementFront : private IoHandler, private Stream::Owner {
@@ -53,7 +54,7 @@
   short interest() const override { return acceptor_.paused() ? 0 : POLLIN; }
   void on_ready(short events) override;
   void on_data(Stream& stream) override;
-  void on_disconnected(Stream& stream, DisconnectReason how) override;
+  void on_disconnected(Stream& stream, DisconnectReason reason) override;
 
   void answer(Stream& stream, const Reply& reply);
   void close(const Stream* stream);
--- a/src/managed.hpp
+++ b/src/managed.hpp
@@ -1,5 +1,5 @@
-// The second address's calls answered by the planner and the drain: wired at the top, so that neither the
-// front nor the core knows the other.
+// Connects the management front with the planner and the drain state. It belongs to the wiring in
+// src/serve.cpp, so that neither the front nor the core depends on the other.
 #pragma once
 
 #include <string>
@@ -18,7 +18,8 @@
   bool ready() const override { return drain_.ready(planner_.ready()); }
   void drain() override { drain_.drain(loop_.now()); }
   void activate() override { drain_.activate(); }
-  // {"success":{"C":812,...},"overload":{...},"error":{...},"dispatches":N,"concurrent":N,"targets":N,
+  // One JSON object; C is the name of a class:
+  // {"success":{"C":812,...},"overload":{...},"error":{...},"attempts_ended":{"ENDING":N,...},"messages_ignored":N,"dispatches":N,"concurrent":N,"targets":N,
   //  "targets_disabled":N,"reload_success":N,"reload_failure":N}
   std::string metrics() const override;
 
