--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,5 @@
-// quartzarch: one call controller. What the platform starts has no arguments and is served here, by a program
-// that carries nothing else; with arguments the full program beside this one takes over, under the same
-// process id.
+// quartzarch: one call controller. The platform starts it without arguments and it serves, linked without the
+// other components; with arguments it executes the full program beside it, under the same process id.
 #include <unistd.h>
 
 #include <cerrno>
--- a/src/managed.hpp
+++ b/src/managed.hpp
@@ -19,8 +19,9 @@
   void drain() override { drain_.drain(loop_.now()); }
   void activate() override { drain_.activate(); }
   // One JSON object; C is the name of a class:
-  // {"success":{"C":812,...},"overload":{...},"error":{...},"attempts_ended":{"ENDING":N,...},"messages_ignored":N,"dispatches":N,"concurrent":N,"targets":N,
-  //  "targets_disabled":N,"reload_success":N,"reload_failure":N}
+  // {"success":{"C":812,...},"overload":{...},"error":{...},"attempts_ended":{"ENDING":N,...},
+  //  "messages_ignored":N,"dispatches":N,"concurrent":N,"targets":N,"targets_disabled":N,
+  //  "reload_success":N,"reload_failure":N}
   std::string metrics() const override;
 
  private:
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -29,18 +29,20 @@
 
 using std::chrono::milliseconds;
 
-// New connections after SIGTERM are taken until then; beside an upgraded process what comes later goes to it.
+// How long new connections are accepted after SIGTERM; later ones go to the process started for an upgrade,
+// if any.
 constexpr Duration kListenAfterStop = milliseconds(500);
-// For how long a stop waits, with nothing else owed, until setup servers have taken what they are to hear.
-constexpr Duration kLastReleases = milliseconds(1000);
-// A set-up that crosses the end of its connection by less than this is sent once more on another.
-constexpr Duration kCrossing = milliseconds(50);
-// How often a stopping process looks at its schedule.
-constexpr Duration kStopStep = milliseconds(10);
-// What gateways have for answering the last BYEs.
-constexpr Duration kLastByes = milliseconds(1000);
+// How long a stop waits, with no request unanswered, until setup servers have taken the pending releases.
+constexpr Duration kReleaseFlushTimeout = milliseconds(1000);
+// How long connections stay open after the final shutdown of their sending side. A caller whose set-up
+// crosses the shutdown in flight sends it once more on another connection.
+constexpr Duration kInFlightGrace = milliseconds(50);
+// Longest pass of the loop while stopping, and so how often the stop schedule is checked.
+constexpr Duration kStopPollInterval = milliseconds(10);
+// How long SIP gateways have for answering the final BYEs.
+constexpr Duration kByeTimeout = milliseconds(1000);
 
-// A file is named while it is read, for the one line that tells of a bad one.
+// Remembers which file is being read, so that the error line about a bad one can name it.
 struct Files {
   const char* reading = "";
   std::string read(const char* path) {
@@ -49,94 +51,97 @@
   }
 };
 
-// The descriptors that the configuration grants, or fewer if the process may hold no more.
-Config within_own_limits(Config config) {
-  rlimit own{};
-  if (::getrlimit(RLIMIT_NOFILE, &own) == 0 && own.rlim_cur < config.limits.sockets)
-    config.limits.sockets = std::max(static_cast<unsigned>(own.rlim_cur), kFewestSockets);
+// Reduces the number of sockets that the configuration grants to the process's own limit of descriptors.
+Config within_process_limits(Config config) {
+  rlimit process_limit{};
+  if (::getrlimit(RLIMIT_NOFILE, &process_limit) == 0 && process_limit.rlim_cur < config.limits.sockets)
+    config.limits.sockets = std::max(static_cast<unsigned>(process_limit.rlim_cur), kFewestSockets);
   return config;
 }
 
-// Serves until it was told to stop and nothing is owed any more.
+// The main loop of a serving process: runs until a signal stops it and every request is answered, and reloads
+// the configuration on SIGHUP.
 class Service {
  public:
-  // What a new configuration means for those that run on it.
+  // Applies a new configuration to the running components.
   using Reload = std::function<void(const Config&)>;
 
   Service(Loop& loop, Logger& log, const char* config_path)
       : loop_(loop), log_(log), config_path_(config_path), signals_(loop) {}
 
-  // Its settings are read again with the configuration; it is told of the stop.
-  void with(CertificateManager* certificates) { certificates_ = certificates; }
-  // It is told of the stop.
-  void with(Extension* extension) { extension_ = extension; }
-  // The text of the file that it started with: what a file read again must have too.
-  void started_with(std::string text) { running_ = std::move(text); }
-  // Where files taken and turned down at SIGHUP are counted.
-  void count_in(Tally& tally) { tally_ = &tally; }
+  // Reloads its settings together with the configuration and notifies it of the stop.
+  void attach(CertificateManager* certificates) { certificates_ = certificates; }
+  // Notifies it of the stop.
+  void attach(Extension* extension) { extension_ = extension; }
+  // The text of the configuration in force, which a reloaded file is checked against.
+  void set_active_text(std::string text) { active_text_ = std::move(text); }
+  // Counts accepted and rejected reloads in `tally`.
+  void count_reloads_in(Tally& tally) { tally_ = &tally; }
   std::optional<Time> stop_requested_at() const { return signals_.stop_requested_at(); }
 
-  // What a serving process does at the steps of its life.
-  struct Served {
-    std::function<std::size_t()> owed;       // requests whose answer is still to come
-    std::function<bool()> idle;              // everything owed to callers has been written
-    std::function<bool()> told;              // setup servers have been told what they are to hear
-    std::function<void(bool)> each_pass;     // true: it is stopping
-    std::function<void()> answer_owed;       // the final answer to each request that has none yet
-    std::function<StopSchedule()> schedule;  // by the settings in force
-    std::function<void()> end_connections;   // callers hear that nothing more will come
+  // What depends on the kind of process: its state as the stop needs it, and its actions.
+  struct ServiceCallbacks {
+    std::function<std::size_t()> pending_requests;  // requests without a final answer
+    std::function<bool()> idle;                     // all answers to callers have been written
+    std::function<bool()> servers_notified;         // no release is pending for setup servers
+    std::function<void(bool)> after_pass;           // after each pass of the loop; true: stopping
+    std::function<void()> answer_pending;           // gives a final answer to each such request
+    std::function<StopSchedule()> schedule;         // of a stop, by the settings in force
+    std::function<void()> end_connections;          // shuts down the sending side to callers
     std::function<bool()> no_connections;
     Reload reload;
   };
 
-  // From when on and until when a stop does what; absent: there is none.
+  // The phases of the stop in progress; nullopt if there is none.
   std::optional<StopSchedule> schedule() const { return schedule_; }
 
-  void run(const Served& served) {
+  // Serves until a signal arrives, then runs the stop schedule to its end.
+  void run(const ServiceCallbacks& callbacks) {
     if (certificates_) certificates_->start();
-    const auto nothing_owed = [&] { return served.owed() == 0 && served.idle(); };
-    Time last_owed = loop_.now();
+    const auto nothing_pending = [&] { return callbacks.pending_requests() == 0 && callbacks.idle(); };
+    Time last_pending = loop_.now();
     for (;;) {
-      loop_.pass(signals_.stop_requested_at() ? kStopStep : milliseconds(1000));
-      if (signals_.take_reload_request()) read_again(served.reload);
+      loop_.pass(signals_.stop_requested_at() ? kStopPollInterval : milliseconds(1000));
+      if (signals_.take_reload_request()) reload_configuration(callbacks.reload);
       const auto stop = signals_.stop_requested_at();
-      if (stop && !schedule_) begin_stop(served);
-      served.each_pass(stop.has_value());
+      if (stop && !schedule_) begin_stop(callbacks);
+      callbacks.after_pass(stop.has_value());
       if (!stop) continue;
       const Duration since = loop_.now() - *stop;
-      if (since >= schedule_->answer_by()) served.answer_owed();
+      if (since >= schedule_->answer_by()) callbacks.answer_pending();
       if (since >= schedule_->end_by()) break;
-      if (since < schedule_->last_arrivals() || !nothing_owed()) {
-        last_owed = loop_.now();
+      if (since < schedule_->last_arrivals() || !nothing_pending()) {
+        last_pending = loop_.now();
         continue;
       }
-      if (!served.told() && loop_.now() - last_owed < kLastReleases) continue;
-      // What came while the last pass was at work is taken too.
+      if (!callbacks.servers_notified() && loop_.now() - last_pending < kReleaseFlushTimeout) continue;
+      // Handles input that arrived while the last pass was running.
       loop_.pass(Duration{0});
-      if (nothing_owed()) break;
+      if (nothing_pending()) break;
     }
-    log_.line("connections of callers are ended, %zu calls owe their answer", served.owed());
-    served.end_connections();
-    for (const Time until = loop_.now() + kCrossing; !served.no_connections() && loop_.now() < until;) {
-      loop_.pass(kStopStep);
+    log_.line("connections of callers are ended, %zu calls owe their answer", callbacks.pending_requests());
+    callbacks.end_connections();
+    for (const Time until = loop_.now() + kInFlightGrace;
+         !callbacks.no_connections() && loop_.now() < until;) {
+      loop_.pass(kStopPollInterval);
     }
   }
 
  private:
-  void begin_stop(const Served& served) {
-    schedule_ = served.schedule();
-    log_.line("stopping: %zu calls owe their answer", served.owed());
+  void begin_stop(const ServiceCallbacks& callbacks) {
+    schedule_ = callbacks.schedule();
+    log_.line("stopping: %zu calls owe their answer", callbacks.pending_requests());
     if (certificates_) certificates_->stop();
     if (extension_) extension_->stop();
   }
 
-  // All of it is taken or nothing: after a bad file everything goes on as it was.
-  void read_again(const Reload& reload) {
+  // Applies all of the configuration or nothing: with a bad file the old settings stay in force.
+  void reload_configuration(const Reload& reload) {
     std::string reading = config_path_;
     try {
       std::string text = read_file(config_path_);
-      const Config fresh = within_own_limits(parse_config(text));
-      check_again(running_, text);
+      const Config fresh = within_process_limits(parse_config(text));
+      check_again(active_text_, text);
       std::function<void()> take_certificates;
       if (certificates_) {
         reading = certificates_->path();
@@ -144,7 +149,7 @@
       }
       reload(fresh);
       if (take_certificates) take_certificates();
-      running_ = std::move(text);
+      active_text_ = std::move(text);
       if (tally_) ++tally_->reload_success;
       log_.line("configuration: read again");
     } catch (const ConfigError& error) {
@@ -159,31 +164,31 @@
   CertificateManager* certificates_ = nullptr;
   Extension* extension_ = nullptr;
   Tally* tally_ = nullptr;
-  std::string running_;  // the text of the file in force
+  std::string active_text_;  // the text of the file in force
   Signals signals_;
   std::optional<StopSchedule> schedule_{};
 };
 
-// The second address: $NODE_MANAGEMENT, else "management" of the configuration, else none.
+// The management address: $NODE_MANAGEMENT, else "management" of the configuration, else none.
 std::optional<sockaddr_in> management_address(const Config& config) {
-  const char* const named = std::getenv("NODE_MANAGEMENT");
-  if (!named || !*named) return config.management;
-  const auto parsed = parse_address(named);
-  if (!parsed) throw ConfigError(std::string("NODE_MANAGEMENT is no address: ") + named);
+  const char* const configured = std::getenv("NODE_MANAGEMENT");
+  if (!configured || !*configured) return config.management;
+  const auto parsed = parse_address(configured);
+  if (!parsed) throw ConfigError(std::string("NODE_MANAGEMENT is not an address: ") + configured);
   return parsed;
 }
 
 Planner::Bounds bounds_of(const Limits& limits) { return {limits.calls(), limits.waiting_bytes()}; }
 
-// The fronts of a process: on a planner of its own or on several by the link.
+// The fronts of a process: they use the process's own planner, or several planners by the link.
 class Fronts {
  public:
   Fronts(Loop& loop, Logger& log, Core& core, const Config& config,
          const std::optional<sip::FrontConfig>& sip)
       : loop_(loop),
         binary_(loop, log, core, config.listen, config.limits.callers(), config.limits.output_bytes()) {
-    // The time goes into the seed: with a configuration that names the same one at each start, the ids of
-    // calls would come again while calls of the last process still stand under them.
+    // The time is mixed into the seed. A configuration may hold the same seed at each start; the call ids
+    // would then repeat while calls of the previous process are still established under them.
     const auto seed = config.seed ^ static_cast<std::uint64_t>(unix_time().count());
     if (!sip) return;
     sip::FrontConfig bounded = *sip;
@@ -191,17 +196,19 @@
     sip_.emplace(loop, log, core, bounded, seed);
   }
   void limit(const Limits& limits) { binary_.limit(limits.callers(), limits.output_bytes()); }
-  Front& strays() { return binary_; }
+  // Is told of the end of calls that were answered before this process started.
+  Front& fallback_front() { return binary_; }
   void stop_listening() { binary_.stop_listening(); }
   void follow_drain(const Drain& drain) { binary_.follow_drain(drain); }
   bool idle() const { return binary_.idle(); }
   void end_connections() { binary_.end_connections(); }
   bool no_connections() const { return binary_.no_connections(); }
-  // Nothing of a dialog outlives the process, so its calls are ended; on the platform's protocol they go on.
-  void hang_up() {
+  // Ends the calls of the SIP front, whose dialogs do not outlive the process; calls of the platform's
+  // protocol continue.
+  void end_sip_dialogs() {
     if (!sip_) return;
     sip_->hang_up();
-    for (const Time until = loop_.now() + kLastByes; !sip_->idle() && loop_.now() < until;) {
+    for (const Time until = loop_.now() + kByeTimeout; !sip_->idle() && loop_.now() < until;) {
       loop_.pass(milliseconds(20));
     }
   }
@@ -212,48 +219,50 @@
   std::optional<sip::SipFront> sip_{};
 };
 
-std::unique_ptr<Extension> attach(Loop& loop, Logger& log, Planner& planner, Files& files,
-                                  const Config& config, const ServeOptions& options) {
+// Makes the control connection and the gaps, if the options name their file.
+std::unique_ptr<Extension> attach_operation(Loop& loop, Logger& log, Planner& planner, Files& files,
+                                            const Config& config, const ServeOptions& options) {
   if (!options.control) return nullptr;
   files.reading = options.control->c_str();
   return options.make_operation(loop, log, planner, *options.control, config.seed);
 }
 
-// A pass of a stopping process that has callers.
-void stop_step(const Loop& loop, const Service& service, Drain& drain, Fronts& fronts) {
+// What a process with fronts does after each pass while it stops.
+void run_stop_phase(const Loop& loop, const Service& service, Drain& drain, Fronts& fronts) {
   const Time stop = *service.stop_requested_at();
   drain.stop(stop, *service.schedule());
   if (loop.now() - stop >= kListenAfterStop) fronts.stop_listening();
 }
 
-void serve_alone(Loop& loop, Logger& log, Files& files, Service& service, const Config& config,
-                 const ServeOptions& options, const std::optional<sip::FrontConfig>& sip) {
+// A process with its own fronts and its own planner.
+void serve_standalone(Loop& loop, Logger& log, Files& files, Service& service, const Config& config,
+                      const ServeOptions& options, const std::optional<sip::FrontConfig>& sip) {
   Planner planner(loop, log, config.start, config.seed, bounds_of(config.limits));
-  const auto operation = attach(loop, log, planner, files, config, options);
-  for (const FleetNews& news : config.known) planner.news(news);
+  const auto operation = attach_operation(loop, log, planner, files, config, options);
+  for (const FleetNews& update : config.known) planner.news(update);
   Fronts fronts(loop, log, planner, config, sip);
-  planner.strays_to(fronts.strays());
+  planner.strays_to(fronts.fallback_front());
   Drain drain;
   fronts.follow_drain(drain);
   planner.drain_by(&drain);
-  service.count_in(planner.tally());
-  ManagedController operations(loop, planner, drain);
+  service.count_reloads_in(planner.tally());
+  ManagedController managed(loop, planner, drain);
   std::optional<ManagementFront> management;
   if (const auto address = management_address(config)) {
-    management.emplace(loop, log, operations, *address);
+    management.emplace(loop, log, managed, *address);
     log.line("%s: management at %s", config.name.c_str(), address_text(management->address()).c_str());
   }
   CoordinatorClient coordinator(loop, log, config.coordinator, config.known_index,
-                                [&planner](const FleetNews& news) { planner.news(news); });
+                                [&planner](const FleetNews& update) { planner.news(update); });
   log.line("%s: serving at %s", config.name.c_str(), address_text(config.listen).c_str());
-  service.run({.owed = [&] { return planner.owed(); },
+  service.run({.pending_requests = [&] { return planner.owed(); },
                .idle = [&] { return fronts.idle(); },
-               .told = [&] { return planner.idle(); },
-               .each_pass =
+               .servers_notified = [&] { return planner.idle(); },
+               .after_pass =
                    [&](bool stopping) {
-                     if (stopping) stop_step(loop, service, drain, fronts);
+                     if (stopping) run_stop_phase(loop, service, drain, fronts);
                    },
-               .answer_owed = [&] { planner.answer_owed(); },
+               .answer_pending = [&] { planner.answer_owed(); },
                .schedule = [&] { return StopSchedule(planner.longest_deadline(), planner.longest_aim()); },
                .end_connections = [&] { fronts.end_connections(); },
                .no_connections = [&] { return fronts.no_connections(); },
@@ -264,10 +273,10 @@
                      planner.resettle(fresh.start);
                      fronts.limit(fresh.limits);
                    }});
-  fronts.hang_up();
+  fronts.end_sip_dialogs();
 }
 
-// One of several planners: each is an instance of its own among those of all call controllers.
+// One of several planners: each counts as an instance of its own among those of all call controllers.
 void serve_as_planner(Loop& loop, Logger& log, Files& files, Service& service, Config config,
                       const ServeOptions& options, const std::vector<sockaddr_in>& planners) {
   const std::size_t index = *options.planner;
@@ -275,26 +284,26 @@
   settings.rank = settings.rank * static_cast<unsigned>(planners.size()) + static_cast<unsigned>(index);
   settings.instances *= static_cast<unsigned>(planners.size());
   Planner planner(loop, log, config.start, config.seed + index, bounds_of(config.limits));
-  const auto operation = attach(loop, log, planner, files, config, options);
-  for (const FleetNews& news : config.known) planner.news(news);
+  const auto operation = attach_operation(loop, log, planner, files, config, options);
+  for (const FleetNews& update : config.known) planner.news(update);
   link::Port port(loop, log, planner, planners[index]);
   planner.strays_to(port);
   CoordinatorClient coordinator(loop, log, config.coordinator, config.known_index,
-                                [&planner](const FleetNews& news) { planner.news(news); });
+                                [&planner](const FleetNews& update) { planner.news(update); });
   log.line("%s: planner %zu of %zu at %s", config.name.c_str(), index, planners.size(),
            address_text(planners[index]).c_str());
   Drain drain;
   planner.drain_by(&drain);
-  service.run({.owed = [&] { return planner.owed(); },
+  service.run({.pending_requests = [&] { return planner.owed(); },
                .idle = [&] { return port.idle(); },
-               .told = [&] { return planner.idle(); },
-               .each_pass =
+               .servers_notified = [&] { return planner.idle(); },
+               .after_pass =
                    [&](bool stopping) {
                      if (stopping) drain.stop(*service.stop_requested_at(), *service.schedule());
                      if (stopping) port.stop();
                      port.tell_state();
                    },
-               .answer_owed = [&] { planner.answer_owed(); },
+               .answer_pending = [&] { planner.answer_owed(); },
                .schedule = [&] { return StopSchedule(planner.longest_deadline(), planner.longest_aim()); },
                .end_connections = [] {},
                .no_connections = [] { return true; },
@@ -305,25 +314,26 @@
                    }});
 }
 
+// A process with fronts only, which forwards set-ups to the planners.
 void serve_as_forwarder(Loop& loop, Logger& log, Service& service, const Config& config,
                         const std::optional<sip::FrontConfig>& sip,
                         const std::vector<sockaddr_in>& addresses) {
   link::Planners planners(loop, log, addresses);
   Fronts fronts(loop, log, planners, config, sip);
-  planners.strays_to(fronts.strays());
+  planners.strays_to(fronts.fallback_front());
   log.line("%s: forwarding at %s to %zu planners", config.name.c_str(), address_text(config.listen).c_str(),
            addresses.size());
   Drain drain;
   fronts.follow_drain(drain);
   planners.drain_by(&drain);
-  service.run({.owed = [&] { return planners.owed(); },
+  service.run({.pending_requests = [&] { return planners.owed(); },
                .idle = [&] { return fronts.idle(); },
-               .told = [] { return true; },
-               .each_pass =
+               .servers_notified = [] { return true; },
+               .after_pass =
                    [&](bool stopping) {
-                     if (stopping) stop_step(loop, service, drain, fronts);
+                     if (stopping) run_stop_phase(loop, service, drain, fronts);
                    },
-               .answer_owed = [&] { planners.answer_owed(); },
+               .answer_pending = [&] { planners.answer_owed(); },
                .schedule =
                    [&] {
                      return StopSchedule(config.start.longest_deadline,
@@ -332,46 +342,47 @@
                .end_connections = [&] { fronts.end_connections(); },
                .no_connections = [&] { return fronts.no_connections(); },
                .reload = [&](const Config& fresh) { fronts.limit(fresh.limits); }});
-  fronts.hang_up();
+  fronts.end_sip_dialogs();
 }
 
-// Classes come from the settings alone: the file may name one of them, else the first is meant.
-void name_default_class(sip::FrontConfig& sip, const std::vector<std::string>& names) {
+// The settings define the classes; the SIP file may name one of them as its default, otherwise the first is
+// used.
+void set_default_class(sip::FrontConfig& sip, const std::vector<std::string>& names) {
   if (sip.default_class.empty()) sip.default_class = names.front();
   if (std::find(names.begin(), names.end(), sip.default_class) == names.end())
-    throw ConfigError("\"default_class\" is no class of the settings: " + sip.default_class);
+    throw ConfigError("\"default_class\" is not a class of the settings: " + sip.default_class);
 }
 
 void serve_with(Logger& log, Files& files, const char* config_path, const ServeOptions& options) {
   Loop loop;
   Service service(loop, log, config_path);
   std::string text = files.read(config_path);
-  const Config config = within_own_limits(parse_config(text));
-  service.started_with(std::move(text));
+  const Config config = within_process_limits(parse_config(text));
+  service.set_active_text(std::move(text));
   std::string unknown;
   for (const std::string& path : config.unknown) unknown += (unknown.empty() ? "" : ", ") + path;
   if (!unknown.empty()) log.line("configuration: settings that mean nothing here: %s", unknown.c_str());
   std::optional<sip::FrontConfig> sip;
   if (options.sip) {
     sip = sip::parse_front_config(files.read(options.sip->c_str()), options.certs.has_value());
-    name_default_class(*sip, config.start.class_names);
+    set_default_class(*sip, config.start.class_names);
   }
   std::vector<sockaddr_in> planners;
   if (options.levels) planners = parse_levels(files.read(options.levels->c_str()));
   if (options.planner && *options.planner >= planners.size()) {
-    throw ConfigError("there is no planner " + std::to_string(*options.planner));
+    throw ConfigError("--planner is out of range: there is no planner " + std::to_string(*options.planner));
   }
   std::unique_ptr<Extension> fleet;
   if (options.fleet) {
     files.reading = options.fleet->c_str();
     fleet = options.make_fleet(log, *options.fleet, config.name, config.seed);
-    service.with(fleet.get());
+    service.attach(fleet.get());
   }
   std::unique_ptr<CertificateManager> certificates;
   if (options.certs) {
     files.reading = options.certs->c_str();
     certificates = options.make_certificates(log, *options.certs, sip && sip->listening.tls);
-    service.with(certificates.get());
+    service.attach(certificates.get());
     if (sip) sip->listening.certificates = certificates->registry();
   }
   if (options.planner) {
@@ -379,7 +390,7 @@
   } else if (options.forwarder) {
     serve_as_forwarder(loop, log, service, config, sip, planners);
   } else {
-    serve_alone(loop, log, files, service, config, options, sip);
+    serve_standalone(loop, log, files, service, config, options, sip);
   }
   log.line("stopped");
 }
@@ -390,7 +401,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   const char* const path = std::getenv("NODE_CONFIG");
   if (!path) {
-    log.line("configuration: NODE_CONFIG names no file");
+    log.line("configuration: NODE_CONFIG is not set");
     return 2;
   }
   Files files;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -191,7 +191,7 @@
   complains(good, {"--sip", directory + "/none"}, "none: cannot be opened");
   acme::replace_file(directory + "/sip",
                      "udp = \"" + address_text(free_address()) + "\"\ndefault_class = \"exam\"\n");
-  complains(good, {"--sip", directory + "/sip"}, "\"default_class\" is no class of the settings: exam");
+  complains(good, {"--sip", directory + "/sip"}, "\"default_class\" is not a class of the settings: exam");
   complains(good, {"--planner", "0"}, "usage:");
   complains(good, {"--what"}, "usage:");
 }
