--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -39,25 +39,27 @@
     until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
     settle(3);
     gateway = caller();
-    gateway.say(setup(0xaa, "d"));
+    gateway.send(setup(0xaa, "d"));
     hears(server, "offer");
-    if (how == Loss::spoilt) server.say("{\"op\":\"accept\",\x01\n");
+    if (how == Loss::spoilt) server.send("{\"op\":\"accept\",\x01\n");
     if (how == Loss::reset) server.reset();
     if (how == Loss::closed) server.close();
     if (how == Loss::spoilt) until([&] { return server.ended(); }, "the close of the spoilt connection");
     lanes.clear();
     until([&] { return offered() > 0; }, "the retry");
-    for (Peer& lane : lanes) retried = count(lane.heard(), "offer") > 0 ? &lane : retried;
+    for (Peer& lane : lanes) retried = count(lane.received(), "offer") > 0 ? &lane : retried;
   }
   // Set-ups that the first server has heard on the connections opened since the loss.
   std::size_t offered() {
     while (Peer more = listener.accept()) lanes.push_back(std::move(more));
     std::size_t found = 0;
-    for (Peer& lane : lanes) found += count(lane.heard(), "\"offer\"");
+    for (Peer& lane : lanes) found += count(lane.received(), "\"offer\"");
     return found;
   }
   // The retry was given up by an `end` of this side on the connection that it went out on.
-  bool given_up() { return count(retried->heard(), line("end", kId, "\"why\":16")) > 0 || retried->ended(); }
+  bool given_up() {
+    return count(retried->received(), line("end", kId, "\"why\":16")) > 0 || retried->ended();
+  }
 
   Listener second;
   Peer other, gateway;
@@ -76,28 +78,28 @@
     // A second call shares the server, so that one more connection opens.
     Peer helper = caller();
     for (CallId call = 0xb0; lanes.size() < 3 && call < 0xb8; ++call) {
-      gateway.say(setup(call, "d"));
+      gateway.send(setup(call, "d"));
       settle(10);
       offered();
     }
     for (Peer& lane : lanes) from = &lane != retried ? &lane : from;
     ASSERT_NE(from, retried);
   }
-  const std::size_t before = count(other.heard(), kId);
-  from->say(line("end", kId, "\"why\":" + std::to_string(GetParam().cause)));
+  const std::size_t before = count(other.received(), kId);
+  from->send(line("end", kId, "\"why\":" + std::to_string(GetParam().cause)));
   std::optional<Time> gave_up;
   for (int pass = 0; pass < 100; ++pass) {
     settle(1);
     moved_on += milliseconds(3);
     if (given_up() && !gave_up) gave_up = loop.now();
-    if (count(other.heard(), kId) == before) continue;
+    if (count(other.received(), kId) == before) continue;
     ASSERT_TRUE(gave_up) << "two attempts of one call are out";
     ASSERT_GE(loop.now() - *gave_up, milliseconds(300)) << "too soon after the attempt was given up";
     return;
   }
   if (gave_up) return;
-  retried->say(line("accept", kId, "\"desc\":\"s\""));
-  until([&] { return count(gateway.heard(), kAnswered.substr(2)) == 1; }, "the answer of the retry");
+  retried->send(line("accept", kId, "\"desc\":\"s\""));
+  until([&] { return count(gateway.received(), kAnswered.substr(2)) == 1; }, "the answer of the retry");
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -112,10 +114,10 @@
 // both are.
 TEST_F(RetriedCall, AReleaseThatMayBeAnEarlierAttemptsEndsTheCallOnBothSides) {
   lose_the_first_attempt(Loss::spoilt);
-  retried->say(line("accept", kId, "\"desc\":\"s\""));
+  retried->send(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, kAnswered);
-  gateway.take();
-  retried->say(line("end", kId, "\"why\":16"));
+  gateway.take_received();
+  retried->send(line("end", kId, "\"why\":16"));
   hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
   hears(*retried, line("end", kId, "\"why\":16"));
 }
@@ -125,15 +127,15 @@
 TEST_F(RetriedCall, ACallWhoseReleaseOvertakesItsAnswerIsAnsweredAndThenOver) {
   open_server();
   gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "offer");
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
   settle(3);
-  other.say(line("end", kId, "\"why\":16"));
+  other.send(line("end", kId, "\"why\":16"));
   settle();
-  EXPECT_EQ(gateway.heard(), "");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  EXPECT_EQ(gateway.received(), "");
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, kAnswered + binary(12, 0xaa, {{208, "\x10"}}));
 }
 
@@ -146,21 +148,21 @@
   until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   settle(3);
   gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "offer");
   moved_on += milliseconds(400);
   settle(3);
-  server.say(line("end", kId, "\"why\":16"));
+  server.send(line("end", kId, "\"why\":16"));
   settle(3);
   for (int tenths = 0; tenths < 10; ++tenths) {
     moved_on += milliseconds(100);
     settle(3);
   }
-  EXPECT_EQ(gateway.heard(), binary(12, 0xaa, {{208, std::string(1, 41)}}));
-  EXPECT_EQ(other.heard(), "");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  EXPECT_EQ(gateway.received(), binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  EXPECT_EQ(other.received(), "");
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   settle();
-  EXPECT_EQ(count(gateway.heard(), kAnswered.substr(2)), 0u);
+  EXPECT_EQ(count(gateway.received(), kAnswered.substr(2)), 0u);
 }
 
 // After so long a reset may be the cut of a call whose answer is still in the server's line: no attempt
@@ -172,17 +174,17 @@
   until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   settle(3);
   gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "offer");
   moved_on += milliseconds(900);
   settle(3);
-  server.say(line("end", kId, "\"why\":41"));
+  server.send(line("end", kId, "\"why\":41"));
   settle(3);
   moved_on += milliseconds(600);
   settle(3);
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, kAnswered + binary(12, 0xaa, {{208, std::string(1, 41)}}));
-  EXPECT_EQ(other.heard(), "");
+  EXPECT_EQ(other.received(), "");
 }
 
 // The attempt ends otherwise while the answer is waited for: still told, and still not sent again.
@@ -192,15 +194,15 @@
   until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   settle(3);
   gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "offer");
-  server.say(line("end", kId, "\"why\":16"));
+  server.send(line("end", kId, "\"why\":16"));
   settle(3);
   server.reset();
   hears(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
   moved_on += milliseconds(400);
   settle();
-  EXPECT_EQ(offered() + count(other.heard(), kId), 0u);
+  EXPECT_EQ(offered() + count(other.received(), kId), 0u);
 }
 
 // The table itself, where a whole conversation would only repeat it.
@@ -257,7 +259,7 @@
   servers.offer(id, {0xaa, "voice", "1", "d", far, 1});
   settle();
   for (Peer& lane : lanes) {
-    const std::string& heard = lane.heard();
+    const std::string& heard = lane.received();
     const auto release = heard.find(line("end", kId, "\"why\":16"));
     EXPECT_EQ(release == std::string::npos, heard.find(kId) == std::string::npos);
     if (release == std::string::npos) continue;
@@ -283,23 +285,23 @@
   until([&] { return static_cast<bool>(other = second.accept()); }, "its connection to the other server");
   serves();
   Peer gateway = Peer::connect(address);
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "offer");
-  server.say("{\"op\":\"accept\",\x01\n");
+  server.send("{\"op\":\"accept\",\x01\n");
   std::list<Peer> lanes;
   Peer* retried = nullptr;
   const auto retry = [&] {
     while (Peer more = listener.accept()) lanes.push_back(std::move(more));
-    for (Peer& lane : lanes) retried = count(lane.heard(), "offer") > 0 ? &lane : retried;
+    for (Peer& lane : lanes) retried = count(lane.received(), "offer") > 0 ? &lane : retried;
     return retried != nullptr;
   };
   until(retry, "the retry");
-  retried->say("{\"op\":\"end\",\"call\":\"" + kId + "\",\"with\":{},\"why\":16}\n");
-  retried->say("{\"op\":\"accept\",\"call\":\"" + kId + "\",\"with\":{},\"desc\":\"s\"}\n");
-  until([&] { return !gateway.heard().empty() || !other.heard().empty(); },
+  retried->send("{\"op\":\"end\",\"call\":\"" + kId + "\",\"with\":{},\"why\":16}\n");
+  retried->send("{\"op\":\"accept\",\"call\":\"" + kId + "\",\"with\":{},\"desc\":\"s\"}\n");
+  until([&] { return !gateway.received().empty() || !other.received().empty(); },
         "an answer or an attempt elsewhere");
-  EXPECT_EQ(other.heard(), "") << "an attempt elsewhere while the retry is out";
-  EXPECT_EQ(gateway.heard(), kAnswered);
+  EXPECT_EQ(other.received(), "") << "an attempt elsewhere while the retry is out";
+  EXPECT_EQ(gateway.received(), kAnswered);
 }
 
 }  // namespace
--- a/tests/duty_faults_test.cpp
+++ b/tests/duty_faults_test.cpp
@@ -24,9 +24,9 @@
     Peer& gateway = gateways_[who];
     if (!gateway) gateway = Peer::connect(callers(who[0] - 'a'));
     const CallId id = ++last_call_;
-    gateway.say(setup(id, "d"));
+    gateway.send(setup(id, "d"));
     hears(gateway, binary(9, id).substr(2));
-    gateway.take();
+    gateway.take_received();
   }
   std::map<std::string, Peer> gateways_;
   CallId last_call_ = 0xaa00;
@@ -94,7 +94,7 @@
   more_work(400);  // for longer than two leases
   EXPECT_EQ(holdings(), 1u);
   Peer gateway = Peer::connect(callers(first[0] - 'a'));
-  gateway.say(binary(52, 7, {{208, std::string(1, 0)}}));
+  gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
   hears(gateway, binary(53, 7).substr(2));
   empty_disk_of(first);  // there is room again: no restart is needed
   votes(first);
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -270,7 +270,7 @@
   Peer server;
   until([&] { return static_cast<bool>(server = listener.accept()); }, "a connection to the setup server");
   Peer gateway = Peer::connect(callers(2));
-  gateway.say(binary(52, 7, {{208, std::string(1, 0)}}));
+  gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
   hears(gateway, binary(53, 7, {{208, "\x01"}}));
   int code = 0;
   ask({"duty", "list"}, &code);
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -60,22 +60,22 @@
   gateway.close();
   settle();
   EXPECT_EQ(planner->owed(), 0u);
-  EXPECT_EQ(listener.accept().heard(), "");
+  EXPECT_EQ(listener.accept().received(), "");
 }
 
 // Held for want of a server, and waiting behind the release guard: who left in either is not sent on.
 TEST_F(Program, NothingHeldOrGuardedIsSentForACallerThatLeft) {
   const HeldClock held;
   Peer early = caller(), late = caller();
-  early.say(setup(0xbb, "d"));
+  early.send(setup(0xbb, "d"));
   settle(3);
   ASSERT_EQ(planner->owed(), 1u);
   early.close();
   settle(3);
   open_server();
-  late.say(setup(0xaa, "d"));
+  late.send(setup(0xaa, "d"));
   hears(server, kId);
-  EXPECT_EQ(count(server.heard(), "offer"), 1u);
+  EXPECT_EQ(count(server.received(), "offer"), 1u);
   server.reset();
   settle(3);  // the guard holds: the clock stands still
   ASSERT_EQ(planner->owed(), 1u);
@@ -84,7 +84,7 @@
   moved_on += std::chrono::seconds(1);
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   settle();
-  EXPECT_EQ(server.heard(), "");
+  EXPECT_EQ(server.received(), "");
 }
 
 // The same crossing with its time-out: nothing goes out after it, and it fails once.
@@ -95,8 +95,8 @@
   const std::string failed = binary(12, 0xaa, {{208, "\x12"}});
   hears(gateway, failed);
   settle();
-  EXPECT_EQ(gateway.heard(), failed) << "one final answer";
-  EXPECT_EQ(listener.accept().heard(), "");
+  EXPECT_EQ(gateway.received(), failed) << "one final answer";
+  EXPECT_EQ(listener.accept().received(), "");
 }
 
 class NothingCalledOff : public Program {
@@ -111,10 +111,10 @@
   settle();
   server = listener.accept();
   Peer other = caller();
-  other.say(setup(0xbb, "d") + binary(12, 0xbb, {{208, "\x10"}}));
+  other.send(setup(0xbb, "d") + binary(12, 0xbb, {{208, "\x10"}}));
   hears(other, binary(16, 0xbb));
   settle();
-  EXPECT_EQ(server.heard(), "");
+  EXPECT_EQ(server.received(), "");
 }
 
 // The first caller has left, its attempt is out and may not be called off: a second one may not be made
@@ -122,16 +122,16 @@
 TEST_F(NothingCalledOff, ASetupThatComesAgainBesideItsFirstAttemptIsRefused) {
   open_server();
   Peer gateway = caller(), again = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "offer");
   gateway.close();
   settle();
-  again.say(setup(0xaa, "d"));
+  again.send(setup(0xaa, "d"));
   hears(again, binary(12, 0xaa, {{208, std::string(1, 42)}, {192, "1000"}}));
   EXPECT_TRUE(front->idle());
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(server, line("end", kId, "\"why\":16"));
-  EXPECT_EQ(count(server.heard(), "offer"), 1u);
+  EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
 struct Record : Servers::Owner {
@@ -168,7 +168,7 @@
   while (Peer more = listener.accept()) lanes.push_back(std::move(more));
   std::string all;
   const auto whole = [&] {
-    for (Peer& lane : lanes) all += lane.take();
+    for (Peer& lane : lanes) all += lane.take_received();
     return count(all, "}\n") == last;  // all but the one taken back
   };
   until(whole, "what is left");
@@ -205,15 +205,15 @@
   open_server();
   front->limit(2, 1 << 20);
   Peer first = caller(), second = caller();
-  first.say(kTest);
+  first.send(kTest);
   hears(first, kPassed);
   settle(3);
-  second.say(kTest);
+  second.send(kTest);
   hears(second, kPassed);
-  first.say(setup(0xaa, "d"));
+  first.send(setup(0xaa, "d"));
   Peer third = caller();
   hears(server, "offer");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(first, answered(0xaa));
   until([&] { return second.ended(); }, "room for the third");
 }
@@ -226,14 +226,14 @@
   std::vector<Peer> idle;
   for (int i = 0; i < 3; ++i) {
     idle.push_back(caller());
-    idle.back().say(kTest);
+    idle.back().send(kTest);
     hears(idle.back(), kPassed);
   }
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   const NoDescriptorLeft none;
   hears(server, "offer");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, answered(0xaa));
 }
 
@@ -244,23 +244,23 @@
   std::vector<Peer> callers;
   for (CallId call = 1; call <= 60; ++call) {
     callers.push_back(caller());
-    callers.back().say(setup(call, "d"));
+    callers.back().send(setup(call, "d"));
   }
   std::vector<Peer> lanes;
   lanes.push_back(std::move(server));
   const auto all_answered = [&] {
     while (Peer more = listener.accept()) lanes.push_back(std::move(more));
     for (Peer& lane : lanes) {
-      const std::string said = lane.take();
+      const std::string said = lane.take_received();
       for (auto at = said.find("\"offer\""); at != std::string::npos; at = said.find("\"offer\"", at + 1)) {
-        lane.say(line("accept", said.substr(at + 16, 16), "\"desc\":\"s\""));
+        lane.send(line("accept", said.substr(at + 16, 16), "\"desc\":\"s\""));
       }
     }
     CallId call = 0;
     return std::all_of(callers.begin(), callers.end(), [&](Peer& each) {
       ++call;
-      return count(each.heard(), binary(9, call).substr(2)) +
-                 count(each.heard(), binary(12, call).substr(2)) ==
+      return count(each.received(), binary(9, call).substr(2)) +
+                 count(each.received(), binary(12, call).substr(2)) ==
              1;
     });
   };
@@ -272,13 +272,13 @@
   const HeldClock held;
   open_server();
   Peer gateway = caller();
-  gateway.say(kTest);
+  gateway.send(kTest);
   hears(gateway, kPassed);
   settle(3);
-  loop.at(loop.now() + milliseconds(1), [&] { gateway.say(setup(0xaa, "d")); });
+  loop.at(loop.now() + milliseconds(1), [&] { gateway.send(setup(0xaa, "d")); });
   moved_on += std::chrono::seconds(11);
   hears(server, "offer");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, answered(0xaa));
 }
 
@@ -291,16 +291,16 @@
   front->follow_drain(drain);
   Peer gateway = caller();
   const std::string whole = setup(0xaa, "d");
-  gateway.say(whole.substr(0, 20));
+  gateway.send(whole.substr(0, 20));
   settle();
   EXPECT_FALSE(front->idle());
   drain.stop(loop.now(), StopSchedule(std::chrono::seconds(9), milliseconds(1500)));
   moved_on += milliseconds(1600);
   settle();
   ASSERT_FALSE(gateway.ended());
-  gateway.say(whole.substr(20));
+  gateway.send(whole.substr(20));
   hears(server, "offer");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, answered(0xaa));
   settle();
   EXPECT_TRUE(front->idle());
@@ -322,8 +322,8 @@
   moved_on += milliseconds(500);
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   settle();
-  EXPECT_EQ(gateway.heard(), "");
-  server.say(line("end", kId, "\"why\":16"));
+  EXPECT_EQ(gateway.received(), "");
+  server.send(line("end", kId, "\"why\":16"));
   hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
@@ -350,7 +350,7 @@
   stand(gateway);
   EXPECT_TRUE(planner->idle());
   server.reset();
-  gateway.say(binary(12, 0xaa, {{208, "\x10"}}));
+  gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
   loop.pass(milliseconds(1));
   EXPECT_FALSE(planner->idle());
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
@@ -371,7 +371,7 @@
     moved_on += milliseconds(500);
     settle(5);
   }
-  EXPECT_EQ(count(gateway.heard(), binary(12, 0xaa).substr(2)), 1u);
+  EXPECT_EQ(count(gateway.received(), binary(12, 0xaa).substr(2)), 1u);
 }
 
 // One connection is silent, another to the same server brings reports: what ended on the silent one is said
@@ -380,21 +380,21 @@
   const HeldClock held;
   open_server();
   Peer gateway = caller(), other;
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, kId);
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, answered(0xaa));
   Peer fresh;
   for (int half_seconds = 0; half_seconds < 16 && !fresh; ++half_seconds) {
-    other.say("{\"op\":\"group\",\"call\":\"\",\"with\":{\"load\":\"queue:0\"}}\n");
+    other.send("{\"op\":\"group\",\"call\":\"\",\"with\":{\"load\":\"queue:0\"}}\n");
     moved_on += milliseconds(500);
     settle(5);
     fresh = listener.accept();
   }
   ASSERT_TRUE(static_cast<bool>(fresh)) << "no connection was opened within 8 s";
-  fresh.say(line("end", kId, "\"why\":16"));
+  fresh.send(line("end", kId, "\"why\":16"));
   hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
@@ -403,19 +403,19 @@
   const HeldClock held;
   open_server();
   Peer gateway = caller(), other;
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, kId);
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, answered(0xaa));
   const FullBacklog full(listener.address());
   for (int half_seconds = 0; half_seconds < 16; ++half_seconds) {
-    other.say("{\"op\":\"group\",\"call\":\"\",\"with\":{\"load\":\"queue:0\"}}\n");
+    other.send("{\"op\":\"group\",\"call\":\"\",\"with\":{\"load\":\"queue:0\"}}\n");
     moved_on += milliseconds(500);
     settle(5);
   }
-  EXPECT_EQ(count(gateway.heard(), binary(12, 0xaa).substr(2)), 1u);
+  EXPECT_EQ(count(gateway.received(), binary(12, 0xaa).substr(2)), 1u);
 }
 
 // The same silence of a server that has nothing to say: connections come up there, so no call is cut, and it
@@ -431,9 +431,9 @@
     settle(5);
     while (Peer more = listener.accept()) tests.push_back(std::move(more));
   }
-  EXPECT_EQ(gateway.heard(), "");
+  EXPECT_EQ(gateway.received(), "");
   EXPECT_LE(tests.size(), 2u);
-  server.say(line("end", kId, "\"why\":16"));
+  server.send(line("end", kId, "\"why\":16"));
   hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
@@ -442,13 +442,13 @@
   const HeldClock held;
   open_server();
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "d", "3000"));
+  gateway.send(setup(0xaa, "d", "3000"));
   hears(server, "offer");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   moved_on += milliseconds(3001);
   settle();
-  EXPECT_EQ(gateway.heard(), answered(0xaa));
-  EXPECT_EQ(count(server.heard(), "\"op\":\"end\""), 0u);
+  EXPECT_EQ(gateway.received(), answered(0xaa));
+  EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u);
 }
 
 // ---- The list
@@ -460,16 +460,16 @@
   open_server();
   Peer gateway = caller();
   stand(gateway);
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   hears(server, "00000000000000bb");
   planner->news({9, true, {host(second, 1)}});
   Peer other;
   until([&] { return static_cast<bool>(other = second.accept()); }, "a connection to the other");
   hears(other, "00000000000000bb");
-  other.say(line("accept", "00000000000000bb", "\"desc\":\"s\""));
+  other.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
   hears(gateway, answered(0xbb));
   settle();
-  EXPECT_EQ(gateway.heard(), binary(12, 0xaa, {{208, std::string(1, 41)}}) + answered(0xbb));
+  EXPECT_EQ(gateway.received(), binary(12, 0xaa, {{208, std::string(1, 41)}}) + answered(0xbb));
 }
 
 // A watch that dies without closing, once before its first byte and once after an event, is asked for again.
@@ -484,7 +484,7 @@
   moved_on += milliseconds(2300);
   until([&] { return static_cast<bool>(second = at.accept()); }, "the second");
   hears(second, "Last-Event-ID: 4\r\n");
-  second.say("HTTP/1.1 200 OK\r\n\r\ndata: {\"index\":5,\"endpoints\":{\"hosts\":[]}}\n\n");
+  second.send("HTTP/1.1 200 OK\r\n\r\ndata: {\"index\":5,\"endpoints\":{\"hosts\":[]}}\n\n");
   until([&] { return told == 5; }, "event 5");
   moved_on += milliseconds(2300);
   until([&] { return static_cast<bool>(third = at.accept()); }, "the third");
@@ -505,16 +505,16 @@
     Peer first, second;
     until([&] { return static_cast<bool>(first = at.accept()); }, "the first");
     hears(first, "Last-Event-ID: 4\r\n");
-    if (whole_head) first.say(head);
+    if (whole_head) first.send(head);
     const std::string trickled = whole_head ? event : head + event;
     for (std::size_t i = 0; i < 5 && !first.ended(); ++i) {
-      first.say(trickled.substr(i, 1));
+      first.send(trickled.substr(i, 1));
       settle(3);
       moved_on += milliseconds(1000);
       settle(3);
     }
     until([&] { return static_cast<bool>(second = at.accept()); }, "the second");
-    second.say(head + event);
+    second.send(head + event);
     until([&] { return told == 5; }, "event 5");
   }
 }
@@ -530,7 +530,7 @@
   until([&] { return static_cast<bool>(stream = at.accept()); }, "the stream");
   for (const char* part :
        {"HTTP/1.1 200 OK\r\n", "\r\n:", " \ndata: {\"index\":5,\"endpoints\":", "{\"hosts\":[]}}\n\n"}) {
-    stream.say(part);
+    stream.send(part);
     settle(3);
     moved_on += milliseconds(1500);
     settle(3);
@@ -547,7 +547,7 @@
   std::vector<Peer> idle;
   for (int i = 0; i < 5; ++i) {
     idle.push_back(caller());
-    idle.back().say(kTest);
+    idle.back().send(kTest);
     hears(idle.back(), kPassed);
   }
   struct Nobody : Stream::Owner {
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -407,10 +407,10 @@
   }
   // A command and its answer.
   std::string ask(const std::string& command) {
-    operator_.say(command + "\n");
+    operator_.send(command + "\n");
     std::string reply;
-    until([&] { return operator_.heard().find('\n') != std::string::npos; }, command.c_str());
-    return operator_.take();
+    until([&] { return operator_.received().find('\n') != std::string::npos; }, command.c_str());
+    return operator_.take_received();
   }
   std::string add(const std::string& rest) {
     return ask("{\"v\":1,\"op\":\"gap.add\",\"rule\":{\"id\":\"g\"," + rest + "}}");
@@ -436,19 +436,19 @@
             std::string::npos);
   Peer gateway = caller(), udp = Peer::udp(sip_front->address(sip::TransportKind::udp)),
        tcp = Peer::connect(sip_front->address(sip::TransportKind::tcp));
-  gateway.say(setup(0xaa, "d"));
-  udp.say(invite(udp, "UDP", "u1"));
-  tcp.say(invite(tcp, "TCP", "t1"));
+  gateway.send(setup(0xaa, "d"));
+  udp.send(invite(udp, "UDP", "u1"));
+  tcp.send(invite(tcp, "TCP", "t1"));
   hears(udp, "SIP/2.0 503");
   hears(tcp, "SIP/2.0 503");
   hears(udp, "Retry-After: ");
   hears(tcp, "Retry-After: ");
-  until([&] { return gateway.heard().size() >= 20; }, "the refusal");
-  const std::string told = gateway.take();
+  until([&] { return gateway.received().size() >= 20; }, "the refusal");
+  const std::string told = gateway.take_received();
   EXPECT_EQ(told[2], 12) << "no release";
   EXPECT_NE(told.find(std::string("\xd0\x00\x01", 3) + static_cast<char>(42)), std::string::npos);
   EXPECT_NE(told.find(std::string("\xc0\x00\x04", 3)), std::string::npos) << "no wait of four digits";
-  EXPECT_EQ(server.heard().find("offer"), std::string::npos);
+  EXPECT_EQ(server.received().find("offer"), std::string::npos);
   EXPECT_NE(ask(R"({"v":1,"op":"gap.list"})").find("\"offered\":3,\"passed\":0,\"refused\":3"),
             std::string::npos);
   EXPECT_NE(ask(R"({"v":1,"op":"gap.suggest"})").find("\"number\":\"7f3a9c21e0b4d655\",\"offered\":3"),
@@ -457,24 +457,24 @@
             std::string::npos);
   EXPECT_NE(ask(R"({"v":1,"op":"gap.lift","id":"g","who":"ops"})").find("\"lifted\":true"),
             std::string::npos);
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   hears(server, "00000000000000bb");
 }
 
 // A call that waits for a server falls under a gap announced meanwhile; one whose attempt is out does not.
 TEST_F(GapCore, HeldCallsFallUnderAGapAnnouncedWhileTheyWait) {
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
   planner->news({2, true, {host(listener, 0, Availability::draining)}});
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   settle();
-  EXPECT_EQ(gateway.heard(), "") << "it is not held: this test shows nothing";
+  EXPECT_EQ(gateway.received(), "") << "it is not held: this test shows nothing";
   EXPECT_NE(add(R"("number":"7f*","control":{"block":true})").find("\"taken\":1"), std::string::npos);
-  until([&] { return !gateway.heard().empty(); }, "the refusal");
-  EXPECT_EQ(count(gateway.heard(), std::string(7, '\0') + '\xbb'), 1u);
-  EXPECT_EQ(count(gateway.heard(), std::string(7, '\0') + '\xaa'), 0u);
-  server.say(line("accept", "00000000000000aa", "\"desc\":\"s\""));
+  until([&] { return !gateway.received().empty(); }, "the refusal");
+  EXPECT_EQ(count(gateway.received(), std::string(7, '\0') + '\xbb'), 1u);
+  EXPECT_EQ(count(gateway.received(), std::string(7, '\0') + '\xaa'), 0u);
+  server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
   EXPECT_EQ(planner->owed(), 0u);
 }
@@ -505,16 +505,16 @@
   EXPECT_NE(ask("{\"v\":1,\"op\":\"gap.add\",\"rules\":[" + rules + "]}").find("\"taken\":10000"),
             std::string::npos);
   Peer half = Peer::connect(operation->address()), deaf = Peer::connect(operation->address());
-  half.say("{\"v\":1,\"op\":\"gap.li");
+  half.send("{\"v\":1,\"op\":\"gap.li");
   for (int i = 0; i < 40; ++i) {
-    deaf.say("{\"v\":1,\"op\":\"gap.list\"}\n");
+    deaf.send("{\"v\":1,\"op\":\"gap.list\"}\n");
     loop.pass(milliseconds(1));
   }
   settle();
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
-  half.say("ft\",\"id\":\"r1\"}\n");
+  half.send("ft\",\"id\":\"r1\"}\n");
   hears(half, "\"lifted\":true");
 }
 
@@ -529,13 +529,13 @@
   std::vector<Peer> gone;
   for (int i = 0; i < 4; ++i) gone.push_back(Peer::connect(operation->address()));
   for (Peer& each : gone) {
-    for (int i = 0; i < 12; ++i) each.say("{\"v\":1,\"op\":\"gap.list\"}\n");
+    for (int i = 0; i < 12; ++i) each.send("{\"v\":1,\"op\":\"gap.list\"}\n");
   }
   settle(60);
   for (Peer& each : gone) each.reset();
   operation.reset();
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
 }
 
@@ -575,9 +575,9 @@
   };
   command({"add", "nine", "--number", "7f3*", "--interval-ms", "60000", "--why", "exam", "--who", "ana"}, 0);
   Peer gateway = Peer::connect(address);
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   hears(gateway, std::string(7, '\0') + '\xbb');
   EXPECT_NE(command({"list"}, 0).find("one every 60000 ms"), std::string::npos);
   EXPECT_NE(command({"test", "--number", "7f3b"}, 0).find("refused by nine"), std::string::npos);
@@ -585,7 +585,7 @@
   EXPECT_NE(command({"add", "x", "--number", "1**", "--block"}, 2).find("column 3"), std::string::npos);
   EXPECT_NE(command({"watch", "--times", "1"}, 0).find("nine"), std::string::npos);
   command({"lift", "nine"}, 0);
-  gateway.say(setup(0xcc, "d"));
+  gateway.send(setup(0xcc, "d"));
   hears(server, "00000000000000cc");
   ::kill(pid, SIGKILL);
   exit_code();
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -31,11 +31,11 @@
 
 TEST_F(Levels, ACallGoesThroughBothAndItsEndComesBack) {
   Peer gateway = standing();
-  server.say(line("end", "00000000000000aa", "\"why\":16"));
+  server.send(line("end", "00000000000000aa", "\"why\":16"));
   hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   hears(server, "00000000000000bb");
-  gateway.say(binary(12, 0xbb, {{208, "\x10"}}));
+  gateway.send(binary(12, 0xbb, {{208, "\x10"}}));
   hears(server, "{\"op\":\"end\",\"call\":\"00000000000000bb\"");
 }
 
@@ -43,17 +43,17 @@
 TEST_F(Levels, ALostPlannerFailsWhatIsOpenOnceAndLeavesWhatStands) {
   Peer gateway = standing();
   const sockaddr_in address = port->address();
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   hears(server, "00000000000000bb");
   port.reset();
   const std::string failed = binary(12, 0xbb, {{208, std::string(1, 41)}});
   hears(gateway, failed);
-  gateway.say(setup(0xcc, "d"));  // with no planner the caller is told at once, and when to come back
+  gateway.send(setup(0xcc, "d"));  // with no planner the caller is told at once, and when to come back
   hears(gateway, binary(12, 0xcc, {{208, std::string(1, 42)}, {192, "1000"}}));
-  gateway.say(binary(12, 0xaa, {{208, "\x10"}}));  // and the end of a call waits for one
+  gateway.send(binary(12, 0xaa, {{208, "\x10"}}));  // and the end of a call waits for one
   hears(gateway, binary(16, 0xaa));
-  EXPECT_EQ(count(gateway.heard(), failed), 1u);
-  server.take();
+  EXPECT_EQ(count(gateway.received(), failed), 1u);
+  server.take_received();
   port = std::make_unique<link::Port>(loop, log, *planner, address);
   hears(server, "{\"op\":\"end\",\"call\":\"00000000000000aa\"");
 }
@@ -61,7 +61,7 @@
 // Where a forwarder is lost, its requests are withdrawn; the ends of its calls go to those that are left.
 TEST_F(Levels, ALostForwarderWithdrawsWhatIsOpen) {
   Peer gateway = standing();
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   hears(server, "00000000000000bb");
   front.reset();
   planners.reset();
@@ -71,18 +71,18 @@
   front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
   planners->strays_to(*front);
   Peer other = caller();
-  server.say(line("end", "00000000000000aa", "\"why\":16"));
+  server.send(line("end", "00000000000000aa", "\"why\":16"));
   hears(other, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
 TEST_F(Levels, APlannerThatStopsGetsNothingNewAndEndsWhatItHas) {
   Peer gateway = caller();
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   hears(server, "00000000000000bb");
   port->stop();
   port->tell_state();
   until([&] { return !planners->ready(); }, "the news of the stop");
-  server.say(line("accept", "00000000000000bb", "\"desc\":\"s\""));
+  server.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
   hears(gateway, binary(9, 0xbb, {{210, "s"}}));
 }
 
--- a/tests/logging_test.cpp
+++ b/tests/logging_test.cpp
@@ -57,7 +57,7 @@
   until(
       [&] {
         Peer caller = Peer::connect(address);
-        caller.say(std::string(64, '\xff'));
+        caller.send(std::string(64, '\xff'));
         until([&] { return caller.ended(); }, "the caller's end");
         return std::filesystem::exists(directory + "/lines.1.json");
       },
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -54,35 +54,35 @@
   }
   explicit operator bool() const { return static_cast<bool>(fd_); }
   std::string address() const { return address_text(bound_address(fd_)); }
-  void say(const std::string& bytes) const {
+  void send(const std::string& bytes) const {
     EXPECT_EQ(::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(bytes.size()));
   }
   // As say, where the other end may have gone.
-  void say_if_open(const std::string& bytes) const {
+  void send_if_open(const std::string& bytes) const {
     [[maybe_unused]] const ssize_t said = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
   int descriptor() const { return fd_.get(); }
   // Everything heard so far.
-  const std::string& heard() {
+  const std::string& received() {
     char bytes[65536];
     for (ssize_t n; fd_ && (n = ::recv(fd_.get(), bytes, sizeof bytes, MSG_DONTWAIT)) >= 0;) {
       if (n == 0) {
         ended_ = true;
         break;
       }
-      heard_.append(bytes, static_cast<std::size_t>(n));
+      received_.append(bytes, static_cast<std::size_t>(n));
     }
-    return heard_;
+    return received_;
   }
   bool ended() {
-    heard();
+    received();
     return ended_;
   }
   // Takes what was heard off; what comes later is heard afresh.
-  std::string take() {
-    heard();
-    return std::exchange(heard_, {});
+  std::string take_received() {
+    received();
+    return std::exchange(received_, {});
   }
   void close() { fd_.reset(); }
   // Says no more, and still hears.
@@ -96,7 +96,7 @@
 
  private:
   Fd fd_;
-  std::string heard_;
+  std::string received_;
   bool ended_ = false;
 };
 
@@ -208,23 +208,23 @@
   // be.
   Peer caller_before_the_connection(const std::string& ms = "5000") {
     Peer gateway = caller();
-    gateway.say(setup(0xaa, "d", ms));
+    gateway.send(setup(0xaa, "d", ms));
     until([this] { return planner->owed() == 1; }, "the set-up, held");
     loop.defer([this] { planner->news({1, true, {host(listener, 0)}}); });
     loop.pass(Duration{0});
     return gateway;
   }
   void hears(Peer& peer, const std::string& text) {
-    until([&] { return peer.heard().find(text) != std::string::npos; }, text.c_str());
+    until([&] { return peer.received().find(text) != std::string::npos; }, text.c_str());
   }
   // The call 0xaa of this caller stands; what both sides have heard so far is taken off.
   void stand(Peer& gateway) {
-    gateway.say(setup(0xaa, "d"));
+    gateway.send(setup(0xaa, "d"));
     hears(server, "offer");
-    server.say(line("accept", "00000000000000aa", "\"desc\":\"s\""));
+    server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
     hears(gateway, binary(9, 0xaa, {{210, "s"}}));
-    gateway.take();
-    server.take();
+    gateway.take_received();
+    server.take_received();
   }
   static std::string line(const std::string& op, const std::string& call, const std::string& rest) {
     return "{\"op\":\"" + op + "\",\"call\":\"" + call + "\",\"with\":{}," + rest + "}\n";
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -16,9 +16,9 @@
   // One call of HTTP/1.1: what came back until the program closed the connection.
   std::string call(const std::string& request) {
     Peer peer = Peer::connect(management.address());
-    peer.say(request);
+    peer.send(request);
     until([&] { return peer.ended(); }, "the end of the answer");
-    return peer.heard();
+    return peer.received();
   }
   std::string get(const std::string& path) { return call("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"); }
   std::string post(const std::string& path) {
@@ -53,17 +53,17 @@
   EXPECT_EQ(status(get("/v1/readyz")), "200");
   Peer idle = caller();
   Peer busy = caller();
-  busy.say(setup(0xaa, "d"));
+  busy.send(setup(0xaa, "d"));
   hears(server, "offer");
   EXPECT_EQ(status(post("/v1/call-controller/drain")), "200");
   EXPECT_EQ(status(get("/v1/readyz")), "503");
   until([&] { return idle.ended(); }, "the idle connection closed");
   EXPECT_FALSE(busy.ended());  // its request is answered first
-  server.say(line("accept", "00000000000000aa", "\"desc\":\"s\""));
+  server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
   hears(busy, binary(9, 0xaa, {{210, "s"}}));
   settle(30);
   EXPECT_FALSE(busy.ended());  // its call stands, and its end is to be told on it
-  server.say(line("end", "00000000000000aa", "\"why\":16"));
+  server.send(line("end", "00000000000000aa", "\"why\":16"));
   hears(busy, binary(12, 0xaa, {{208, "\x10"}}));
   until([&] { return busy.ended(); }, "the emptied connection closed");
   EXPECT_EQ(status(post("/v1/call-controller/activate")), "200");
@@ -76,9 +76,9 @@
   open_server();
   const auto test = [&] {
     Peer front_end = caller();
-    front_end.say(binary(52, 7, {{208, std::string(1, 0)}}));
-    until([&] { return !front_end.heard().empty(); }, "the test's answer");
-    return front_end.take();
+    front_end.send(binary(52, 7, {{208, std::string(1, 0)}}));
+    until([&] { return !front_end.received().empty(); }, "the test's answer");
+    return front_end.take_received();
   };
   const std::string passed = binary(53, 7, {{208, "\x01"}}), failed = binary(53, 7, {{208, {"\0", 1}}});
   EXPECT_EQ(test(), passed);
@@ -102,7 +102,7 @@
   BinaryFront drained(loop, told, *planner, any_port(), 8, 1 << 20);
   drained.follow_drain(drain);
   Peer asking = Peer::connect(drained.address());
-  asking.say(setup(0xbb, "d"));
+  asking.send(setup(0xbb, "d"));
   hears(server, "offer");
   drain.drain(loop.now() - Drain::kLookedAt);
   const auto text = [&] {
@@ -149,11 +149,11 @@
   const std::string good = "GET /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n";
   for (std::size_t cut = 1; cut < good.size(); cut += 3) {
     Peer peer = Peer::connect(management.address());
-    peer.say(good.substr(0, cut));
+    peer.send(good.substr(0, cut));
     settle(2);
-    peer.say(good.substr(cut));
+    peer.send(good.substr(cut));
     until([&] { return peer.ended(); }, "the answer");
-    EXPECT_EQ(status(peer.heard()), "200");
+    EXPECT_EQ(status(peer.received()), "200");
   }
   for (const char* bad : {"\r\n\r\n", "GET  HTTP/1.1\r\n\r\n", "GET / HTTP/9\r\n\r\n", "\x01\x02\x03\r\n\r\n",
                           "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"}) {
@@ -192,9 +192,9 @@
   ::unsetenv("NODE_MANAGEMENT");
   const auto ready = [&](const sockaddr_in& at) {
     Peer peer = Peer::connect(at);
-    peer.say("GET /v1/readyz HTTP/1.1\r\n\r\n");
+    peer.send("GET /v1/readyz HTTP/1.1\r\n\r\n");
     until([&] { return peer.ended(); }, "an answer of readyz");
-    return peer.heard().rfind("HTTP/1.1 200", 0) == 0;
+    return peer.received().rfind("HTTP/1.1 200", 0) == 0;
   };
   until([&] { return read_file(directory + "/next").find("serving at") != std::string::npos; }, "the second");
   EXPECT_TRUE(ready(new_management));
@@ -203,8 +203,12 @@
   EXPECT_EQ(exit_code(), 0);
   for (int i = 0; i < 8; ++i) {
     Peer gateway = Peer::connect(address);
-    gateway.say(binary(52, 7, {{208, std::string(1, 0)}}));
-    until([&] { return gateway.heard() == binary(53, 7, {{208, "\x01"}}); }, "a test passed by the new one");
+    gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
+    until(
+        [&] {
+          return gateway.received() == binary(53, 7, {{208, "\x01"}});
+        },
+        "a test passed by the new one");
   }
   ::kill(next, SIGTERM);
   EXPECT_EQ(exit_code_of(next), 0);
@@ -222,9 +226,9 @@
   serves();
   const auto figures = [&] {
     Peer peer = Peer::connect(management);
-    peer.say("GET /v1/metrics HTTP/1.1\r\n\r\n");
+    peer.send("GET /v1/metrics HTTP/1.1\r\n\r\n");
     until([&] { return peer.ended(); }, "the figures");
-    return peer.heard();
+    return peer.received();
   };
   const std::string good = config(), file = directory + "/config.json";
   const auto with = [&](const std::string& from, const std::string& to) {
@@ -251,9 +255,9 @@
   ::kill(pid, SIGHUP);
   until([&] { return figures().find("\"reload_success\":1") != std::string::npos; }, "the good file");
   Peer gateway = Peer::connect(address);
-  gateway.say(binary(1, 0xaa, {{180, "exam"}, {182, "5000"}, {188, "7f3a"}, {210, "d"}}));
+  gateway.send(binary(1, 0xaa, {{180, "exam"}, {182, "5000"}, {188, "7f3a"}, {210, "d"}}));
   hears(server, "\"class\":\"exam\"");
-  server.say("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
+  server.send("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
   EXPECT_NE(figures().find("\"success\":{\"exam\":1,\"voice\":0}"), std::string::npos);
 }
--- a/tests/process.hpp
+++ b/tests/process.hpp
@@ -88,11 +88,11 @@
     until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
     serves();
     gateway = Peer::connect(address);
-    gateway.say(setup(0xaa, "d"));
+    gateway.send(setup(0xaa, "d"));
     hears(server, "00000000000000aa");
   }
   void hears(Peer& peer, const std::string& text) {
-    until([&] { return peer.heard().find(text) != std::string::npos; }, text.c_str());
+    until([&] { return peer.received().find(text) != std::string::npos; }, text.c_str());
   }
 
   std::string directory;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -20,15 +20,15 @@
   ::kill(pid, SIGTERM);
   until([&] { return log().find("stopping: 1 calls owe") != std::string::npos; }, "the stop");
   Peer second = Peer::connect(address);
-  second.say(setup(0xbb, "d"));
+  second.send(setup(0xbb, "d"));
   hears(server, "00000000000000bb");
   for (const char* call : {"00000000000000aa", "00000000000000bb"}) {
-    server.say("{\"op\":\"accept\",\"call\":\"" + std::string(call) + "\",\"with\":{},\"desc\":\"s\"}\n");
+    server.send("{\"op\":\"accept\",\"call\":\"" + std::string(call) + "\",\"with\":{},\"desc\":\"s\"}\n");
   }
   hears(first, binary(9, 0xaa, {{210, "s"}}));
   hears(second, binary(9, 0xbb, {{210, "s"}}));
   EXPECT_EQ(exit_code(), 0);
-  EXPECT_EQ(server.heard().find("\"op\":\"end\""), std::string::npos)
+  EXPECT_EQ(server.received().find("\"op\":\"end\""), std::string::npos)
       << "a call that stands was cut by the stop";
 }
 
@@ -36,11 +36,11 @@
 TEST_F(Process, AnEndThatNobodyIsThereToHearKeepsNoStopWaiting) {
   Peer server, gateway;
   start_with_a_call(server, gateway);
-  server.say("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
+  server.send("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
   gateway.close();
   // The next caller to be seen would have been told of it: this one is not, and goes too.
-  server.say("{\"op\":\"end\",\"call\":\"00000000000000aa\",\"with\":{},\"why\":1}\n");
+  server.send("{\"op\":\"end\",\"call\":\"00000000000000aa\",\"with\":{},\"why\":1}\n");
   server.close();
   until([&] { return log().find("connection closed, 0 set-ups out") != std::string::npos; }, "the end taken");
   ::kill(pid, SIGTERM);
@@ -61,14 +61,14 @@
   until([&] { return static_cast<bool>(stream = coordinator.accept()); }, "its stream");
   hears(stream, "Last-Event-ID: 1\r\n");
   Peer gateway = Peer::connect(address);
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
   const std::string file = directory + "/config.json";
   acme::replace_file(file, "{\"listen\":");
   ::kill(pid, SIGHUP);
   until([&] { return log().find("; the old one goes on") != std::string::npos; }, "the complaint");
   EXPECT_FALSE(stream.ended());
-  stream.say("HTTP/1.1 200 OK\r\n\r\ndata: {\"index\":2,\"endpoints\":{\"hosts\":[]}}\n\ndata: {\"ind");
+  stream.send("HTTP/1.1 200 OK\r\n\r\ndata: {\"index\":2,\"endpoints\":{\"hosts\":[]}}\n\ndata: {\"ind");
   Listener moved;
   std::string fresh = config();
   const std::string old = address_text(coordinator.address());
@@ -78,7 +78,7 @@
   until([&] { return static_cast<bool>(next = moved.accept()); }, "the new stream");
   hears(next, "Last-Event-ID: 2\r\n");
   until([&] { return stream.ended(); }, "the end of the old stream");
-  server.say("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
+  server.send("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
 }
 
@@ -93,11 +93,11 @@
   ::kill(pid, SIGHUP);
   until([&] { return log().find("configuration: read again") != std::string::npos; }, "the reload");
   ::kill(pid, SIGTERM);
-  server.say(accept_of("00000000000000aa"));
+  server.send(accept_of("00000000000000aa"));
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
   EXPECT_EQ(exit_code(), 0);
   EXPECT_EQ(count(log(), "stopping: "), 1u);
-  EXPECT_EQ(server.heard().find("\"op\":\"end\""), std::string::npos);
+  EXPECT_EQ(server.received().find("\"op\":\"end\""), std::string::npos);
 }
 
 // Stopped before it has heard of any server: what it took has its answer by its time.
@@ -107,12 +107,12 @@
   start(text.erase(known, text.find(",\"settings\"") - known));
   serves();
   Peer gateway = Peer::connect(address);
-  gateway.say(kTest);
+  gateway.send(kTest);
   hears(gateway, binary(53, 7, {{208, std::string(1, 0)}}));
-  gateway.say(setup(0xaa, "d", "300"));
+  gateway.send(setup(0xaa, "d", "300"));
   ::kill(pid, SIGTERM);
   EXPECT_EQ(exit_code(), 0);
-  EXPECT_EQ(count(gateway.heard(), binary(12, 0xaa, {{208, std::string(1, 42)}}).substr(2, 9)), 1u);
+  EXPECT_EQ(count(gateway.received(), binary(12, 0xaa, {{208, std::string(1, 42)}}).substr(2, 9)), 1u);
   EXPECT_TRUE(gateway.ended());
 }
 
@@ -133,12 +133,12 @@
     start(each);
     serves();
     Peer gateway = Peer::connect(address), server;
-    gateway.say(kTest);
+    gateway.send(kTest);
     hears(gateway, kPassed);
-    gateway.say(setup(0xaa, "d"));
+    gateway.send(setup(0xaa, "d"));
     until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
     hears(server, "00000000000000aa");
-    server.say(accept_of("00000000000000aa"));
+    server.send(accept_of("00000000000000aa"));
     hears(gateway, binary(9, 0xaa, {{210, "s"}}));
     ::kill(pid, SIGKILL);
     EXPECT_EQ(exit_code(), -SIGKILL);
@@ -166,10 +166,10 @@
   hears(watch, "Last-Event-ID: 1");
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   Peer gateway = Peer::connect(address), ready = Peer::connect(management);
-  gateway.say(setup(0xaa, "d"));
-  ready.say("GET /v1/readyz HTTP/1.1\r\n\r\n");
+  gateway.send(setup(0xaa, "d"));
+  ready.send("GET /v1/readyz HTTP/1.1\r\n\r\n");
   hears(server, "00000000000000aa");
-  server.say(accept_of("00000000000000aa"));
+  server.send(accept_of("00000000000000aa"));
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
   hears(ready, "HTTP/1.1 200");
 }
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -11,19 +11,19 @@
 TEST_F(Program, ACallIsAnsweredWithTheServersDescriptionAndReleasedWhenItEnds) {
   open_server();
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "v=0\r\nc=\"x\" \\ \xc3\xa9\r\n"));
+  gateway.send(setup(0xaa, "v=0\r\nc=\"x\" \\ \xc3\xa9\r\n"));
   hears(server, "\n");
-  const std::string offer = server.take();
+  const std::string offer = server.take_received();
   EXPECT_NE(offer.find("\"class\":\"voice\""), std::string::npos);
   EXPECT_NE(offer.find("\"key\":\"7f3a9c21e0b4d655\""), std::string::npos);
   EXPECT_NE(offer.find("\"desc\":\"v=0\\r\\nc=\\\"x\\\" \\\\ \xc3\xa9\\r\\n\"}"), std::string::npos);
-  server.say(line("accept", kId, "\"desc\":\"s\\u00e9 \\\"1\\\"\\r\\n\""));
+  server.send(line("accept", kId, "\"desc\":\"s\\u00e9 \\\"1\\\"\\r\\n\""));
   const std::string answer = binary(9, 0xaa, {{210, "s\xc3\xa9 \"1\"\r\n"}});
   hears(gateway, answer);
-  server.say(line("end", kId, "\"why\":16"));
+  server.send(line("end", kId, "\"why\":16"));
   const std::string over = binary(12, 0xaa, {{208, "\x10"}});
   hears(gateway, answer + over);
-  EXPECT_EQ(gateway.heard(), answer + over);
+  EXPECT_EQ(gateway.received(), answer + over);
 }
 
 // A restarted server may break the connection after it took the set-up: one attempt at a time, and the next
@@ -31,36 +31,36 @@
 TEST_F(Program, ASetupThatBrokeIsSentAgainAndAnsweredOnce) {
   open_server();
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "offer");
   server.reset();
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   hears(server, "offer");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
-  EXPECT_EQ(count(server.heard(), "offer"), 1u);
+  EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
 TEST_F(Program, ALateAnswerToASetupThatWasGivenUpIsReleased) {
   open_server();
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "offer");
-  gateway.say(binary(12, 0xaa, {{208, "\x10"}}));
+  gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
   hears(server, "\"op\":\"end\"");
-  server.take();
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.take_received();
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(server, "{\"op\":\"end\",\"call\":\"" + kId + "\"");
-  EXPECT_EQ(gateway.heard(), binary(16, 0xaa));
+  EXPECT_EQ(gateway.received(), binary(16, 0xaa));
 }
 
 // The caller's deadline passes with a set-up out: the server hears of it and the caller has one failure.
 TEST_F(Program, ASilentServerCostsTheCallerOneFailureAtItsDeadline) {
   open_server();
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "d", "40"));
+  gateway.send(setup(0xaa, "d", "40"));
   hears(gateway, binary(12, 0xaa, {{208, std::string(1, 18)}}));
-  EXPECT_EQ(count(server.heard(), "offer"), 1u);
+  EXPECT_EQ(count(server.received(), "offer"), 1u);
   hears(server, "\"op\":\"end\"");
 }
 
@@ -83,14 +83,14 @@
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   gateway.close();
   settle();
-  EXPECT_EQ(count(server.heard(), "end"), 0u);
-  server.say(line("end", kId, "\"why\":16"));
+  EXPECT_EQ(count(server.received(), "end"), 0u);
+  server.send(line("end", kId, "\"why\":16"));
   settle();
   Peer other = caller();  // the release has waited for an open connection
   hears(other, binary(12, 0xaa, {{208, "\x10"}}));
-  server.say(line("end", kId, "\"why\":16"));  // told on the next connection as well
+  server.send(line("end", kId, "\"why\":16"));  // told on the next connection as well
   settle();
-  EXPECT_EQ(other.heard(), binary(12, 0xaa, {{208, "\x10"}}));
+  EXPECT_EQ(other.received(), binary(12, 0xaa, {{208, "\x10"}}));
 }
 
 // Calls from before a restart are unknown here, and their callers must hear all the same that they are over.
@@ -98,7 +98,7 @@
   open_server();
   Peer gateway = caller();
   settle();
-  server.say(line("end", kId, "\"why\":16"));
+  server.send(line("end", kId, "\"why\":16"));
   hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
@@ -106,30 +106,30 @@
 TEST_F(Program, ASetupGivenUpInTheSamePassNeverLeaves) {
   open_server();
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "d") + binary(12, 0xaa, {{208, "\x10"}}));
+  gateway.send(setup(0xaa, "d") + binary(12, 0xaa, {{208, "\x10"}}));
   hears(gateway, binary(16, 0xaa));
   settle();
-  EXPECT_EQ(server.heard(), "");
+  EXPECT_EQ(server.received(), "");
 }
 
 TEST_F(Program, AMalformedMessageClosesItsConnectionOnly) {
   open_server();
   Peer good = caller(), bad = caller();
-  bad.say(std::string("\x00\x09\x01", 3) + "12345678" + std::string("\x00\x0b\x01", 3) + "12345678" +
-          std::string("\xb4\x00", 2));
+  bad.send(std::string("\x00\x09\x01", 3) + "12345678" + std::string("\x00\x0b\x01", 3) + "12345678" +
+           std::string("\xb4\x00", 2));
   until([&] { return bad.ended(); }, "the close");
-  good.say(setup(0xaa, "d"));
+  good.send(setup(0xaa, "d"));
   hears(server, "offer");
-  server.say("{\"op\":\"accept\",\"call\":\"zz\"}\n");
+  server.send("{\"op\":\"accept\",\"call\":\"zz\"}\n");
   until([&] { return server.ended(); }, "the close of the server's connection");
 }
 
 TEST_F(Program, ATestPassesOnceTheServersAreKnown) {
   Peer gateway = caller();
-  gateway.say(binary(52, 7, {{208, std::string(1, 0)}}));
+  gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
   hears(gateway, binary(53, 7, {{208, std::string(1, 0)}}));
   open_server();
-  gateway.say(binary(52, 8, {{208, std::string(1, 0)}}));
+  gateway.send(binary(52, 8, {{208, std::string(1, 0)}}));
   hears(gateway, binary(53, 8, {{208, "\x01"}}));
 }
 
@@ -139,11 +139,11 @@
   Peer gateway = caller();
   stand(gateway);
   planner->news({2, false, {host(listener, 0, Availability::draining)}});
-  gateway.take();
-  gateway.say(setup(0xbb, "d", "60"));
+  gateway.take_received();
+  gateway.send(setup(0xbb, "d", "60"));
   // No server is left, so its caller is told to stay away for as long as callers heed.
   hears(gateway, binary(12, 0xbb, {{208, std::string(1, 42)}, {192, "2000"}}));
-  EXPECT_EQ(count(server.heard(), "offer"), 0u);
+  EXPECT_EQ(count(server.received(), "offer"), 0u);
   planner->news({3, false, {host(listener, 0, Availability::gone)}});
   hears(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
 }
@@ -171,10 +171,10 @@
   front = std::make_unique<BinaryFront>(loop, log, *planner, any_port(), 2, 1 << 20);
   open_server();
   Peer idle = caller(), busy = caller();
-  busy.say(setup(0xaa, "d"));
+  busy.send(setup(0xaa, "d"));
   hears(server, "offer");
   Peer next = caller();
-  next.say(binary(52, 7, {{208, std::string(1, 0)}}));
+  next.send(binary(52, 7, {{208, std::string(1, 0)}}));
   hears(next, binary(53, 7, {{208, "\x01"}}));
   EXPECT_TRUE(idle.ended());
   EXPECT_FALSE(busy.ended());
@@ -190,8 +190,8 @@
   settle(3);
   Peer first = at.accept();
   hears(first, "Last-Event-ID: 4\r\n");
-  first.say("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hi\n\nid: 5\n" + event + "\n\n" +
-            "data: {\"ind");
+  first.send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hi\n\nid: 5\n" + event + "\n\n" +
+             "data: {\"ind");
   until([&] { return told.size() == 1; }, "event 5");
   first.close();
   Peer second;
@@ -201,8 +201,8 @@
   const std::string again = event + "\n\n";
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", again.size());
-  second.say("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + std::string(size) + again +
-             "\r\n3\r\n: x\r\n");
+  second.send("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + std::string(size) + again +
+              "\r\n3\r\n: x\r\n");
   settle();
   EXPECT_EQ(told, std::vector<std::uint64_t>{5});
 }
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -16,9 +16,9 @@
 // not kept.
 TEST_F(Program, NothingIsAwaitedOfCallersThatSayNothingWhole) {
   Peer strange = caller(), half = caller(), silent = caller();
-  strange.say(std::string("\x3f\xff\x7b", 3));
+  strange.send(std::string("\x3f\xff\x7b", 3));
   until([&] { return strange.ended(); }, "the close of a type that callers do not send");
-  half.say(binary(52, 7) + "\x01");
+  half.send(binary(52, 7) + "\x01");
   until([&] { return half.ended() && silent.ended(); }, "the close of both");
 }
 
@@ -33,53 +33,53 @@
     more.insert(more.begin(), sound.begin(), sound.end());
     return more;
   };
-  bad.say(setup(0, "d") + setup(1, "\xff\xfe") + setup(2, far) + setup(3, "d", "-5") + setup(4, ""));
-  bad.say(binary(1, 5, with({{190, "dest:0;width:0"}, {210, "d"}})));
-  bad.say(binary(1, 6, with({{190, "dest:nan"}, {210, "d"}})));
+  bad.send(setup(0, "d") + setup(1, "\xff\xfe") + setup(2, far) + setup(3, "d", "-5") + setup(4, ""));
+  bad.send(binary(1, 5, with({{190, "dest:0;width:0"}, {210, "d"}})));
+  bad.send(binary(1, 6, with({{190, "dest:nan"}, {210, "d"}})));
   std::string all;
   for (CallId call = 0; call <= 6; ++call) all += failed(call);
   hears(bad, failed(6));
-  EXPECT_EQ(bad.heard(), all);
+  EXPECT_EQ(bad.received(), all);
   settle();
-  EXPECT_EQ(server.heard(), "");
+  EXPECT_EQ(server.received(), "");
 }
 
 // An id in use fails for who uses it again, and nobody takes back what another has asked for.
 TEST_F(Program, ASecondSetupUnderAnIdHarmsNoOtherCaller) {
   open_server();
   Peer good = caller(), bad = caller();
-  good.say(setup(0xaa, "d"));
+  good.send(setup(0xaa, "d"));
   hears(server, "offer");
-  bad.say(setup(0xaa, "other") + binary(12, 0xaa, {{208, "\x10"}}));
+  bad.send(setup(0xaa, "other") + binary(12, 0xaa, {{208, "\x10"}}));
   hears(bad, failed(0xaa) + binary(16, 0xaa));
-  server.say(line("accept", "00000000000000aa", "\"desc\":\"s\""));
+  server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
   hears(good, binary(9, 0xaa, {{210, "s"}}));
   // On one connection nobody can tell the two apart: one failure, and nothing is left at the server.
-  server.take();
-  bad.take();
-  bad.say(setup(0xbb, "d"));
+  server.take_received();
+  bad.take_received();
+  bad.send(setup(0xbb, "d"));
   hears(server, "00000000000000bb");
-  bad.say(setup(0xbb, "e") + setup(0xbb, "f"));
+  bad.send(setup(0xbb, "e") + setup(0xbb, "f"));
   hears(bad, failed(0xbb) + failed(0xbb));
   hears(server, line("end", "00000000000000bb", "\"why\":16"));
-  EXPECT_EQ(count(server.heard(), "offer"), 1u);
+  EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
 // What ends a call whose caller is gone goes to a caller that has shown itself to be one.
 TEST_F(Program, AReleaseWithoutAHomeGoesToAKnownCaller) {
   open_server();
   Peer silent = caller(), gateway = caller(), other = caller();
-  other.say(setup(0xbb, "d"));
+  other.send(setup(0xbb, "d"));
   hears(server, "offer");
-  server.say(line("accept", "00000000000000bb", "\"desc\":\"s\""));
+  server.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
   hears(other, binary(9, 0xbb, {{210, "s"}}));
-  server.take();
+  server.take_received();
   stand(gateway);
   gateway.close();
   settle();
-  server.say(line("end", "00000000000000aa", "\"why\":16"));
+  server.send(line("end", "00000000000000aa", "\"why\":16"));
   hears(other, binary(12, 0xaa, {{208, "\x10"}}));
-  EXPECT_EQ(silent.heard(), "");
+  EXPECT_EQ(silent.received(), "");
 }
 
 // Set-ups that wait hold what their callers sent: more than the memory is meant for is refused unseen, until
@@ -88,13 +88,13 @@
   planner->limit({10, 100});
   open_server();
   Peer gateway = caller();
-  gateway.say(setup(0xaa, std::string(60, 'd')));
+  gateway.send(setup(0xaa, std::string(60, 'd')));
   hears(server, "offer");
-  gateway.say(setup(0xbb, std::string(60, 'd')));
+  gateway.send(setup(0xbb, std::string(60, 'd')));
   hears(gateway, binary(12, 0xbb, {{208, std::string(1, 42)}, {192, "1000"}}));
-  server.say(line("accept", kId, "\"desc\":\"s\""));
+  server.send(line("accept", kId, "\"desc\":\"s\""));
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
-  gateway.say(setup(0xcc, std::string(60, 'd')));
+  gateway.send(setup(0xcc, std::string(60, 'd')));
   hears(server, "00000000000000cc");
 }
 
@@ -114,7 +114,7 @@
   stream.send({std::string(3 << 20, 'x'), {}, 0});
   settle(3);
   EXPECT_FALSE(stream.interest() & POLLIN);
-  const auto taken = [&] { return other.take(), (stream.interest() & POLLIN) != 0; };
+  const auto taken = [&] { return other.take_received(), (stream.interest() & POLLIN) != 0; };
   until(taken, "room for more");
 }
 
@@ -150,17 +150,17 @@
       std::string(good).replace(good.size() - 4, 1, "\x02"),
   };
   for (std::size_t i = 0; i < spoilt.size(); ++i) {
-    gateway.say(setup(0xaa + i, "d"));
+    gateway.send(setup(0xaa + i, "d"));
     hears(server, "offer");
-    server.say(std::string(spoilt[i]).replace(spoilt[i].find(kId), 16, call_text(0xaa + i)));
+    server.send(std::string(spoilt[i]).replace(spoilt[i].find(kId), 16, call_text(0xaa + i)));
     until([&] { return server.ended(); }, "the close of the spoilt connection");
     until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
     hears(server, "offer");
-    server.take();
-    server.say(line("accept", call_text(0xaa + i), "\"desc\":\"s\""));
+    server.take_received();
+    server.send(line("accept", call_text(0xaa + i), "\"desc\":\"s\""));
     hears(gateway, binary(9, 0xaa + i, {{210, "s"}}));
-    EXPECT_EQ(gateway.take(), binary(9, 0xaa + i, {{210, "s"}})) << i;
-    server.take();
+    EXPECT_EQ(gateway.take_received(), binary(9, 0xaa + i, {{210, "s"}})) << i;
+    server.take_received();
   }
 }
 
@@ -168,20 +168,20 @@
 TEST_F(Program, AConnectionThatBreaksTakesOnlyItsOwnSetups) {
   open_server();
   Peer gateway = caller(), other;
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
-  server.say(line("accept", "00000000000000aa", "\"desc\":\"s\""));
+  server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
-  gateway.say(setup(0xcc, "d"));
+  gateway.send(setup(0xcc, "d"));
   hears(other, "00000000000000cc");
   server.reset();
-  other.say(line("accept", "00000000000000cc", "\"desc\":\"s\""));
+  other.send(line("accept", "00000000000000cc", "\"desc\":\"s\""));
   hears(gateway, binary(9, 0xcc, {{210, "s"}}));
   // After the release guard the other one goes out again, on whichever connection is up.
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
-  const auto again = [&] { return count(server.heard() + other.heard(), "00000000000000bb") > 0; };
+  const auto again = [&] { return count(server.received() + other.received(), "00000000000000bb") > 0; };
   until(again, "the set-up that broke");
 }
 
@@ -190,23 +190,23 @@
 TEST_F(Program, AnOpenConnectionThatBringsNothingIsOfNoMoreUse) {
   open_server();
   Peer gateway = caller(), other;
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
   CallId next = 0x100;
   const auto answers_elsewhere = [&] {
-    const std::string said = other.take();
+    const std::string said = other.take_received();
     for (auto at = said.find("\"offer\",\"call\":\""); at != std::string::npos;
          at = said.find("\"offer\"", at + 1)) {
-      other.say(line("accept", said.substr(at + 16, 16), "\"desc\":\"s\""));
+      other.send(line("accept", said.substr(at + 16, 16), "\"desc\":\"s\""));
     }
-    if (!said.empty() || next == 0x100) gateway.say(setup(++next, "d"));
+    if (!said.empty() || next == 0x100) gateway.send(setup(++next, "d"));
     return server.ended();
   };
   until(answers_elsewhere, "the close of the silent one");
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
-  const auto again = [&] { return count(server.heard() + other.heard(), kId) > 0; };
+  const auto again = [&] { return count(server.received() + other.received(), kId) > 0; };
   until(again, "the set-up that got no answer");
 }
 
@@ -215,17 +215,17 @@
 TEST_F(Program, AfterAConnectionWasClosedFromHereANewOneOpensOnceTheServerKnows) {
   open_server();
   Peer gateway = caller(), other, fresh;
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "00000000000000aa");
-  gateway.say(setup(0xbb, "d"));
+  gateway.send(setup(0xbb, "d"));
   until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
-  other.say("{\"noise\n");
+  other.send("{\"noise\n");
   until([&] { return other.ended(); }, "the close of the spoilt one");
   const Time closed = loop.now();
   until([&] { return static_cast<bool>(fresh = listener.accept()); }, "the new one");
   EXPECT_GE(loop.now() - closed, milliseconds(200)) << "before the server can have known";
   // And a withdrawal is no silence: the connection that owes nothing any more stays.
-  gateway.say(binary(12, 0xbb, {{208, "\x10"}}) + binary(12, 0xaa, {{208, "\x10"}}));
+  gateway.send(binary(12, 0xbb, {{208, "\x10"}}) + binary(12, 0xaa, {{208, "\x10"}}));
   hears(server, line("end", "00000000000000aa", "\"why\":16"));
   settle(300);
   EXPECT_FALSE(server.ended());
@@ -236,7 +236,7 @@
   open_server();
   Peer gateway = caller();
   stand(gateway);
-  gateway.say(binary(12, 0xaa, {{208, "\x10"}}));
+  gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
   hears(gateway, binary(16, 0xaa));
   settle();
   server.reset();
@@ -263,29 +263,29 @@
   settle();
   const Offer offer{0xaa, "voice", "1", "d", loop.now() + milliseconds(5000)};
   servers.offer(id, offer);
-  until([&] { return count(server.heard(), "offer") == 1; }, "the first attempt");
+  until([&] { return count(server.received(), "offer") == 1; }, "the first attempt");
   servers.end(id, 0xaa, cause::kNormal);
   servers.end(id, 0xbb, cause::kNormal);
   servers.offer(id, offer);
-  until([&] { return count(server.heard(), "offer") == 2; }, "both attempts");
+  until([&] { return count(server.received(), "offer") == 2; }, "both attempts");
   server.reset();
   until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   hears(server, line("end", "00000000000000bb", "\"why\":16"));
   settle();
-  EXPECT_EQ(count(server.heard(), kId), 0u);
+  EXPECT_EQ(count(server.received(), kId), 0u);
 }
 
 TEST_F(Program, AnswersToWhatWasNeverAskedAreIgnored) {
   open_server();
   Peer gateway = caller();
-  gateway.say(setup(0xaa, "d"));
+  gateway.send(setup(0xaa, "d"));
   hears(server, "offer");
   const std::string answer = line("accept", kId, "\"desc\":\"s\"");
-  server.say(line("accept", "00000000000000ff", "\"desc\":\"s\"") + answer + answer);
+  server.send(line("accept", "00000000000000ff", "\"desc\":\"s\"") + answer + answer);
   hears(gateway, binary(9, 0xaa, {{210, "s"}}));
   settle();
-  EXPECT_EQ(gateway.heard(), binary(9, 0xaa, {{210, "s"}}));
-  EXPECT_EQ(count(server.heard(), "\"op\":\"end\""), 0u);
+  EXPECT_EQ(gateway.received(), binary(9, 0xaa, {{210, "s"}}));
+  EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u);
 }
 
 }  // namespace
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -66,21 +66,21 @@
   // The id under which the server knows the call of the last offer.
   std::string offered() {
     hears(server, "\"op\":\"offer\"");
-    const auto at = server.heard().rfind("\"op\":\"offer\",\"call\":\"");
-    return server.heard().substr(at + 21, 16);
+    const auto at = server.received().rfind("\"op\":\"offer\",\"call\":\"");
+    return server.received().substr(at + 21, 16);
   }
   // A call that stands and is acknowledged; the tag of this side.
   std::string stand(Peer& peer, TransportKind kind, std::string* call = nullptr) {
-    peer.say(invite(peer, kind));
+    peer.send(invite(peer, kind));
     const std::string id = offered();
     if (call) *call = id;
-    server.say(line("accept", id, "\"desc\":\"s=1\\r\\n\""));
+    server.send(line("accept", id, "\"desc\":\"s=1\\r\\n\""));
     hears(peer, "s=1\r\n");
-    const std::string tag = to_tag(peer.take());
-    peer.say(request(peer, kind, "ACK", 1, "a1", {}, {}, tag));
+    const std::string tag = to_tag(peer.take_received());
+    peer.send(request(peer, kind, "ACK", 1, "a1", {}, {}, tag));
     settle(5);
-    peer.take();
-    server.take();
+    peer.take_received();
+    server.take_received();
     return tag;
   }
 
@@ -115,16 +115,16 @@
     std::string told;
     until(
         [&] {
-          const std::string& heard = server.heard();
+          const std::string& heard = server.received();
           for (auto at = heard.find("\"op\":\"offer\",\"call\":\""); at != std::string::npos;
                at = heard.find("\"op\":\"offer\",\"call\":\"", at + 1)) {
             ++offers;
             const std::string call = heard.substr(at + 21, 16);
-            if (const auto reply = GetParam().reply(call); !reply.empty()) server.say(reply);
+            if (const auto reply = GetParam().reply(call); !reply.empty()) server.send(reply);
           }
-          server.take();
+          server.take_received();
           for (const auto& [bytes, meaning] : finals) {
-            if (peer.heard().find(bytes) != std::string::npos) told = meaning;
+            if (peer.received().find(bytes) != std::string::npos) told = meaning;
           }
           return !told.empty();
         },
@@ -139,12 +139,12 @@
   }
   Outcome by_binary() {
     Peer peer = caller();
-    peer.say(binary(1, 0xb1,
-                    {{180, GetParam().call_class},
-                     {182, "1000"},
-                     {188, "7f3a9c21e0b4d655"},
-                     {190, "dest:0"},
-                     {210, "v=0\r\n"}}));
+    peer.send(binary(1, 0xb1,
+                     {{180, GetParam().call_class},
+                      {182, "1000"},
+                      {188, "7f3a9c21e0b4d655"},
+                      {190, "dest:0"},
+                      {210, "v=0\r\n"}}));
     const auto release = [](char cause) {
       return binary(12, 0xb1, {{208, std::string(1, cause)}}).substr(2);
     };
@@ -156,13 +156,13 @@
   Outcome by_sip(TransportKind kind) {
     Peer peer = gateway(kind);
     const std::string call_class = std::string("X-Call-Class: ") + GetParam().call_class + "\r\n";
-    peer.say(invite(peer, kind, call_class + "Expires: 1\r\n"));
+    peer.send(invite(peer, kind, call_class + "Expires: 1\r\n"));
     const Outcome outcome = play(peer, {{"SIP/2.0 200", "stands"},
                                         {"SIP/2.0 503", "refused"},
                                         {"SIP/2.0 500", "failed"},
                                         {"SIP/2.0 504", "timed out"}});
-    EXPECT_EQ(peer.heard().find("SIP/2.0 100 Trying"), 0u);
-    const auto has = [&](const char* text) { return peer.heard().find(text) != std::string::npos; };
+    EXPECT_EQ(peer.received().find("SIP/2.0 100 Trying"), 0u);
+    const auto has = [&](const char* text) { return peer.received().find(text) != std::string::npos; };
     EXPECT_EQ(has("\r\n\r\ns=1\r\n"), outcome.caller == "stands");
     EXPECT_EQ(has("\r\nRetry-After: "), outcome.caller == "refused");
     return outcome;
@@ -196,29 +196,29 @@
 TEST_P(SipOver, ARetransmittedInviteNeverBecomesASecondAttempt) {
   Peer peer = gateway(GetParam());
   const std::string first = invite(peer, GetParam());
-  peer.say(first);
+  peer.send(first);
   const std::string call = offered();
-  peer.say(first);
-  until([&] { return count(peer.heard(), "SIP/2.0 100") == 2; }, "a second 100");
-  server.say(line("accept", call, "\"desc\":\"s\""));
+  peer.send(first);
+  until([&] { return count(peer.received(), "SIP/2.0 100") == 2; }, "a second 100");
+  server.send(line("accept", call, "\"desc\":\"s\""));
   hears(peer, "SIP/2.0 200");
-  peer.say(first);  // and after the answer
-  until([&] { return count(peer.heard(), "SIP/2.0 200") >= 2; }, "the answer again");
-  EXPECT_EQ(count(server.heard(), "offer"), 1u);
+  peer.send(first);  // and after the answer
+  until([&] { return count(peer.received(), "SIP/2.0 200") >= 2; }, "the answer again");
+  EXPECT_EQ(count(server.received(), "offer"), 1u);
   // The same call by another way is no second call either.
   Peer other = gateway(GetParam());
-  other.say(invite(other, GetParam()));
+  other.send(invite(other, GetParam()));
   hears(other, "SIP/2.0 482");
-  EXPECT_EQ(count(server.heard(), "offer"), 1u);
+  EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
 TEST_P(SipOver, TheAnswerIsRepeatedUntilTheAckAndWithoutOneTheCallIsEnded) {
   Peer peer = gateway(GetParam());
-  peer.say(invite(peer, GetParam()));
+  peer.send(invite(peer, GetParam()));
   const std::string call = offered();
-  server.say(line("accept", call, "\"desc\":\"s\""));
-  until([&] { return count(peer.heard(), "SIP/2.0 200") >= 3; }, "repeated answers");
-  if (GetParam() == TransportKind::tcp) peer.say("");  // the Contact of a TCP gateway here listens nowhere
+  server.send(line("accept", call, "\"desc\":\"s\""));
+  until([&] { return count(peer.received(), "SIP/2.0 200") >= 3; }, "repeated answers");
+  if (GetParam() == TransportKind::tcp) peer.send("");  // the Contact of a TCP gateway here listens nowhere
   hears(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
   if (GetParam() == TransportKind::udp) hears(peer, "BYE sip:");
 }
@@ -228,11 +228,11 @@
   std::string call;
   const std::string tag = stand(peer, GetParam(), &call);
   settle(80);
-  EXPECT_EQ(peer.heard(), "") << "the answer was repeated after its ACK";
-  peer.say(request(peer, GetParam(), "BYE", 2, "b1", {}, {}, tag));
+  EXPECT_EQ(peer.received(), "") << "the answer was repeated after its ACK";
+  peer.send(request(peer, GetParam(), "BYE", 2, "b1", {}, {}, tag));
   hears(peer, "SIP/2.0 200");
   hears(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
-  peer.say(request(peer, GetParam(), "BYE", 3, "b2", {}, {}, tag));
+  peer.send(request(peer, GetParam(), "BYE", 3, "b2", {}, {}, tag));
   hears(peer, "SIP/2.0 481");
 }
 
@@ -240,42 +240,42 @@
   Peer peer = gateway(TransportKind::udp);
   std::string call;
   const std::string tag = stand(peer, TransportKind::udp, &call);
-  server.say(line("end", call, "\"why\":16"));
-  until([&] { return count(peer.heard(), "BYE sip:gw@") >= 2; }, "a repeated BYE");
-  const std::string bye = peer.take();
+  server.send(line("end", call, "\"why\":16"));
+  until([&] { return count(peer.received(), "BYE sip:gw@") >= 2; }, "a repeated BYE");
+  const std::string bye = peer.take_received();
   EXPECT_NE(bye.find("From: <sip:7f@lab>;tag=" + tag), std::string::npos);
   EXPECT_NE(bye.find("To: <sip:gw@lab>;tag=g\r\n"), std::string::npos);
   const auto via = bye.find("Via: ");
-  peer.say("SIP/2.0 200 OK\r\n" + bye.substr(via, bye.find("Max-Forwards") - via) + "\r\n");
+  peer.send("SIP/2.0 200 OK\r\n" + bye.substr(via, bye.find("Max-Forwards") - via) + "\r\n");
   until([&] { return sip_front->idle(); }, "the end of the BYE");
 }
 
 // RFC 3261, section 15: the callee waits with its BYE until the dialog is confirmed.
 TEST_F(Sip, ACallOverBeforeItsAckIsEndedAfterIt) {
   Peer peer = gateway(TransportKind::udp);
-  peer.say(invite(peer, TransportKind::udp));
+  peer.send(invite(peer, TransportKind::udp));
   const std::string call = offered();
-  server.say(line("accept", call, "\"desc\":\"s\"") + line("end", call, "\"why\":41"));
+  server.send(line("accept", call, "\"desc\":\"s\"") + line("end", call, "\"why\":41"));
   hears(peer, "SIP/2.0 200");
   settle(5);
-  EXPECT_EQ(count(peer.heard(), "BYE sip:"), 0u);
-  peer.say(request(peer, TransportKind::udp, "ACK", 1, "a1", {}, {}, to_tag(peer.heard())));
+  EXPECT_EQ(count(peer.received(), "BYE sip:"), 0u);
+  peer.send(request(peer, TransportKind::udp, "ACK", 1, "a1", {}, {}, to_tag(peer.received())));
   hears(peer, "BYE sip:");
 }
 
 TEST_P(SipOver, ACancelEndsTheInviteAndTheAttempt) {
   Peer peer = gateway(GetParam());
-  peer.say(invite(peer, GetParam()));
+  peer.send(invite(peer, GetParam()));
   const std::string call = offered();
   std::string cancel = request(peer, GetParam(), "CANCEL", 1, "i1");
-  peer.say(cancel);
+  peer.send(cancel);
   hears(peer, "SIP/2.0 487");
-  EXPECT_NE(peer.heard().find("SIP/2.0 200"), std::string::npos);
+  EXPECT_NE(peer.received().find("SIP/2.0 200"), std::string::npos);
   hears(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
-  server.say(line("accept", call, "\"desc\":\"s\""));
+  server.send(line("accept", call, "\"desc\":\"s\""));
   settle();
-  EXPECT_EQ(count(peer.heard(), "\r\nCSeq: 1 INVITE"),
-            count(peer.heard(), "SIP/2.0 100") + count(peer.heard(), "SIP/2.0 487"));
+  EXPECT_EQ(count(peer.received(), "\r\nCSeq: 1 INVITE"),
+            count(peer.received(), "SIP/2.0 100") + count(peer.received(), "SIP/2.0 487"));
 }
 
 // 18.2.2: the final answer goes to where the Via says if the connection of the INVITE is gone.
@@ -285,47 +285,47 @@
   std::string first = invite(peer, TransportKind::tcp);
   const auto via = first.find(peer.address());
   first.replace(via, peer.address().size(), address_text(home.address()));
-  peer.say(first);
+  peer.send(first);
   const std::string call = offered();
   peer.reset();
   settle();
-  EXPECT_EQ(count(server.heard(), "\"op\":\"end\""), 0u) << "the drop gave the call up";
-  server.say(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
+  EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u) << "the drop gave the call up";
+  server.send(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
   Peer back;
   until([&] { return static_cast<bool>(back = home.accept()); }, "a connection to the Via's address");
   hears(back, "SIP/2.0 500");
-  back.say(request(back, TransportKind::tcp, "OPTIONS", 9, "o1"));  // it is a connection like any other
+  back.send(request(back, TransportKind::tcp, "OPTIONS", 9, "o1"));  // it is a connection like any other
   hears(back, "SIP/2.0 200");
-  EXPECT_EQ(count(back.heard(), "SIP/2.0 500"), 1u);
+  EXPECT_EQ(count(back.received(), "SIP/2.0 500"), 1u);
 }
 
 TEST_F(Sip, AFailureIsRepeatedOverUdpUntilItsAck) {
   Peer peer = gateway(TransportKind::udp);
-  peer.say(invite(peer, TransportKind::udp, "X-Call-Class: no-such\r\n"));
-  until([&] { return count(peer.heard(), "SIP/2.0 500") >= 2; }, "a repeated failure");
-  peer.say(request(peer, TransportKind::udp, "ACK", 1, "i1", {}, {}, "x"));
+  peer.send(invite(peer, TransportKind::udp, "X-Call-Class: no-such\r\n"));
+  until([&] { return count(peer.received(), "SIP/2.0 500") >= 2; }, "a repeated failure");
+  peer.send(request(peer, TransportKind::udp, "ACK", 1, "i1", {}, {}, "x"));
   settle(5);
-  peer.take();
+  peer.take_received();
   settle(100);
-  EXPECT_EQ(peer.heard(), "");
+  EXPECT_EQ(peer.received(), "");
 }
 
 TEST_F(Sip, WhatCannotBeServedIsAnsweredAsTheRfcAsks) {
   const auto kind = TransportKind::udp;
   Peer peer = gateway(kind);
   const auto answers = [&](const std::string& bytes, const std::string& status) {
-    peer.take();
-    peer.say(bytes);
+    peer.take_received();
+    peer.send(bytes);
     hears(peer, "SIP/2.0 " + status);
   };
   answers(request(peer, kind, "OPTIONS", 1, "1"), "200");
-  EXPECT_NE(peer.heard().find("Allow: INVITE, ACK, CANCEL, BYE, OPTIONS"), std::string::npos);
+  EXPECT_NE(peer.received().find("Allow: INVITE, ACK, CANCEL, BYE, OPTIONS"), std::string::npos);
   answers(request(peer, kind, "REGISTER", 1, "2"), "405");
   answers(request(peer, kind, "JUMP", 1, "3"), "501");
   answers(request(peer, kind, "BYE", 1, "4", {}, {}, "nobody"), "481");
   answers(request(peer, kind, "CANCEL", 1, "5"), "481");
   answers(request(peer, kind, "INVITE", 1, "6", "Require: 100rel\r\n"), "420");
-  EXPECT_NE(peer.heard().find("Unsupported: 100rel"), std::string::npos);
+  EXPECT_NE(peer.received().find("Unsupported: 100rel"), std::string::npos);
   answers(request(peer, kind, "INVITE", 1, "7", "Content-Type: text/plain\r\n", "x"), "415");
   const auto changed = [&](const std::string& branch, const std::string& from, const std::string& to) {
     std::string bytes = request(peer, kind, "INVITE", 1, branch);
@@ -335,7 +335,7 @@
   answers(changed("9", "SIP/2.0\r\n", "SIP/3.0\r\n"), "505");
   answers(changed("10", "CSeq: 1 INVITE", "CSeq: one"), "400");
   answers(changed("11", "sip:7f3a9c21e0b4d655@", "sip:"), "484");
-  EXPECT_EQ(server.heard(), "");
+  EXPECT_EQ(server.received(), "");
 }
 
 TEST_F(Sip, MessagesOnAStreamAreFramedByTheirLengthAndMalformedOnesCloseIt) {
@@ -343,11 +343,11 @@
   const std::string two = "\r\n\r\n" +
                           request(peer, TransportKind::tcp, "OPTIONS", 1, "1", {}, "body\r\n\r\n") +
                           request(peer, TransportKind::tcp, "OPTIONS", 2, "2");
-  peer.say(two.substr(0, two.size() - 9));
+  peer.send(two.substr(0, two.size() - 9));
   hears(peer, "CSeq: 1 OPTIONS");
-  peer.say(two.substr(two.size() - 9));
+  peer.send(two.substr(two.size() - 9));
   hears(peer, "CSeq: 2 OPTIONS");
-  peer.say("NONSENSE\r\n\r\n");
+  peer.send("NONSENSE\r\n\r\n");
   until([&] { return peer.ended(); }, "the close");
 }
 
@@ -357,13 +357,13 @@
 TEST_F(Sip, WhatIsNeverWholeOrReadableHarmsNoOther) {
   Peer half = gateway(TransportKind::tcp), silent = gateway(TransportKind::tcp);
   Peer good = gateway(TransportKind::tcp);
-  half.say(invite(half, TransportKind::tcp).substr(0, 100));
-  good.say(
+  half.send(invite(half, TransportKind::tcp).substr(0, 100));
+  good.send(
       request(good, TransportKind::tcp, "INVITE", 1, "i1", "Content-Type: application/sdp\r\n", "\xff\xfe"));
   hears(good, "SIP/2.0 500 ");
   until([&] { return half.ended() && silent.ended(); }, "the close of both");
   EXPECT_FALSE(good.ended());
-  EXPECT_EQ(server.heard(), "");
+  EXPECT_EQ(server.received(), "");
 }
 
 TEST_F(Sip, AQuietConnectionMakesRoomAndItsCallIsStillAnswered) {
@@ -376,13 +376,13 @@
   Peer silent = gateway(TransportKind::tcp);
   std::string first = invite(silent, TransportKind::tcp);
   first.replace(first.find(silent.address()), silent.address().size(), address_text(home.address()));
-  silent.say(first);
+  silent.send(first);
   const std::string call = offered();
   Peer next = gateway(TransportKind::tcp);
   until([&] { return silent.ended(); }, "the close of the quiet one");
-  next.say(request(next, TransportKind::tcp, "OPTIONS", 1, "o1"));
+  next.send(request(next, TransportKind::tcp, "OPTIONS", 1, "o1"));
   hears(next, "SIP/2.0 200");
-  server.say(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
+  server.send(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
   Peer back;
   until([&] { return static_cast<bool>(back = home.accept()); }, "a connection to the Via's address");
   hears(back, "SIP/2.0 500");
@@ -424,18 +424,18 @@
   auto session = sip::TlsSession::connecting(context.get(), "127.0.0.1");
   std::string heard;
   const auto talk = [&] {
-    peer.say(session->take_ciphertext());
-    EXPECT_TRUE(session->feed(peer.take()));
-    peer.say(session->take_ciphertext());
+    peer.send(session->take_ciphertext());
+    EXPECT_TRUE(session->feed(peer.take_received()));
+    peer.send(session->take_ciphertext());
     heard += session->take_plain();
   };
   session->write(invite(peer, TransportKind::tls));
-  until([&] { return talk(), server.heard().find("offer") != std::string::npos; }, "the offer");
-  server.say(line("accept", offered(), "\"desc\":\"s=1\\r\\n\""));
+  until([&] { return talk(), server.received().find("offer") != std::string::npos; }, "the offer");
+  server.send(line("accept", offered(), "\"desc\":\"s=1\\r\\n\""));
   until([&] { return talk(), heard.find("s=1\r\n") != std::string::npos; }, "the answer");
   EXPECT_NE(heard.find(";transport=tls>"), std::string::npos);
   session->write("NONSENSE\r\n\r\n");
-  peer.say(session->take_ciphertext());
+  peer.send(session->take_ciphertext());
   until([&] { return peer.ended(); }, "the close");
 
   sip::TlsContext ours(log, nullptr, file, file);
--- a/tests/stop_test.cpp
+++ b/tests/stop_test.cpp
@@ -49,7 +49,7 @@
     rest_ = whole.substr(whole.size() / 2);
   }
   void read() {
-    for (std::string bytes = left_ + peer_.take(); true;) {
+    for (std::string bytes = left_ + peer_.take_received(); true;) {
       const std::size_t length =
           bytes.size() < 2 ? 0 : std::size_t(std::uint8_t(bytes[0])) << 8 | std::uint8_t(bytes[1]);
       if (bytes.size() < 2 || bytes.size() < 2 + length) {
@@ -114,12 +114,12 @@
   const auto step = [&] {
     while (Peer more = listener.accept()) lanes.push_back(std::move(more));
     for (Peer& lane : lanes) {
-      const std::string said = lane.take();
+      const std::string said = lane.take_received();
       if (GetParam().servers_hang) continue;
       for (auto at = said.find("\"offer\""); at != std::string::npos; at = said.find("\"offer\"", at + 1)) {
         const std::string id = said.substr(at + 16, 16);
         if (id.size() == 16)
-          lane.say_if_open("{\"op\":\"accept\",\"call\":\"" + id + "\",\"with\":{},\"desc\":\"s\"}\n");
+          lane.send_if_open("{\"op\":\"accept\",\"call\":\"" + id + "\",\"with\":{},\"desc\":\"s\"}\n");
       }
     }
     for (BusyClient& client : clients) client.step(deadline);
