--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -770,7 +770,7 @@
   EXPECT_EQ(code, 2);
   start(config(), {"--sip", directory + "/sip.toml", "--certs", file});
   standin::Gateway gateway({tls_port, true, "sip.lab.example", there.root(), "voice", milliseconds(20000)});
-  until([&] { return gateway.connect(); }, "a certificate that can be trusted");
+  wait_until([&] { return gateway.connect(); }, "a certificate that can be trusted");
   const std::string first = gateway.certificate();
   const std::string status = certs({"status", "--json", "--file", file}, &code);
   EXPECT_EQ(code, 0);
@@ -779,7 +779,7 @@
   // Renewed by hand: the running process answers the challenge and serves the new one.
   certs({"renew", "sip", "--file", file}, &code);
   EXPECT_EQ(code, 0) << read_file(directory + "/certs-output") << log();
-  until([&] { return gateway.connect() && gateway.certificate() != first; }, "the new certificate");
+  wait_until([&] { return gateway.connect() && gateway.certificate() != first; }, "the new certificate");
   certs({"check", directory + "/certs/sip.current.pem"}, &code);
   EXPECT_EQ(code, 0);
   certs({"check", file, "--json"}, &code);
@@ -789,14 +789,14 @@
 
   acme::replace_file(file, "what = 1\n");
   ::kill(pid, SIGHUP);
-  until(
+  wait_until(
       [&] {
         return log().find("line 1: \"directory\" is missing; the old one goes on") != std::string::npos;
       },
       "the complaint");
   acme::replace_file(file, settings("[\"sip.lab.example\", \"two.lab.example\"]"));
   ::kill(pid, SIGHUP);
-  until(
+  wait_until(
       [&] {
         standin::Gateway other(
             {tls_port, true, "two.lab.example", there.root(), "voice", milliseconds(20000)});
--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -35,18 +35,18 @@
 
   void lose_the_first_attempt(Loss how) {
     planner->news({1, true, {host(listener, 0), host(second, 1)}});
-    until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-    until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+    wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+    wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
     settle(3);
     gateway = caller();
     gateway.send(setup(0xaa, "d"));
-    hears(server, "offer");
+    wait_to_receive(server, "offer");
     if (how == Loss::spoilt) server.send("{\"op\":\"accept\",\x01\n");
     if (how == Loss::reset) server.reset();
     if (how == Loss::closed) server.close();
-    if (how == Loss::spoilt) until([&] { return server.ended(); }, "the close of the spoilt connection");
+    if (how == Loss::spoilt) wait_until([&] { return server.ended(); }, "the close of the spoilt connection");
     lanes.clear();
-    until([&] { return offered() > 0; }, "the retry");
+    wait_until([&] { return offered() > 0; }, "the retry");
     for (Peer& lane : lanes) retried = count(lane.received(), "offer") > 0 ? &lane : retried;
   }
   // Set-ups that the first server has heard on the connections opened since the loss.
@@ -99,7 +99,7 @@
   }
   if (gave_up) return;
   retried->send(line("accept", kId, "\"desc\":\"s\""));
-  until([&] { return count(gateway.received(), kAnswered.substr(2)) == 1; }, "the answer of the retry");
+  wait_until([&] { return count(gateway.received(), kAnswered.substr(2)) == 1; }, "the answer of the retry");
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -115,11 +115,11 @@
 TEST_F(RetriedCall, AReleaseThatMayBeAnEarlierAttemptsEndsTheCallOnBothSides) {
   lose_the_first_attempt(Loss::spoilt);
   retried->send(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, kAnswered);
+  wait_to_receive(gateway, kAnswered);
   gateway.take_received();
   retried->send(line("end", kId, "\"why\":16"));
-  hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
-  hears(*retried, line("end", kId, "\"why\":16"));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(*retried, line("end", kId, "\"why\":16"));
 }
 
 // A call is answered and over before its answer was read: the release, said on another connection, comes
@@ -128,15 +128,15 @@
   open_server();
   gateway = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   gateway.send(setup(0xbb, "d"));
-  until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
+  wait_until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
   settle(3);
   other.send(line("end", kId, "\"why\":16"));
   settle();
   EXPECT_EQ(gateway.received(), "");
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, kAnswered + binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(gateway, kAnswered + binary(12, 0xaa, {{208, "\x10"}}));
 }
 
 // Its answer does not come in time any more: the caller hears of the end within 1 s of it, and the call is
@@ -144,12 +144,12 @@
 TEST_F(RetriedCall, ACallThatIsOverBeforeItsAnswerIsToldWithinASecond) {
   const HeldClock held;
   planner->news({1, true, {host(listener, 0), host(second, 1)}});
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   settle(3);
   gateway = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   moved_on += milliseconds(400);
   settle(3);
   server.send(line("end", kId, "\"why\":16"));
@@ -170,12 +170,12 @@
 TEST_F(RetriedCall, ALateResetOfASlowServerIsNotSentAgain) {
   const HeldClock held;
   planner->news({1, true, {host(listener, 0), host(second, 1)}});
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   settle(3);
   gateway = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   moved_on += milliseconds(900);
   settle(3);
   server.send(line("end", kId, "\"why\":41"));
@@ -183,23 +183,23 @@
   moved_on += milliseconds(600);
   settle(3);
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, kAnswered + binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  wait_to_receive(gateway, kAnswered + binary(12, 0xaa, {{208, std::string(1, 41)}}));
   EXPECT_EQ(other.received(), "");
 }
 
 // The attempt ends otherwise while the answer is waited for: still told, and still not sent again.
 TEST_F(RetriedCall, ACallThatIsOverBeforeItsAnswerIsNotSentAgainWhenItsConnectionBreaks) {
   planner->news({1, true, {host(listener, 0), host(second, 1)}});
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   settle(3);
   gateway = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   server.send(line("end", kId, "\"why\":16"));
   settle(3);
   server.reset();
-  hears(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
   moved_on += milliseconds(400);
   settle();
   EXPECT_EQ(offered() + count(other.received(), kId), 0u);
@@ -244,12 +244,12 @@
     if (Peer more = listener.accept()) lanes.push_back(std::move(more));
     return lanes.size();
   };
-  until([&] { return accepted() == 1; }, "the first connection");
+  wait_until([&] { return accepted() == 1; }, "the first connection");
   settle();
   const Time far = loop.now() + std::chrono::hours(1);
   servers.offer(id, {0xbb, "voice", "1", "d", far});
   servers.offer(id, {0xcc, "voice", "1", "d", far});
-  until([&] { return accepted() == 2; }, "the second connection");
+  wait_until([&] { return accepted() == 2; }, "the second connection");
   settle();
   servers.offer(id, {0xaa, "voice", "1", "d", far, 0});  // on the second: nothing is out there yet
   servers.offer(id, {0xdd, "voice", "1", "d", far});
@@ -281,12 +281,13 @@
   text.replace(text.find(no_guard), no_guard.size(), "\"release_guard\":300");
   start(text);
   Peer server, other;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "its connection to the other server");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); },
+             "its connection to the other server");
   serves();
   Peer gateway = Peer::connect(address);
   gateway.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   server.send("{\"op\":\"accept\",\x01\n");
   std::list<Peer> lanes;
   Peer* retried = nullptr;
@@ -295,11 +296,11 @@
     for (Peer& lane : lanes) retried = count(lane.received(), "offer") > 0 ? &lane : retried;
     return retried != nullptr;
   };
-  until(retry, "the retry");
+  wait_until(retry, "the retry");
   retried->send("{\"op\":\"end\",\"call\":\"" + kId + "\",\"with\":{},\"why\":16}\n");
   retried->send("{\"op\":\"accept\",\"call\":\"" + kId + "\",\"with\":{},\"desc\":\"s\"}\n");
-  until([&] { return !gateway.received().empty() || !other.received().empty(); },
-        "an answer or an attempt elsewhere");
+  wait_until([&] { return !gateway.received().empty() || !other.received().empty(); },
+             "an answer or an attempt elsewhere");
   EXPECT_EQ(other.received(), "") << "an attempt elsewhere while the retry is out";
   EXPECT_EQ(gateway.received(), kAnswered);
 }
--- a/tests/duty_clocks_test.cpp
+++ b/tests/duty_clocks_test.cpp
@@ -27,7 +27,7 @@
       clock_of(voter(i));
       start_voter(i);
     }
-    until([&] { return !leader().empty(); }, "a leader");
+    wait_until([&] { return !leader().empty(); }, "a leader");
     for (const char* const who : {"h1", "h2"}) {
       clock_of(who);
       start_holder(who);
@@ -54,7 +54,7 @@
   holds("h2", token);
   clock_of("h1", -2 * kHour);  // before its last life
   start_holder("h1");
-  until(
+  wait_until(
       [&] {
         return ask({"fleet", "sessions", "--json"}).find("\"controller\":\"h1\"") != std::string::npos;
       },
@@ -82,7 +82,8 @@
   more_work(50);
   cut_off("h1", true);
   EXPECT_EQ(successor_of("h1"), "h2");
-  until([&] { return !interleaved(written()).empty(); }, "an effect of the old holder after its successor's");
+  wait_until([&] { return !interleaved(written()).empty(); },
+             "an effect of the old holder after its successor's");
 }
 
 }  // namespace
--- a/tests/duty_faults_test.cpp
+++ b/tests/duty_faults_test.cpp
@@ -25,7 +25,7 @@
     if (!gateway) gateway = Peer::connect(callers(who[0] - 'a'));
     const CallId id = ++last_call_;
     gateway.send(setup(id, "d"));
-    hears(gateway, binary(9, id).substr(2));
+    wait_to_receive(gateway, binary(9, id).substr(2));
     gateway.take_received();
   }
   std::map<std::string, Peer> gateways_;
@@ -69,7 +69,7 @@
 TEST_F(DutyFaults, OfTwelveThatAskAtOnceOneHoldsAndEachDeathIsFollowedByOne) {
   start_fleet();
   for (int i = 1; i <= 12; ++i) start_holder("h" + std::to_string(i));
-  until([&] { return !written().empty(); }, "a holder");
+  wait_until([&] { return !written().empty(); }, "a holder");
   for (int deaths = 0; deaths < 4; ++deaths) {
     const std::string holder = written().back().who;
     kill(holder);
@@ -87,15 +87,16 @@
   holds("h1");
   const std::string first = leader();
   Peer server;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "a connection to the setup server");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); },
+             "a connection to the setup server");
   fill_disk_of(first);
-  until([&] { return stands(first, "failed"); }, "the failure told");
-  until([&] { return leader() != first && !leader().empty(); }, "another leader");
+  wait_until([&] { return stands(first, "failed"); }, "the failure told");
+  wait_until([&] { return leader() != first && !leader().empty(); }, "another leader");
   more_work(400);  // for longer than two leases
   EXPECT_EQ(holdings(), 1u);
   Peer gateway = Peer::connect(callers(first[0] - 'a'));
   gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
-  hears(gateway, binary(53, 7).substr(2));
+  wait_to_receive(gateway, binary(53, 7).substr(2));
   empty_disk_of(first);  // there is room again: no restart is needed
   votes(first);
   more_work(20);
@@ -126,9 +127,9 @@
     };
     gateways_.erase(out);
     signal(out, SIGTERM);
-    until([&] { return others() || gone(out); }, "its end");
+    wait_until([&] { return others() || gone(out); }, "its end");
     start_voter(i);
-    until([&] { return others() || stands(out, "follower") || stands(out, "leader"); }, "its vote");
+    wait_until([&] { return others() || stands(out, "follower") || stands(out, "leader"); }, "its vote");
     serves(out);
     call(out);
   }
@@ -147,16 +148,20 @@
   holds("h1");
   const std::string first = leader();
   signal(first, SIGTERM);
-  until([&] { return gone(first); }, "its end");
-  until([&] { return leader() != first && !leader().empty(); }, "another leader");
+  wait_until([&] { return gone(first); }, "its end");
+  wait_until([&] { return leader() != first && !leader().empty(); }, "another leader");
   more_work(20);
   const std::string second = leader();
   start_voter(first[0] - 'a');
   votes(first);
   int code = 0;
   std::string said;
-  until([&] { return said = ask({"fleet", "lead", first}, &code), code == 0; }, "being handed over by hand");
-  until([&] { return leader() == first; }, "the first leading again");
+  wait_until(
+      [&] {
+        return said = ask({"fleet", "lead", first}, &code), code == 0;
+      },
+      "being handed over by hand");
+  wait_until([&] { return leader() == first; }, "the first leading again");
   more_work(20);
   EXPECT_EQ(holdings(), 1u) << "the duty changed hands";
   ask({"fleet", "lead", "nobody"}, &code);
@@ -189,7 +194,7 @@
   votes("d");
   int code = 0;
   std::string said;
-  until(
+  wait_until(
       [&] {
         return (said = ask({"fleet", "remove", "d"}, &code)).find("would come back") != std::string::npos;
       },
@@ -199,11 +204,11 @@
   for (int i = 0; i < 3; ++i) restart(i);
   for (const char* const each : {"d", "e"}) {
     kill(each);
-    until([&] { return ask({"fleet", "remove", each}, &code), code == 0; }, "its being taken out");
+    wait_until([&] { return ask({"fleet", "remove", each}, &code), code == 0; }, "its being taken out");
   }
   kill("b");  // two of three are there
   more_work(20);
-  until(
+  wait_until(
       [&] {
         return ask({"fleet", "sessions", "--json"}).find("\"controller\":\"h1\"") != std::string::npos;
       },
--- a/tests/duty_history_test.cpp
+++ b/tests/duty_history_test.cpp
@@ -38,7 +38,7 @@
   // Until so many more operations have begun, with an answer or without.
   void record(std::size_t operations) {
     const std::size_t before = history_.operations().size();
-    until(
+    wait_until(
         [&] {
           for (Client& client : clients_) client.recorder->step([] { return steady_time(); });
           loop_.pass(milliseconds(2));
@@ -51,7 +51,7 @@
     Client& client = clients_[0];
     for (unsigned key = 0; key < faults::Recorder::kKeys; ++key) {
       const std::size_t answered = history_.answered();
-      until(
+      wait_until(
           [&] {
             if (!client.recorder->busy()) {
               if (history_.answered() > answered) return true;
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -215,7 +215,7 @@
   signal("h1", SIGSTOP);
   EXPECT_EQ(successor_of("h1"), "h2");
   signal("h1", SIGCONT);
-  until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its own end told");
+  wait_until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its own end told");
   signal("h2", SIGTERM);
   holds("h1", written().back().token);
   EXPECT_EQ(interleaved(written()), "");
@@ -226,7 +226,7 @@
   cut_off("h1", true);
   EXPECT_EQ(successor_of("h1"), "h2");
   cut_off("h1", false);  // what was held arrives late: renewals of a session that is over
-  until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its end");
+  wait_until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its end");
   EXPECT_EQ(interleaved(written()), "");
 }
 
@@ -252,10 +252,10 @@
   start_all();
   const std::string first = leader();
   kill(first);
-  until([&] { return leader() != first && !leader().empty(); }, "another leader");
+  wait_until([&] { return leader() != first && !leader().empty(); }, "another leader");
   const auto token = written().back().token;
   const std::size_t before = written().size();
-  until([&] { return written().size() > before + 100; }, "the work going on");
+  wait_until([&] { return written().size() > before + 100; }, "the work going on");
   EXPECT_EQ(written().back().token, token) << "the duty changed hands although its holder lived";
 }
 
@@ -264,21 +264,22 @@
   start_all();
   kill(voter(0));
   kill(voter(1));
-  until([&] { return log_of("h1").find("event=ended") != std::string::npos; }, "the holder's end");
+  wait_until([&] { return log_of("h1").find("event=ended") != std::string::npos; }, "the holder's end");
   const auto token = written().back().token;
   serves("c");
   Peer server;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "a connection to the setup server");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); },
+             "a connection to the setup server");
   Peer gateway = Peer::connect(callers(2));
   gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
-  hears(gateway, binary(53, 7, {{208, "\x01"}}));
+  wait_to_receive(gateway, binary(53, 7, {{208, "\x01"}}));
   int code = 0;
   ask({"duty", "list"}, &code);
   EXPECT_EQ(code, 1);
   EXPECT_EQ(written().back().token, token);
   start_voter(0);
   start_voter(1);
-  until([&] { return written().back().token > token; }, "the duty held again");
+  wait_until([&] { return written().back().token > token; }, "the duty held again");
   EXPECT_EQ(interleaved(written()), "");
 }
 
@@ -302,7 +303,7 @@
   std::filesystem::remove_all(path);
   std::filesystem::create_directory(path);
   start_voter(2);
-  until(
+  wait_until(
       [&] {
         return ask({"fleet", "status", "--json"}).find("\"voter\":\"c\",\"state\":\"follower\"") !=
                std::string::npos;
@@ -328,11 +329,11 @@
   ask({"duty", "move", "work", "h2"});
   holds("h2");
   ask({"duty", "pause", "work"});
-  until([&] { return log_of("h2").find("paused by an operator") != std::string::npos; }, "the pause");
-  until([&] { return ask({"duty", "list"}).find("paused") != std::string::npos; }, "the list");
+  wait_until([&] { return log_of("h2").find("paused by an operator") != std::string::npos; }, "the pause");
+  wait_until([&] { return ask({"duty", "list"}).find("paused") != std::string::npos; }, "the list");
   const auto token = written().back().token;
   ask({"duty", "resume", "work"});
-  until([&] { return written().back().token > token; }, "the duty held again");
+  wait_until([&] { return written().back().token > token; }, "the duty held again");
   EXPECT_EQ(interleaved(written()), "");
   int code = 0;
   EXPECT_NE(ask({"duty", "move", "other", "h2"}, &code).find("no duty of that name"), std::string::npos);
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -74,7 +74,7 @@
   settle(3);
   open_server();
   late.send(setup(0xaa, "d"));
-  hears(server, kId);
+  wait_to_receive(server, kId);
   EXPECT_EQ(count(server.received(), "offer"), 1u);
   server.reset();
   settle(3);  // the guard holds: the clock stands still
@@ -82,7 +82,7 @@
   late.close();
   settle(3);
   moved_on += std::chrono::seconds(1);
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   settle();
   EXPECT_EQ(server.received(), "");
 }
@@ -93,7 +93,7 @@
   Peer gateway = caller_before_the_connection("3000");
   moved_on += milliseconds(3001);
   const std::string failed = binary(12, 0xaa, {{208, "\x12"}});
-  hears(gateway, failed);
+  wait_to_receive(gateway, failed);
   settle();
   EXPECT_EQ(gateway.received(), failed) << "one final answer";
   EXPECT_EQ(listener.accept().received(), "");
@@ -112,7 +112,7 @@
   server = listener.accept();
   Peer other = caller();
   other.send(setup(0xbb, "d") + binary(12, 0xbb, {{208, "\x10"}}));
-  hears(other, binary(16, 0xbb));
+  wait_to_receive(other, binary(16, 0xbb));
   settle();
   EXPECT_EQ(server.received(), "");
 }
@@ -123,14 +123,14 @@
   open_server();
   Peer gateway = caller(), again = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   gateway.close();
   settle();
   again.send(setup(0xaa, "d"));
-  hears(again, binary(12, 0xaa, {{208, std::string(1, 42)}, {192, "1000"}}));
+  wait_to_receive(again, binary(12, 0xaa, {{208, std::string(1, 42)}, {192, "1000"}}));
   EXPECT_TRUE(front->idle());
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(server, line("end", kId, "\"why\":16"));
+  wait_to_receive(server, line("end", kId, "\"why\":16"));
   EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
@@ -151,7 +151,7 @@
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
   servers.keep(id);
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
   settle();
   const Time far = loop.now() + std::chrono::hours(1);
   CallId last = 0;
@@ -171,7 +171,7 @@
     for (Peer& lane : lanes) all += lane.take_received();
     return count(all, "}\n") == last;  // all but the one taken back
   };
-  until(whole, "what is left");
+  wait_until(whole, "what is left");
   EXPECT_EQ(count(all, call_text(last)), 0u);
   EXPECT_EQ(count(all, "\"desc\":\"last\""), 1u);
 }
@@ -193,7 +193,7 @@
   settle(3);
   ASSERT_FALSE(stream.interest() & POLLIN);
   other.half_close();
-  until([&] { return owner.ended; }, "the end");
+  wait_until([&] { return owner.ended; }, "the end");
 }
 
 // ---- Connections that are closed for others
@@ -206,16 +206,16 @@
   front->limit(2, 1 << 20);
   Peer first = caller(), second = caller();
   first.send(kTest);
-  hears(first, kPassed);
+  wait_to_receive(first, kPassed);
   settle(3);
   second.send(kTest);
-  hears(second, kPassed);
+  wait_to_receive(second, kPassed);
   first.send(setup(0xaa, "d"));
   Peer third = caller();
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(first, answered(0xaa));
-  until([&] { return second.ended(); }, "room for the third");
+  wait_to_receive(first, answered(0xaa));
+  wait_until([&] { return second.ended(); }, "room for the third");
 }
 
 // Out of descriptors an idle caller makes room for the next one at once, not after the acceptor's rest: the
@@ -227,14 +227,14 @@
   for (int i = 0; i < 3; ++i) {
     idle.push_back(caller());
     idle.back().send(kTest);
-    hears(idle.back(), kPassed);
+    wait_to_receive(idle.back(), kPassed);
   }
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d"));
   const NoDescriptorLeft none;
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, answered(0xaa));
+  wait_to_receive(gateway, answered(0xaa));
 }
 
 // A flood of new connections, each with a set-up, far beyond the limit: each is answered.
@@ -264,7 +264,7 @@
              1;
     });
   };
-  until(all_answered, "an answer for each");
+  wait_until(all_answered, "an answer for each");
 }
 
 // The same for one that has been quiet for too long: its set-up arrives after the poll and before the sweep.
@@ -273,13 +273,13 @@
   open_server();
   Peer gateway = caller();
   gateway.send(kTest);
-  hears(gateway, kPassed);
+  wait_to_receive(gateway, kPassed);
   settle(3);
   loop.at(loop.now() + milliseconds(1), [&] { gateway.send(setup(0xaa, "d")); });
   moved_on += std::chrono::seconds(11);
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, answered(0xaa));
+  wait_to_receive(gateway, answered(0xaa));
 }
 
 // A set-up of which half has come is taken when the rest comes: neither a drain that empties connections nor
@@ -299,9 +299,9 @@
   settle();
   ASSERT_FALSE(gateway.ended());
   gateway.send(whole.substr(20));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, answered(0xaa));
+  wait_to_receive(gateway, answered(0xaa));
   settle();
   EXPECT_TRUE(front->idle());
 }
@@ -315,16 +315,16 @@
   stand(gateway);
   server.reset();
   // The loss is seen, and in the same pass a new one set out, which the kernel has up before the next.
-  until([this] { return planner->targets_disabled() == 1; }, "the loss");
+  wait_until([this] { return planner->targets_disabled() == 1; }, "the loss");
   Peer fresh = listener.accept_next();
   fresh.reset();
   settle();
   moved_on += milliseconds(500);
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   settle();
   EXPECT_EQ(gateway.received(), "");
   server.send(line("end", kId, "\"why\":16"));
-  hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
 // Without a socket of its own to be had nothing is known of the server: nobody is dead, and what waits for a
@@ -339,8 +339,8 @@
   settle();
   EXPECT_EQ(owner.dead + owner.broken, 0);
   none.reset();
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
-  hears(server, kId);
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
+  wait_to_receive(server, kId);
 }
 
 // What is to be released at a server is said before a stop ends, although its connection has just broken.
@@ -353,8 +353,8 @@
   gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
   loop.pass(milliseconds(1));
   EXPECT_FALSE(planner->idle());
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
-  hears(server, line("end", kId, "\"why\":16"));
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+  wait_to_receive(server, line("end", kId, "\"why\":16"));
   EXPECT_TRUE(planner->idle());
 }
 
@@ -381,11 +381,11 @@
   open_server();
   Peer gateway = caller(), other;
   gateway.send(setup(0xaa, "d"));
-  hears(server, kId);
+  wait_to_receive(server, kId);
   gateway.send(setup(0xbb, "d"));
-  until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
+  wait_until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, answered(0xaa));
+  wait_to_receive(gateway, answered(0xaa));
   Peer fresh;
   for (int half_seconds = 0; half_seconds < 16 && !fresh; ++half_seconds) {
     other.send("{\"op\":\"group\",\"call\":\"\",\"with\":{\"load\":\"queue:0\"}}\n");
@@ -395,7 +395,7 @@
   }
   ASSERT_TRUE(static_cast<bool>(fresh)) << "no connection was opened within 8 s";
   fresh.send(line("end", kId, "\"why\":16"));
-  hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
 // The same where new connections do not come up: the caller hears within 8 s.
@@ -404,11 +404,11 @@
   open_server();
   Peer gateway = caller(), other;
   gateway.send(setup(0xaa, "d"));
-  hears(server, kId);
+  wait_to_receive(server, kId);
   gateway.send(setup(0xbb, "d"));
-  until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
+  wait_until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, answered(0xaa));
+  wait_to_receive(gateway, answered(0xaa));
   const FullBacklog full(listener.address());
   for (int half_seconds = 0; half_seconds < 16; ++half_seconds) {
     other.send("{\"op\":\"group\",\"call\":\"\",\"with\":{\"load\":\"queue:0\"}}\n");
@@ -434,7 +434,7 @@
   EXPECT_EQ(gateway.received(), "");
   EXPECT_LE(tests.size(), 2u);
   server.send(line("end", kId, "\"why\":16"));
-  hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
 // The answer and the time-out fall due in one pass: what had come by then counts, and there is one answer.
@@ -443,7 +443,7 @@
   open_server();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d", "3000"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
   moved_on += milliseconds(3001);
   settle();
@@ -461,13 +461,13 @@
   Peer gateway = caller();
   stand(gateway);
   gateway.send(setup(0xbb, "d"));
-  hears(server, "00000000000000bb");
+  wait_to_receive(server, "00000000000000bb");
   planner->news({9, true, {host(second, 1)}});
   Peer other;
-  until([&] { return static_cast<bool>(other = second.accept()); }, "a connection to the other");
-  hears(other, "00000000000000bb");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); }, "a connection to the other");
+  wait_to_receive(other, "00000000000000bb");
   other.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
-  hears(gateway, answered(0xbb));
+  wait_to_receive(gateway, answered(0xbb));
   settle();
   EXPECT_EQ(gateway.received(), binary(12, 0xaa, {{208, std::string(1, 41)}}) + answered(0xbb));
 }
@@ -479,16 +479,16 @@
   const CoordinatorClient coordinator(loop, log, at.address(), 4,
                                       [&](const FleetNews& news) { told = news.index; });
   Peer first, second, third;
-  until([&] { return static_cast<bool>(first = at.accept()); }, "the first");
-  hears(first, "Last-Event-ID: 4\r\n");
+  wait_until([&] { return static_cast<bool>(first = at.accept()); }, "the first");
+  wait_to_receive(first, "Last-Event-ID: 4\r\n");
   moved_on += milliseconds(2300);
-  until([&] { return static_cast<bool>(second = at.accept()); }, "the second");
-  hears(second, "Last-Event-ID: 4\r\n");
+  wait_until([&] { return static_cast<bool>(second = at.accept()); }, "the second");
+  wait_to_receive(second, "Last-Event-ID: 4\r\n");
   second.send("HTTP/1.1 200 OK\r\n\r\ndata: {\"index\":5,\"endpoints\":{\"hosts\":[]}}\n\n");
-  until([&] { return told == 5; }, "event 5");
+  wait_until([&] { return told == 5; }, "event 5");
   moved_on += milliseconds(2300);
-  until([&] { return static_cast<bool>(third = at.accept()); }, "the third");
-  hears(third, "Last-Event-ID: 5\r\n");
+  wait_until([&] { return static_cast<bool>(third = at.accept()); }, "the third");
+  wait_to_receive(third, "Last-Event-ID: 5\r\n");
 }
 
 // A response that comes a byte a second, its head or an event of its body, is given up in time: what
@@ -503,8 +503,8 @@
     const CoordinatorClient coordinator(loop, log, at.address(), 4,
                                         [&](const FleetNews& news) { told = news.index; });
     Peer first, second;
-    until([&] { return static_cast<bool>(first = at.accept()); }, "the first");
-    hears(first, "Last-Event-ID: 4\r\n");
+    wait_until([&] { return static_cast<bool>(first = at.accept()); }, "the first");
+    wait_to_receive(first, "Last-Event-ID: 4\r\n");
     if (whole_head) first.send(head);
     const std::string trickled = whole_head ? event : head + event;
     for (std::size_t i = 0; i < 5 && !first.ended(); ++i) {
@@ -513,9 +513,9 @@
       moved_on += milliseconds(1000);
       settle(3);
     }
-    until([&] { return static_cast<bool>(second = at.accept()); }, "the second");
+    wait_until([&] { return static_cast<bool>(second = at.accept()); }, "the second");
     second.send(head + event);
-    until([&] { return told == 5; }, "event 5");
+    wait_until([&] { return told == 5; }, "event 5");
   }
 }
 
@@ -527,7 +527,7 @@
   const CoordinatorClient coordinator(loop, log, at.address(), 4,
                                       [&](const FleetNews& news) { told = news.index; });
   Peer stream;
-  until([&] { return static_cast<bool>(stream = at.accept()); }, "the stream");
+  wait_until([&] { return static_cast<bool>(stream = at.accept()); }, "the stream");
   for (const char* part :
        {"HTTP/1.1 200 OK\r\n", "\r\n:", " \ndata: {\"index\":5,\"endpoints\":", "{\"hosts\":[]}}\n\n"}) {
     stream.send(part);
@@ -548,7 +548,7 @@
   for (int i = 0; i < 5; ++i) {
     idle.push_back(caller());
     idle.back().send(kTest);
-    hears(idle.back(), kPassed);
+    wait_to_receive(idle.back(), kPassed);
   }
   struct Nobody : Stream::Owner {
     void on_data(Stream&) override {}
@@ -559,7 +559,7 @@
   none.give_back();
   EXPECT_GE(watch.descriptor(), 0);
   const auto gave = [](Peer& each) { return each.ended(); };
-  until([&] { return std::any_of(idle.begin(), idle.end(), gave); }, "the end of one of them");
+  wait_until([&] { return std::any_of(idle.begin(), idle.end(), gave); }, "the end of one of them");
 }
 
 }  // namespace
--- a/tests/fleet_process.hpp
+++ b/tests/fleet_process.hpp
@@ -92,7 +92,7 @@
   // What else a serving process is started with.
   virtual std::vector<std::string> options_of(const std::string&) { return {}; }
   void serves(const std::string& name) {
-    until([&] { return log_of(name).find("serving at") != std::string::npos; }, "the start");
+    wait_until([&] { return log_of(name).find("serving at") != std::string::npos; }, "the start");
   }
   sockaddr_in callers(int number) {
     if (callers_.count(number) == 0) callers_[number] = free_address();
@@ -101,7 +101,7 @@
   void start_fleet() {
     for (int i = 0; i < kVoters; ++i) init(i);
     for (int i = 0; i < kVoters; ++i) start_voter(i);
-    until([&] { return !leader().empty(); }, "a leader");
+    wait_until([&] { return !leader().empty(); }, "a leader");
   }
   // Holds the duty "work" and writes its token into the one file of all, again and again.
   void start_holder(const std::string& name) {
@@ -137,8 +137,8 @@
            std::string::npos;
   }
   void votes(const std::string& name) {
-    until([&] { return stands(name, "follower") || stands(name, "leader"); },
-          ("the vote of " + name).c_str());
+    wait_until([&] { return stands(name, "follower") || stands(name, "leader"); },
+               ("the vote of " + name).c_str());
   }
   std::string log_of(const std::string& name) const { return read_file(directory + "/" + name + ".log"); }
 
@@ -165,7 +165,7 @@
     return {};
   }
   void holds(const std::string& who, unsigned long long token_over = 0) {
-    until(
+    wait_until(
         [&] {
           const auto all = written();
           return !all.empty() && all.back().who == who && all.back().token > token_over;
@@ -176,13 +176,13 @@
   }
   void more_work(std::size_t effects) {
     const std::size_t before = written().size();
-    until([&] { return written().size() > before + effects; }, "the work going on");
+    wait_until([&] { return written().size() > before + effects; }, "the work going on");
   }
   // Somebody else than `who` has it, under a newer token.
   std::string successor_of(const std::string& who) {
     std::string now;
     const auto before = written().back().token;
-    until(
+    wait_until(
         [&] {
           const auto all = written();
           if (all.back().who == who || all.back().token <= before) return false;
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -409,7 +409,7 @@
   std::string ask(const std::string& command) {
     operator_.send(command + "\n");
     std::string reply;
-    until([&] { return operator_.received().find('\n') != std::string::npos; }, command.c_str());
+    wait_until([&] { return operator_.received().find('\n') != std::string::npos; }, command.c_str());
     return operator_.take_received();
   }
   std::string add(const std::string& rest) {
@@ -439,11 +439,11 @@
   gateway.send(setup(0xaa, "d"));
   udp.send(invite(udp, "UDP", "u1"));
   tcp.send(invite(tcp, "TCP", "t1"));
-  hears(udp, "SIP/2.0 503");
-  hears(tcp, "SIP/2.0 503");
-  hears(udp, "Retry-After: ");
-  hears(tcp, "Retry-After: ");
-  until([&] { return gateway.received().size() >= 20; }, "the refusal");
+  wait_to_receive(udp, "SIP/2.0 503");
+  wait_to_receive(tcp, "SIP/2.0 503");
+  wait_to_receive(udp, "Retry-After: ");
+  wait_to_receive(tcp, "Retry-After: ");
+  wait_until([&] { return gateway.received().size() >= 20; }, "the refusal");
   const std::string told = gateway.take_received();
   EXPECT_EQ(told[2], 12) << "no release";
   EXPECT_NE(told.find(std::string("\xd0\x00\x01", 3) + static_cast<char>(42)), std::string::npos);
@@ -458,24 +458,24 @@
   EXPECT_NE(ask(R"({"v":1,"op":"gap.lift","id":"g","who":"ops"})").find("\"lifted\":true"),
             std::string::npos);
   gateway.send(setup(0xbb, "d"));
-  hears(server, "00000000000000bb");
+  wait_to_receive(server, "00000000000000bb");
 }
 
 // A call that waits for a server falls under a gap announced meanwhile; one whose attempt is out does not.
 TEST_F(GapCore, HeldCallsFallUnderAGapAnnouncedWhileTheyWait) {
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
+  wait_to_receive(server, "00000000000000aa");
   planner->news({2, true, {host(listener, 0, Availability::draining)}});
   gateway.send(setup(0xbb, "d"));
   settle();
   EXPECT_EQ(gateway.received(), "") << "it is not held: this test shows nothing";
   EXPECT_NE(add(R"("number":"7f*","control":{"block":true})").find("\"taken\":1"), std::string::npos);
-  until([&] { return !gateway.received().empty(); }, "the refusal");
+  wait_until([&] { return !gateway.received().empty(); }, "the refusal");
   EXPECT_EQ(count(gateway.received(), std::string(7, '\0') + '\xbb'), 1u);
   EXPECT_EQ(count(gateway.received(), std::string(7, '\0') + '\xaa'), 0u);
   server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   EXPECT_EQ(planner->owed(), 0u);
 }
 
@@ -513,9 +513,9 @@
   settle();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
+  wait_to_receive(server, "00000000000000aa");
   half.send("ft\",\"id\":\"r1\"}\n");
-  hears(half, "\"lifted\":true");
+  wait_to_receive(half, "\"lifted\":true");
 }
 
 // It ends while answers wait for clients that have gone: closing them is no loss of theirs to be told of.
@@ -536,7 +536,7 @@
   operation.reset();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
+  wait_to_receive(server, "00000000000000aa");
 }
 
 // A new instance takes up what was in force, and what was lifted stays lifted, before it takes calls.
@@ -565,7 +565,7 @@
                                                       "\"\ndirectory = \"" + directory + "/control\"\n");
   start(config(), {"--control", directory + "/control.toml"});
   Peer server;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
   serves();
   const auto command = [&](std::vector<std::string> words, int wanted) {
     words.insert(words.begin(), "gap");
@@ -576,9 +576,9 @@
   command({"add", "nine", "--number", "7f3*", "--interval-ms", "60000", "--why", "exam", "--who", "ana"}, 0);
   Peer gateway = Peer::connect(address);
   gateway.send(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
+  wait_to_receive(server, "00000000000000aa");
   gateway.send(setup(0xbb, "d"));
-  hears(gateway, std::string(7, '\0') + '\xbb');
+  wait_to_receive(gateway, std::string(7, '\0') + '\xbb');
   EXPECT_NE(command({"list"}, 0).find("one every 60000 ms"), std::string::npos);
   EXPECT_NE(command({"test", "--number", "7f3b"}, 0).find("refused by nine"), std::string::npos);
   EXPECT_NE(command({"suggest"}, 0).find("7f3a9c21e0b4d655"), std::string::npos);
@@ -586,7 +586,7 @@
   EXPECT_NE(command({"watch", "--times", "1"}, 0).find("nine"), std::string::npos);
   command({"lift", "nine"}, 0);
   gateway.send(setup(0xcc, "d"));
-  hears(server, "00000000000000cc");
+  wait_to_receive(server, "00000000000000cc");
   ::kill(pid, SIGKILL);
   exit_code();
   EXPECT_NE(command({"list"}, 1).find("nobody answers"), std::string::npos);
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -17,7 +17,7 @@
     planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
     front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
     planners->strays_to(*front);
-    until([&] { return planners->ready(); }, "the link");
+    wait_until([&] { return planners->ready(); }, "the link");
   }
   Peer standing() {
     Peer gateway = caller();
@@ -32,11 +32,11 @@
 TEST_F(Levels, ACallGoesThroughBothAndItsEndComesBack) {
   Peer gateway = standing();
   server.send(line("end", "00000000000000aa", "\"why\":16"));
-  hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
   gateway.send(setup(0xbb, "d"));
-  hears(server, "00000000000000bb");
+  wait_to_receive(server, "00000000000000bb");
   gateway.send(binary(12, 0xbb, {{208, "\x10"}}));
-  hears(server, "{\"op\":\"end\",\"call\":\"00000000000000bb\"");
+  wait_to_receive(server, "{\"op\":\"end\",\"call\":\"00000000000000bb\"");
 }
 
 // A lost planner leaves each call one final answer, and what it had out is given up.
@@ -44,46 +44,46 @@
   Peer gateway = standing();
   const sockaddr_in address = port->address();
   gateway.send(setup(0xbb, "d"));
-  hears(server, "00000000000000bb");
+  wait_to_receive(server, "00000000000000bb");
   port.reset();
   const std::string failed = binary(12, 0xbb, {{208, std::string(1, 41)}});
-  hears(gateway, failed);
+  wait_to_receive(gateway, failed);
   gateway.send(setup(0xcc, "d"));  // with no planner the caller is told at once, and when to come back
-  hears(gateway, binary(12, 0xcc, {{208, std::string(1, 42)}, {192, "1000"}}));
+  wait_to_receive(gateway, binary(12, 0xcc, {{208, std::string(1, 42)}, {192, "1000"}}));
   gateway.send(binary(12, 0xaa, {{208, "\x10"}}));  // and the end of a call waits for one
-  hears(gateway, binary(16, 0xaa));
+  wait_to_receive(gateway, binary(16, 0xaa));
   EXPECT_EQ(count(gateway.received(), failed), 1u);
   server.take_received();
   port = std::make_unique<link::Port>(loop, log, *planner, address);
-  hears(server, "{\"op\":\"end\",\"call\":\"00000000000000aa\"");
+  wait_to_receive(server, "{\"op\":\"end\",\"call\":\"00000000000000aa\"");
 }
 
 // Where a forwarder is lost, its requests are withdrawn; the ends of its calls go to those that are left.
 TEST_F(Levels, ALostForwarderWithdrawsWhatIsOpen) {
   Peer gateway = standing();
   gateway.send(setup(0xbb, "d"));
-  hears(server, "00000000000000bb");
+  wait_to_receive(server, "00000000000000bb");
   front.reset();
   planners.reset();
-  hears(server, "{\"op\":\"end\",\"call\":\"00000000000000bb\"");
+  wait_to_receive(server, "{\"op\":\"end\",\"call\":\"00000000000000bb\"");
   EXPECT_EQ(planner->owed(), 0u);
   planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
   front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
   planners->strays_to(*front);
   Peer other = caller();
   server.send(line("end", "00000000000000aa", "\"why\":16"));
-  hears(other, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
 TEST_F(Levels, APlannerThatStopsGetsNothingNewAndEndsWhatItHas) {
   Peer gateway = caller();
   gateway.send(setup(0xbb, "d"));
-  hears(server, "00000000000000bb");
+  wait_to_receive(server, "00000000000000bb");
   port->stop();
   port->tell_state();
-  until([&] { return !planners->ready(); }, "the news of the stop");
+  wait_until([&] { return !planners->ready(); }, "the news of the stop");
   server.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
-  hears(gateway, binary(9, 0xbb, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xbb, {{210, "s"}}));
 }
 
 TEST(Rendezvous, SharesCallsEvenlyAndMovesOnlyThoseOfThePlannerThatIsDown) {
--- a/tests/logging_test.cpp
+++ b/tests/logging_test.cpp
@@ -47,18 +47,18 @@
   const std::string file = directory + "/lines.json";
   acme::replace_file(directory + "/log.toml", "file = \"" + file + "\"\nmax_bytes = 4096\nfiles = 2\n");
   start(config(), {"--log", directory + "/log.toml"});
-  until(
+  wait_until(
       [&] {
         return std::filesystem::exists(file) && read_file(file).find("serving at") != std::string::npos;
       },
       "the start told");
   EXPECT_EQ(read_file(file).substr(0, 9), "{\"time\":\"");
   // Each caller that speaks nonsense is told of.
-  until(
+  wait_until(
       [&] {
         Peer caller = Peer::connect(address);
         caller.send(std::string(64, '\xff'));
-        until([&] { return caller.ended(); }, "the caller's end");
+        wait_until([&] { return caller.ended(); }, "the caller's end");
         return std::filesystem::exists(directory + "/lines.1.json");
       },
       "a full file put aside");
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -176,7 +176,7 @@
     planner->strays_to(*front);
   }
   // Passes of the loop until it holds; what never comes fails here.
-  void until(const std::function<bool()>& holds, const char* what = "what was waited for") {
+  void wait_until(const std::function<bool()>& holds, const char* what = "what was waited for") {
     for (int pass = 0; pass < 20000; ++pass) {
       if (holds()) return;
       loop.pass(milliseconds(1));
@@ -200,7 +200,7 @@
   // The one server is listed and has its connection.
   void open_server() {
     planner->news({1, true, {host(listener, 0)}});
-    until([this] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+    wait_until([this] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
     settle(3);
   }
   Peer caller() { return Peer::connect(front->address()); }
@@ -209,20 +209,20 @@
   Peer caller_before_the_connection(const std::string& ms = "5000") {
     Peer gateway = caller();
     gateway.send(setup(0xaa, "d", ms));
-    until([this] { return planner->owed() == 1; }, "the set-up, held");
+    wait_until([this] { return planner->owed() == 1; }, "the set-up, held");
     loop.defer([this] { planner->news({1, true, {host(listener, 0)}}); });
     loop.pass(Duration{0});
     return gateway;
   }
-  void hears(Peer& peer, const std::string& text) {
-    until([&] { return peer.received().find(text) != std::string::npos; }, text.c_str());
+  void wait_to_receive(Peer& peer, const std::string& text) {
+    wait_until([&] { return peer.received().find(text) != std::string::npos; }, text.c_str());
   }
   // The call 0xaa of this caller stands; what both sides have heard so far is taken off.
   void stand(Peer& gateway) {
     gateway.send(setup(0xaa, "d"));
-    hears(server, "offer");
+    wait_to_receive(server, "offer");
     server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
-    hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+    wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
     gateway.take_received();
     server.take_received();
   }
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -17,7 +17,7 @@
   std::string call(const std::string& request) {
     Peer peer = Peer::connect(management.address());
     peer.send(request);
-    until([&] { return peer.ended(); }, "the end of the answer");
+    wait_until([&] { return peer.ended(); }, "the end of the answer");
     return peer.received();
   }
   std::string get(const std::string& path) { return call("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"); }
@@ -54,18 +54,18 @@
   Peer idle = caller();
   Peer busy = caller();
   busy.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   EXPECT_EQ(status(post("/v1/call-controller/drain")), "200");
   EXPECT_EQ(status(get("/v1/readyz")), "503");
-  until([&] { return idle.ended(); }, "the idle connection closed");
+  wait_until([&] { return idle.ended(); }, "the idle connection closed");
   EXPECT_FALSE(busy.ended());  // its request is answered first
   server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
-  hears(busy, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(busy, binary(9, 0xaa, {{210, "s"}}));
   settle(30);
   EXPECT_FALSE(busy.ended());  // its call stands, and its end is to be told on it
   server.send(line("end", "00000000000000aa", "\"why\":16"));
-  hears(busy, binary(12, 0xaa, {{208, "\x10"}}));
-  until([&] { return busy.ended(); }, "the emptied connection closed");
+  wait_to_receive(busy, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_until([&] { return busy.ended(); }, "the emptied connection closed");
   EXPECT_EQ(status(post("/v1/call-controller/activate")), "200");
   EXPECT_EQ(status(get("/v1/readyz")), "200");
 }
@@ -77,7 +77,7 @@
   const auto test = [&] {
     Peer front_end = caller();
     front_end.send(binary(52, 7, {{208, std::string(1, 0)}}));
-    until([&] { return !front_end.received().empty(); }, "the test's answer");
+    wait_until([&] { return !front_end.received().empty(); }, "the test's answer");
     return front_end.take_received();
   };
   const std::string passed = binary(53, 7, {{208, "\x01"}}), failed = binary(53, 7, {{208, {"\0", 1}}});
@@ -103,7 +103,7 @@
   drained.follow_drain(drain);
   Peer asking = Peer::connect(drained.address());
   asking.send(setup(0xbb, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   drain.drain(loop.now() - Drain::kLookedAt);
   const auto text = [&] {
     std::rewind(lines);
@@ -111,7 +111,7 @@
     all.resize(std::fread(all.data(), 1, all.size(), lines));
     return all;
   };
-  until(
+  wait_until(
       [&] {
         return text().find("connection still open: 1 set-ups pending, 0 calls established") !=
                std::string::npos;
@@ -130,8 +130,8 @@
     silent.push_back(Peer::connect(management.address()));
   }
   EXPECT_EQ(status(get("/v1/readyz")), "200");
-  until([&] { return std::all_of(silent.begin(), silent.end(), [](Peer& p) { return p.ended(); }); },
-        "the silent ones closed");
+  wait_until([&] { return std::all_of(silent.begin(), silent.end(), [](Peer& p) { return p.ended(); }); },
+             "the silent ones closed");
 }
 
 TEST_F(Operations, WrongCallsAreToldSoAndMalformedOnesClosed) {
@@ -152,7 +152,7 @@
     peer.send(good.substr(0, cut));
     settle(2);
     peer.send(good.substr(cut));
-    until([&] { return peer.ended(); }, "the answer");
+    wait_until([&] { return peer.ended(); }, "the answer");
     EXPECT_EQ(status(peer.received()), "200");
   }
   for (const char* bad : {"\r\n\r\n", "GET  HTTP/1.1\r\n\r\n", "GET / HTTP/9\r\n\r\n", "\x01\x02\x03\r\n\r\n",
@@ -193,10 +193,11 @@
   const auto ready = [&](const sockaddr_in& at) {
     Peer peer = Peer::connect(at);
     peer.send("GET /v1/readyz HTTP/1.1\r\n\r\n");
-    until([&] { return peer.ended(); }, "an answer of readyz");
+    wait_until([&] { return peer.ended(); }, "an answer of readyz");
     return peer.received().rfind("HTTP/1.1 200", 0) == 0;
   };
-  until([&] { return read_file(directory + "/next").find("serving at") != std::string::npos; }, "the second");
+  wait_until([&] { return read_file(directory + "/next").find("serving at") != std::string::npos; },
+             "the second");
   EXPECT_TRUE(ready(new_management));
   EXPECT_TRUE(ready(old_management));
   ::kill(pid, SIGTERM);
@@ -204,7 +205,7 @@
   for (int i = 0; i < 8; ++i) {
     Peer gateway = Peer::connect(address);
     gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
-    until(
+    wait_until(
         [&] {
           return gateway.received() == binary(53, 7, {{208, "\x01"}});
         },
@@ -222,12 +223,12 @@
   start(config());
   ::unsetenv("NODE_MANAGEMENT");
   Peer server;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
   serves();
   const auto figures = [&] {
     Peer peer = Peer::connect(management);
     peer.send("GET /v1/metrics HTTP/1.1\r\n\r\n");
-    until([&] { return peer.ended(); }, "the figures");
+    wait_until([&] { return peer.ended(); }, "the figures");
     return peer.received();
   };
   const std::string good = config(), file = directory + "/config.json";
@@ -246,19 +247,19 @@
     acme::replace_file(file, broken[i]);
     ::kill(pid, SIGHUP);
     const std::string counted = "\"reload_failure\":" + std::to_string(i + 1) + "}";
-    until([&] { return figures().find(counted) != std::string::npos; }, "a broken file counted");
+    wait_until([&] { return figures().find(counted) != std::string::npos; }, "a broken file counted");
   }
   EXPECT_NE(figures().find("\"reload_success\":0"), std::string::npos);
   acme::replace_file(file, with(R"({"name":"voice","aim":1500,"deadline":9000})",
                                 R"({"name":"voice","aim":1500,"deadline":9000},)"
                                 R"({"name":"exam","aim":800,"deadline":6000})"));
   ::kill(pid, SIGHUP);
-  until([&] { return figures().find("\"reload_success\":1") != std::string::npos; }, "the good file");
+  wait_until([&] { return figures().find("\"reload_success\":1") != std::string::npos; }, "the good file");
   Peer gateway = Peer::connect(address);
   gateway.send(binary(1, 0xaa, {{180, "exam"}, {182, "5000"}, {188, "7f3a"}, {210, "d"}}));
-  hears(server, "\"class\":\"exam\"");
+  wait_to_receive(server, "\"class\":\"exam\"");
   server.send("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   EXPECT_NE(figures().find("\"success\":{\"exam\":1,\"voice\":0}"), std::string::npos);
 }
 
--- a/tests/process.hpp
+++ b/tests/process.hpp
@@ -69,7 +69,7 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
   std::string log() const { return read_file(directory + "/log"); }
-  void until(const std::function<bool()>& holds, const char* what) {
+  void wait_until(const std::function<bool()>& holds, const char* what) {
     // What is looked at may be a command that waits itself: an end to it all.
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(40);
     for (int i = 0; i < 20000 && std::chrono::steady_clock::now() < end; ++i) {
@@ -80,19 +80,19 @@
   }
   // It listens: its connections to setup servers come before that.
   void serves() {
-    until([&] { return log().find("serving at") != std::string::npos; }, "the start");
+    wait_until([&] { return log().find("serving at") != std::string::npos; }, "the start");
   }
   // Started, and the call 0xaa of `gateway` is out at `server`.
   void start_with_a_call(Peer& server, Peer& gateway) {
     start(config());
-    until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+    wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
     serves();
     gateway = Peer::connect(address);
     gateway.send(setup(0xaa, "d"));
-    hears(server, "00000000000000aa");
+    wait_to_receive(server, "00000000000000aa");
   }
-  void hears(Peer& peer, const std::string& text) {
-    until([&] { return peer.received().find(text) != std::string::npos; }, text.c_str());
+  void wait_to_receive(Peer& peer, const std::string& text) {
+    wait_until([&] { return peer.received().find(text) != std::string::npos; }, text.c_str());
   }
 
   std::string directory;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -18,15 +18,15 @@
   Peer server, first;
   start_with_a_call(server, first);
   ::kill(pid, SIGTERM);
-  until([&] { return log().find("stopping: 1 calls owe") != std::string::npos; }, "the stop");
+  wait_until([&] { return log().find("stopping: 1 calls owe") != std::string::npos; }, "the stop");
   Peer second = Peer::connect(address);
   second.send(setup(0xbb, "d"));
-  hears(server, "00000000000000bb");
+  wait_to_receive(server, "00000000000000bb");
   for (const char* call : {"00000000000000aa", "00000000000000bb"}) {
     server.send("{\"op\":\"accept\",\"call\":\"" + std::string(call) + "\",\"with\":{},\"desc\":\"s\"}\n");
   }
-  hears(first, binary(9, 0xaa, {{210, "s"}}));
-  hears(second, binary(9, 0xbb, {{210, "s"}}));
+  wait_to_receive(first, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(second, binary(9, 0xbb, {{210, "s"}}));
   EXPECT_EQ(exit_code(), 0);
   EXPECT_EQ(server.received().find("\"op\":\"end\""), std::string::npos)
       << "a call that stands was cut by the stop";
@@ -37,15 +37,16 @@
   Peer server, gateway;
   start_with_a_call(server, gateway);
   server.send("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   gateway.close();
   // The next caller to be seen would have been told of it: this one is not, and goes too.
   server.send("{\"op\":\"end\",\"call\":\"00000000000000aa\",\"with\":{},\"why\":1}\n");
   server.close();
-  until([&] { return log().find("connection closed, 0 set-ups out") != std::string::npos; }, "the end taken");
+  wait_until([&] { return log().find("connection closed, 0 set-ups out") != std::string::npos; },
+             "the end taken");
   ::kill(pid, SIGTERM);
   int status = -1;
-  until([&] { return ::waitpid(pid, &status, WNOHANG) == pid; }, "its exit");
+  wait_until([&] { return ::waitpid(pid, &status, WNOHANG) == pid; }, "its exit");
   pid = 0;
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
 }
@@ -56,17 +57,17 @@
 TEST_F(Process, SighupMovesToTheNewCoordinatorAndNothingElse) {
   start(config());
   Peer server, stream;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
   serves();
-  until([&] { return static_cast<bool>(stream = coordinator.accept()); }, "its stream");
-  hears(stream, "Last-Event-ID: 1\r\n");
+  wait_until([&] { return static_cast<bool>(stream = coordinator.accept()); }, "its stream");
+  wait_to_receive(stream, "Last-Event-ID: 1\r\n");
   Peer gateway = Peer::connect(address);
   gateway.send(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
+  wait_to_receive(server, "00000000000000aa");
   const std::string file = directory + "/config.json";
   acme::replace_file(file, "{\"listen\":");
   ::kill(pid, SIGHUP);
-  until([&] { return log().find("; the old one goes on") != std::string::npos; }, "the complaint");
+  wait_until([&] { return log().find("; the old one goes on") != std::string::npos; }, "the complaint");
   EXPECT_FALSE(stream.ended());
   stream.send("HTTP/1.1 200 OK\r\n\r\ndata: {\"index\":2,\"endpoints\":{\"hosts\":[]}}\n\ndata: {\"ind");
   Listener moved;
@@ -75,11 +76,11 @@
   acme::replace_file(file, fresh.replace(fresh.find(old), old.size(), address_text(moved.address())));
   ::kill(pid, SIGHUP);
   Peer next;
-  until([&] { return static_cast<bool>(next = moved.accept()); }, "the new stream");
-  hears(next, "Last-Event-ID: 2\r\n");
-  until([&] { return stream.ended(); }, "the end of the old stream");
+  wait_until([&] { return static_cast<bool>(next = moved.accept()); }, "the new stream");
+  wait_to_receive(next, "Last-Event-ID: 2\r\n");
+  wait_until([&] { return stream.ended(); }, "the end of the old stream");
   server.send("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
 }
 
 // Told to stop a second time and to read its file again while a call is out: it is answered, and then the
@@ -88,13 +89,13 @@
   Peer server, gateway;
   start_with_a_call(server, gateway);
   ::kill(pid, SIGTERM);
-  until([&] { return log().find("stopping: 1 calls owe") != std::string::npos; }, "the stop");
+  wait_until([&] { return log().find("stopping: 1 calls owe") != std::string::npos; }, "the stop");
   ::kill(pid, SIGTERM);
   ::kill(pid, SIGHUP);
-  until([&] { return log().find("configuration: read again") != std::string::npos; }, "the reload");
+  wait_until([&] { return log().find("configuration: read again") != std::string::npos; }, "the reload");
   ::kill(pid, SIGTERM);
   server.send(accept_of("00000000000000aa"));
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   EXPECT_EQ(exit_code(), 0);
   EXPECT_EQ(count(log(), "stopping: "), 1u);
   EXPECT_EQ(server.received().find("\"op\":\"end\""), std::string::npos);
@@ -108,7 +109,7 @@
   serves();
   Peer gateway = Peer::connect(address);
   gateway.send(kTest);
-  hears(gateway, binary(53, 7, {{208, std::string(1, 0)}}));
+  wait_to_receive(gateway, binary(53, 7, {{208, std::string(1, 0)}}));
   gateway.send(setup(0xaa, "d", "300"));
   ::kill(pid, SIGTERM);
   EXPECT_EQ(exit_code(), 0);
@@ -134,12 +135,12 @@
     serves();
     Peer gateway = Peer::connect(address), server;
     gateway.send(kTest);
-    hears(gateway, kPassed);
+    wait_to_receive(gateway, kPassed);
     gateway.send(setup(0xaa, "d"));
-    until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-    hears(server, "00000000000000aa");
+    wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+    wait_to_receive(server, "00000000000000aa");
     server.send(accept_of("00000000000000aa"));
-    hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+    wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
     ::kill(pid, SIGKILL);
     EXPECT_EQ(exit_code(), -SIGKILL);
   }
@@ -152,26 +153,26 @@
   environment = {{"NODE_MANAGEMENT", address_text(management)}};
   start(config());
   Peer server, watch;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-  until([&] { return static_cast<bool>(watch = coordinator.accept()); }, "its watch");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+  wait_until([&] { return static_cast<bool>(watch = coordinator.accept()); }, "its watch");
   serves();
   const rlimit few{24, 1024};  // the hard one is the sanitizer's (sanitizer_pipe.cpp)
   ASSERT_EQ(::prlimit(pid, RLIMIT_NOFILE, &few, nullptr), 0);
   std::vector<Peer> idle;
   for (int i = 0; i < 60; ++i) idle.push_back(Peer::connect(address));
-  until([&] { return log().find("no descriptor left") != std::string::npos; }, "the want");
+  wait_until([&] { return log().find("no descriptor left") != std::string::npos; }, "the want");
   watch.close();
   server.reset();
-  until([&] { return static_cast<bool>(watch = coordinator.accept()); }, "the next watch");
-  hears(watch, "Last-Event-ID: 1");
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+  wait_until([&] { return static_cast<bool>(watch = coordinator.accept()); }, "the next watch");
+  wait_to_receive(watch, "Last-Event-ID: 1");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   Peer gateway = Peer::connect(address), ready = Peer::connect(management);
   gateway.send(setup(0xaa, "d"));
   ready.send("GET /v1/readyz HTTP/1.1\r\n\r\n");
-  hears(server, "00000000000000aa");
+  wait_to_receive(server, "00000000000000aa");
   server.send(accept_of("00000000000000aa"));
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
-  hears(ready, "HTTP/1.1 200");
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(ready, "HTTP/1.1 200");
 }
 
 TEST_F(Process, ABadConfigurationIsNamedInOneLine) {
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -12,17 +12,17 @@
   open_server();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "v=0\r\nc=\"x\" \\ \xc3\xa9\r\n"));
-  hears(server, "\n");
+  wait_to_receive(server, "\n");
   const std::string offer = server.take_received();
   EXPECT_NE(offer.find("\"class\":\"voice\""), std::string::npos);
   EXPECT_NE(offer.find("\"key\":\"7f3a9c21e0b4d655\""), std::string::npos);
   EXPECT_NE(offer.find("\"desc\":\"v=0\\r\\nc=\\\"x\\\" \\\\ \xc3\xa9\\r\\n\"}"), std::string::npos);
   server.send(line("accept", kId, "\"desc\":\"s\\u00e9 \\\"1\\\"\\r\\n\""));
   const std::string answer = binary(9, 0xaa, {{210, "s\xc3\xa9 \"1\"\r\n"}});
-  hears(gateway, answer);
+  wait_to_receive(gateway, answer);
   server.send(line("end", kId, "\"why\":16"));
   const std::string over = binary(12, 0xaa, {{208, "\x10"}});
-  hears(gateway, answer + over);
+  wait_to_receive(gateway, answer + over);
   EXPECT_EQ(gateway.received(), answer + over);
 }
 
@@ -32,12 +32,12 @@
   open_server();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   server.reset();
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
-  hears(server, "offer");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+  wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
@@ -45,12 +45,12 @@
   open_server();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
-  hears(server, "\"op\":\"end\"");
+  wait_to_receive(server, "\"op\":\"end\"");
   server.take_received();
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(server, "{\"op\":\"end\",\"call\":\"" + kId + "\"");
+  wait_to_receive(server, "{\"op\":\"end\",\"call\":\"" + kId + "\"");
   EXPECT_EQ(gateway.received(), binary(16, 0xaa));
 }
 
@@ -59,9 +59,9 @@
   open_server();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d", "40"));
-  hears(gateway, binary(12, 0xaa, {{208, std::string(1, 18)}}));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 18)}}));
   EXPECT_EQ(count(server.received(), "offer"), 1u);
-  hears(server, "\"op\":\"end\"");
+  wait_to_receive(server, "\"op\":\"end\"");
 }
 
 // A process that dies cannot say so: its connection is reset and the next is refused.
@@ -71,7 +71,7 @@
   stand(gateway);
   listener.close();
   server.reset();
-  hears(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
 }
 
 // A connection that only broke takes no call with it.
@@ -80,14 +80,14 @@
   Peer gateway = caller();
   stand(gateway);
   server.close();
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   gateway.close();
   settle();
   EXPECT_EQ(count(server.received(), "end"), 0u);
   server.send(line("end", kId, "\"why\":16"));
   settle();
   Peer other = caller();  // the release has waited for an open connection
-  hears(other, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
   server.send(line("end", kId, "\"why\":16"));  // told on the next connection as well
   settle();
   EXPECT_EQ(other.received(), binary(12, 0xaa, {{208, "\x10"}}));
@@ -99,7 +99,7 @@
   Peer gateway = caller();
   settle();
   server.send(line("end", kId, "\"why\":16"));
-  hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
 // Both messages are read in one pass: the set-up must not leave after it was given up.
@@ -107,7 +107,7 @@
   open_server();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d") + binary(12, 0xaa, {{208, "\x10"}}));
-  hears(gateway, binary(16, 0xaa));
+  wait_to_receive(gateway, binary(16, 0xaa));
   settle();
   EXPECT_EQ(server.received(), "");
 }
@@ -117,20 +117,20 @@
   Peer good = caller(), bad = caller();
   bad.send(std::string("\x00\x09\x01", 3) + "12345678" + std::string("\x00\x0b\x01", 3) + "12345678" +
            std::string("\xb4\x00", 2));
-  until([&] { return bad.ended(); }, "the close");
+  wait_until([&] { return bad.ended(); }, "the close");
   good.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   server.send("{\"op\":\"accept\",\"call\":\"zz\"}\n");
-  until([&] { return server.ended(); }, "the close of the server's connection");
+  wait_until([&] { return server.ended(); }, "the close of the server's connection");
 }
 
 TEST_F(Program, ATestPassesOnceTheServersAreKnown) {
   Peer gateway = caller();
   gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
-  hears(gateway, binary(53, 7, {{208, std::string(1, 0)}}));
+  wait_to_receive(gateway, binary(53, 7, {{208, std::string(1, 0)}}));
   open_server();
   gateway.send(binary(52, 8, {{208, std::string(1, 0)}}));
-  hears(gateway, binary(53, 8, {{208, "\x01"}}));
+  wait_to_receive(gateway, binary(53, 8, {{208, "\x01"}}));
 }
 
 // Nothing new goes to a server that drains, even if the news came in the pass of the call.
@@ -142,10 +142,10 @@
   gateway.take_received();
   gateway.send(setup(0xbb, "d", "60"));
   // No server is left, so its caller is told to stay away for as long as callers heed.
-  hears(gateway, binary(12, 0xbb, {{208, std::string(1, 42)}, {192, "2000"}}));
+  wait_to_receive(gateway, binary(12, 0xbb, {{208, std::string(1, 42)}, {192, "2000"}}));
   EXPECT_EQ(count(server.received(), "offer"), 0u);
   planner->news({3, false, {host(listener, 0, Availability::gone)}});
-  hears(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
 }
 
 // A new machine may have the address of one that has gone, in one event and in either order.
@@ -172,10 +172,10 @@
   open_server();
   Peer idle = caller(), busy = caller();
   busy.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   Peer next = caller();
   next.send(binary(52, 7, {{208, std::string(1, 0)}}));
-  hears(next, binary(53, 7, {{208, "\x01"}}));
+  wait_to_receive(next, binary(53, 7, {{208, "\x01"}}));
   EXPECT_TRUE(idle.ended());
   EXPECT_FALSE(busy.ended());
 }
@@ -189,14 +189,14 @@
       R"(data: {"index":5,"endpoints":{"hosts":[{"host":"a","dial":"127.0.0.1:9","health":"in_service"}]}})";
   settle(3);
   Peer first = at.accept();
-  hears(first, "Last-Event-ID: 4\r\n");
+  wait_to_receive(first, "Last-Event-ID: 4\r\n");
   first.send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hi\n\nid: 5\n" + event + "\n\n" +
              "data: {\"ind");
-  until([&] { return told.size() == 1; }, "event 5");
+  wait_until([&] { return told.size() == 1; }, "event 5");
   first.close();
   Peer second;
-  until([&] { return static_cast<bool>(second = at.accept()); }, "the next stream");
-  hears(second, "Last-Event-ID: 5\r\n");
+  wait_until([&] { return static_cast<bool>(second = at.accept()); }, "the next stream");
+  wait_to_receive(second, "Last-Event-ID: 5\r\n");
   // The same event again, in chunks, is not told twice.
   const std::string again = event + "\n\n";
   char size[16];
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -17,9 +17,9 @@
 TEST_F(Program, NothingIsAwaitedOfCallersThatSayNothingWhole) {
   Peer strange = caller(), half = caller(), silent = caller();
   strange.send(std::string("\x3f\xff\x7b", 3));
-  until([&] { return strange.ended(); }, "the close of a type that callers do not send");
+  wait_until([&] { return strange.ended(); }, "the close of a type that callers do not send");
   half.send(binary(52, 7) + "\x01");
-  until([&] { return half.ended() && silent.ended(); }, "the close of both");
+  wait_until([&] { return half.ended() && silent.ended(); }, "the close of both");
 }
 
 // What is not sound fails at the front: the setup server would close the connection that all calls share.
@@ -38,7 +38,7 @@
   bad.send(binary(1, 6, with({{190, "dest:nan"}, {210, "d"}})));
   std::string all;
   for (CallId call = 0; call <= 6; ++call) all += failed(call);
-  hears(bad, failed(6));
+  wait_to_receive(bad, failed(6));
   EXPECT_EQ(bad.received(), all);
   settle();
   EXPECT_EQ(server.received(), "");
@@ -49,19 +49,19 @@
   open_server();
   Peer good = caller(), bad = caller();
   good.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   bad.send(setup(0xaa, "other") + binary(12, 0xaa, {{208, "\x10"}}));
-  hears(bad, failed(0xaa) + binary(16, 0xaa));
+  wait_to_receive(bad, failed(0xaa) + binary(16, 0xaa));
   server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
-  hears(good, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(good, binary(9, 0xaa, {{210, "s"}}));
   // On one connection nobody can tell the two apart: one failure, and nothing is left at the server.
   server.take_received();
   bad.take_received();
   bad.send(setup(0xbb, "d"));
-  hears(server, "00000000000000bb");
+  wait_to_receive(server, "00000000000000bb");
   bad.send(setup(0xbb, "e") + setup(0xbb, "f"));
-  hears(bad, failed(0xbb) + failed(0xbb));
-  hears(server, line("end", "00000000000000bb", "\"why\":16"));
+  wait_to_receive(bad, failed(0xbb) + failed(0xbb));
+  wait_to_receive(server, line("end", "00000000000000bb", "\"why\":16"));
   EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
@@ -70,15 +70,15 @@
   open_server();
   Peer silent = caller(), gateway = caller(), other = caller();
   other.send(setup(0xbb, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   server.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
-  hears(other, binary(9, 0xbb, {{210, "s"}}));
+  wait_to_receive(other, binary(9, 0xbb, {{210, "s"}}));
   server.take_received();
   stand(gateway);
   gateway.close();
   settle();
   server.send(line("end", "00000000000000aa", "\"why\":16"));
-  hears(other, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
   EXPECT_EQ(silent.received(), "");
 }
 
@@ -89,13 +89,13 @@
   open_server();
   Peer gateway = caller();
   gateway.send(setup(0xaa, std::string(60, 'd')));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   gateway.send(setup(0xbb, std::string(60, 'd')));
-  hears(gateway, binary(12, 0xbb, {{208, std::string(1, 42)}, {192, "1000"}}));
+  wait_to_receive(gateway, binary(12, 0xbb, {{208, std::string(1, 42)}, {192, "1000"}}));
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   gateway.send(setup(0xcc, std::string(60, 'd')));
-  hears(server, "00000000000000cc");
+  wait_to_receive(server, "00000000000000cc");
 }
 
 // A peer that asks on and takes no answers is not read any further, and what it sent is not kept.
@@ -115,7 +115,7 @@
   settle(3);
   EXPECT_FALSE(stream.interest() & POLLIN);
   const auto taken = [&] { return other.take_received(), (stream.interest() & POLLIN) != 0; };
-  until(taken, "room for more");
+  wait_until(taken, "room for more");
 }
 
 // Out of descriptors the listening socket rests: what is in line would wake the loop without end.
@@ -129,7 +129,7 @@
   EXPECT_FALSE(acceptor.accept());
   ::setrlimit(RLIMIT_NOFILE, &before);
   EXPECT_TRUE(acceptor.paused());
-  until([&] { return !acceptor.paused(); }, "the end of its rest");
+  wait_until([&] { return !acceptor.paused(); }, "the end of its rest");
   EXPECT_TRUE(acceptor.accept());
 }
 
@@ -151,14 +151,14 @@
   };
   for (std::size_t i = 0; i < spoilt.size(); ++i) {
     gateway.send(setup(0xaa + i, "d"));
-    hears(server, "offer");
+    wait_to_receive(server, "offer");
     server.send(std::string(spoilt[i]).replace(spoilt[i].find(kId), 16, call_text(0xaa + i)));
-    until([&] { return server.ended(); }, "the close of the spoilt connection");
-    until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
-    hears(server, "offer");
+    wait_until([&] { return server.ended(); }, "the close of the spoilt connection");
+    wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+    wait_to_receive(server, "offer");
     server.take_received();
     server.send(line("accept", call_text(0xaa + i), "\"desc\":\"s\""));
-    hears(gateway, binary(9, 0xaa + i, {{210, "s"}}));
+    wait_to_receive(gateway, binary(9, 0xaa + i, {{210, "s"}}));
     EXPECT_EQ(gateway.take_received(), binary(9, 0xaa + i, {{210, "s"}})) << i;
     server.take_received();
   }
@@ -169,20 +169,20 @@
   open_server();
   Peer gateway = caller(), other;
   gateway.send(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
+  wait_to_receive(server, "00000000000000aa");
   gateway.send(setup(0xbb, "d"));
-  until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
+  wait_until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
   server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   gateway.send(setup(0xcc, "d"));
-  hears(other, "00000000000000cc");
+  wait_to_receive(other, "00000000000000cc");
   server.reset();
   other.send(line("accept", "00000000000000cc", "\"desc\":\"s\""));
-  hears(gateway, binary(9, 0xcc, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xcc, {{210, "s"}}));
   // After the release guard the other one goes out again, on whichever connection is up.
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   const auto again = [&] { return count(server.received() + other.received(), "00000000000000bb") > 0; };
-  until(again, "the set-up that broke");
+  wait_until(again, "the set-up that broke");
 }
 
 // A connection can stay open and bring nothing any more. Others show that the server is well: it is closed,
@@ -191,9 +191,9 @@
   open_server();
   Peer gateway = caller(), other;
   gateway.send(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
+  wait_to_receive(server, "00000000000000aa");
   gateway.send(setup(0xbb, "d"));
-  until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
+  wait_until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
   CallId next = 0x100;
   const auto answers_elsewhere = [&] {
     const std::string said = other.take_received();
@@ -204,10 +204,10 @@
     if (!said.empty() || next == 0x100) gateway.send(setup(++next, "d"));
     return server.ended();
   };
-  until(answers_elsewhere, "the close of the silent one");
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+  wait_until(answers_elsewhere, "the close of the silent one");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   const auto again = [&] { return count(server.received() + other.received(), kId) > 0; };
-  until(again, "the set-up that got no answer");
+  wait_until(again, "the set-up that got no answer");
 }
 
 // What a server had on its way when a connection was closed from here is said again on the next one that
@@ -216,17 +216,17 @@
   open_server();
   Peer gateway = caller(), other, fresh;
   gateway.send(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
+  wait_to_receive(server, "00000000000000aa");
   gateway.send(setup(0xbb, "d"));
-  until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
+  wait_until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
   other.send("{\"noise\n");
-  until([&] { return other.ended(); }, "the close of the spoilt one");
+  wait_until([&] { return other.ended(); }, "the close of the spoilt one");
   const Time closed = loop.now();
-  until([&] { return static_cast<bool>(fresh = listener.accept()); }, "the new one");
+  wait_until([&] { return static_cast<bool>(fresh = listener.accept()); }, "the new one");
   EXPECT_GE(loop.now() - closed, milliseconds(200)) << "before the server can have known";
   // And a withdrawal is no silence: the connection that owes nothing any more stays.
   gateway.send(binary(12, 0xbb, {{208, "\x10"}}) + binary(12, 0xaa, {{208, "\x10"}}));
-  hears(server, line("end", "00000000000000aa", "\"why\":16"));
+  wait_to_receive(server, line("end", "00000000000000aa", "\"why\":16"));
   settle(300);
   EXPECT_FALSE(server.ended());
 }
@@ -237,11 +237,11 @@
   Peer gateway = caller();
   stand(gateway);
   gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
-  hears(gateway, binary(16, 0xaa));
+  wait_to_receive(gateway, binary(16, 0xaa));
   settle();
   server.reset();
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
-  hears(server, line("end", kId, "\"why\":16"));
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+  wait_to_receive(server, line("end", kId, "\"why\":16"));
 }
 
 // A call that was given up at a server may stand there by a later attempt when the connection of the first
@@ -259,18 +259,18 @@
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
   servers.keep(id);
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
   settle();
   const Offer offer{0xaa, "voice", "1", "d", loop.now() + milliseconds(5000)};
   servers.offer(id, offer);
-  until([&] { return count(server.received(), "offer") == 1; }, "the first attempt");
+  wait_until([&] { return count(server.received(), "offer") == 1; }, "the first attempt");
   servers.end(id, 0xaa, cause::kNormal);
   servers.end(id, 0xbb, cause::kNormal);
   servers.offer(id, offer);
-  until([&] { return count(server.received(), "offer") == 2; }, "both attempts");
+  wait_until([&] { return count(server.received(), "offer") == 2; }, "both attempts");
   server.reset();
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
-  hears(server, line("end", "00000000000000bb", "\"why\":16"));
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
+  wait_to_receive(server, line("end", "00000000000000bb", "\"why\":16"));
   settle();
   EXPECT_EQ(count(server.received(), kId), 0u);
 }
@@ -279,10 +279,10 @@
   open_server();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d"));
-  hears(server, "offer");
+  wait_to_receive(server, "offer");
   const std::string answer = line("accept", kId, "\"desc\":\"s\"");
   server.send(line("accept", "00000000000000ff", "\"desc\":\"s\"") + answer + answer);
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   settle();
   EXPECT_EQ(gateway.received(), binary(9, 0xaa, {{210, "s"}}));
   EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u);
--- a/tests/shared_certificates_test.cpp
+++ b/tests/shared_certificates_test.cpp
@@ -69,7 +69,7 @@
   }
   // All three have the same, and another than `before`.
   void all_have_one(const std::string& before = "") {
-    until(
+    wait_until(
         [&] {
           const std::string a = certificate("a");
           return !a.empty() && a != before && a == certificate("b") && a == certificate("c");
@@ -85,7 +85,7 @@
   // stopped process has the port on which it is answered.
   std::string orders_in_vain() {
     std::string who;
-    until(
+    wait_until(
         [&] {
           for (const char* const each : {"a", "b", "c"}) {
             std::ifstream file(directory + "/" + each + ".certs/sip.order.json");
@@ -133,7 +133,7 @@
   const std::string first = orders_in_vain();
   kill(first);
   authority->clear();
-  until([&] { return !certificate(first == "a" ? "b" : "a").empty(); }, "a certificate");
+  wait_until([&] { return !certificate(first == "a" ? "b" : "a").empty(); }, "a certificate");
   EXPECT_EQ(authority->counts().orders, 1) << "a second order was made";
   start_voter(first[0] - 'a');
   all_have_one();
@@ -145,12 +145,12 @@
   const std::string first = orders_in_vain();
   signal(first, SIGSTOP);
   const std::string other = first == "a" ? "b" : "a";
-  until([&] { return !holder().empty() && holder() != first; }, "another holder");
+  wait_until([&] { return !holder().empty() && holder() != first; }, "another holder");
   authority->clear();
-  until([&] { return !certificate(other).empty(); }, "a certificate");
+  wait_until([&] { return !certificate(other).empty(); }, "a certificate");
   const std::string taken = certificate(other);
   signal(first, SIGCONT);
-  until([&] { return certificate(first) == taken; }, "what the other got");
+  wait_until([&] { return certificate(first) == taken; }, "what the other got");
   all_have_one();
   EXPECT_EQ(certificate("c"), taken);
   EXPECT_EQ(authority->counts().certificates, 1);
@@ -176,7 +176,7 @@
   // Of before: a process by itself, with its own directory.
   acme::replace_file(directory + "/config.json", config());
   const pid_t alone = spawn({"--certs", certs_file("a")}, "alone");
-  until([&] { return !certificate("a").empty(); }, "a certificate of before");
+  wait_until([&] { return !certificate("a").empty(); }, "a certificate of before");
   ::kill(alone, SIGKILL);
   exit_code_of(alone);
   const std::string first = certificate("a");
@@ -184,18 +184,20 @@
   start_voter(0);
   without_certificates = {"b"};
   start_voter(1);
-  until([&] { return certificate("a") == first && log_of("a").find("begins with") != std::string::npos; },
-        "the register's beginning");
+  wait_until(
+      [&] { return certificate("a") == first && log_of("a").find("begins with") != std::string::npos; },
+      "the register's beginning");
   secret("other.key", 'b');
   fleet_more = "secret_file = \"" + directory + "/other.key\"\nstart_wait_ms = 300\n";
   start_voter(2);
-  until([&] { return log_of("c").find("not sealed with this controller's secret") != std::string::npos; },
-        "the complaint");
+  wait_until(
+      [&] { return log_of("c").find("not sealed with this controller's secret") != std::string::npos; },
+      "the complaint");
   EXPECT_EQ(certificate("c"), "");
   kill("c");
   fleet_more = "secret_file = \"" + directory + "/fleet.key\"\nstart_wait_ms = 300\n";
   start_voter(2);
-  until([&] { return certificate("c") == first; }, "the certificate of before");
+  wait_until([&] { return certificate("c") == first; }, "the certificate of before");
   EXPECT_EQ(authority->counts().orders, 1);
 }
 
--- a/tests/shared_gaps_test.cpp
+++ b/tests/shared_gaps_test.cpp
@@ -217,10 +217,11 @@
   }
   std::string listed(const std::string& who) { return gap(who, {"list", "--json"}); }
   void has(const std::string& who, const std::string& text) {
-    until([&] { return listed(who).find(text) != std::string::npos; }, (who + " with " + text).c_str());
+    wait_until([&] { return listed(who).find(text) != std::string::npos; }, (who + " with " + text).c_str());
   }
   void has_not(const std::string& who, const std::string& text) {
-    until([&] { return listed(who).find(text) == std::string::npos; }, (who + " without " + text).c_str());
+    wait_until([&] { return listed(who).find(text) == std::string::npos; },
+               (who + " without " + text).c_str());
   }
   std::map<std::string, sockaddr_in> control_;
 };
@@ -263,7 +264,7 @@
   for (const char* const each : {"a", "b", "c"}) serves(each);
   announce("b", "exam", 20);
   has("a", R"("id":"exam")");
-  until(
+  wait_until(
       [&] {
         std::ifstream file(directory + "/a.control/gaps.rules");
         return std::string(std::istreambuf_iterator<char>(file), {}).find("agreed") != std::string::npos;
@@ -303,7 +304,8 @@
     start_voter(victim);
     serves(voter(victim));
   }
-  until([&] { return listed("b").find(R"("agreed":false)") == std::string::npos; }, "all of them agreed on");
+  wait_until([&] { return listed("b").find(R"("agreed":false)") == std::string::npos; },
+             "all of them agreed on");
   for (const char* const each : {"a", "b", "c"}) kill(each);
   for (int i = 0; i < kVoters; ++i) start_voter(i);
   for (const char* const each : {"a", "b", "c"}) {
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -65,7 +65,7 @@
   }
   // The id under which the server knows the call of the last offer.
   std::string offered() {
-    hears(server, "\"op\":\"offer\"");
+    wait_to_receive(server, "\"op\":\"offer\"");
     const auto at = server.received().rfind("\"op\":\"offer\",\"call\":\"");
     return server.received().substr(at + 21, 16);
   }
@@ -75,7 +75,7 @@
     const std::string id = offered();
     if (call) *call = id;
     server.send(line("accept", id, "\"desc\":\"s=1\\r\\n\""));
-    hears(peer, "s=1\r\n");
+    wait_to_receive(peer, "s=1\r\n");
     const std::string tag = to_tag(peer.take_received());
     peer.send(request(peer, kind, "ACK", 1, "a1", {}, {}, tag));
     settle(5);
@@ -113,7 +113,7 @@
   Outcome play(Peer& peer, const std::map<std::string, std::string>& finals) {
     std::size_t offers = 0;
     std::string told;
-    until(
+    wait_until(
         [&] {
           const std::string& heard = server.received();
           for (auto at = heard.find("\"op\":\"offer\",\"call\":\""); at != std::string::npos;
@@ -199,16 +199,16 @@
   peer.send(first);
   const std::string call = offered();
   peer.send(first);
-  until([&] { return count(peer.received(), "SIP/2.0 100") == 2; }, "a second 100");
+  wait_until([&] { return count(peer.received(), "SIP/2.0 100") == 2; }, "a second 100");
   server.send(line("accept", call, "\"desc\":\"s\""));
-  hears(peer, "SIP/2.0 200");
+  wait_to_receive(peer, "SIP/2.0 200");
   peer.send(first);  // and after the answer
-  until([&] { return count(peer.received(), "SIP/2.0 200") >= 2; }, "the answer again");
+  wait_until([&] { return count(peer.received(), "SIP/2.0 200") >= 2; }, "the answer again");
   EXPECT_EQ(count(server.received(), "offer"), 1u);
   // The same call by another way is no second call either.
   Peer other = gateway(GetParam());
   other.send(invite(other, GetParam()));
-  hears(other, "SIP/2.0 482");
+  wait_to_receive(other, "SIP/2.0 482");
   EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
@@ -217,10 +217,10 @@
   peer.send(invite(peer, GetParam()));
   const std::string call = offered();
   server.send(line("accept", call, "\"desc\":\"s\""));
-  until([&] { return count(peer.received(), "SIP/2.0 200") >= 3; }, "repeated answers");
+  wait_until([&] { return count(peer.received(), "SIP/2.0 200") >= 3; }, "repeated answers");
   if (GetParam() == TransportKind::tcp) peer.send("");  // the Contact of a TCP gateway here listens nowhere
-  hears(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
-  if (GetParam() == TransportKind::udp) hears(peer, "BYE sip:");
+  wait_to_receive(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
+  if (GetParam() == TransportKind::udp) wait_to_receive(peer, "BYE sip:");
 }
 
 TEST_P(SipOver, AnAckStopsTheAnswerAndAByeEndsTheCall) {
@@ -230,10 +230,10 @@
   settle(80);
   EXPECT_EQ(peer.received(), "") << "the answer was repeated after its ACK";
   peer.send(request(peer, GetParam(), "BYE", 2, "b1", {}, {}, tag));
-  hears(peer, "SIP/2.0 200");
-  hears(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
+  wait_to_receive(peer, "SIP/2.0 200");
+  wait_to_receive(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
   peer.send(request(peer, GetParam(), "BYE", 3, "b2", {}, {}, tag));
-  hears(peer, "SIP/2.0 481");
+  wait_to_receive(peer, "SIP/2.0 481");
 }
 
 TEST_F(Sip, TheServersReleaseBecomesAByeThatIsRepeatedUntilItsResponse) {
@@ -241,13 +241,13 @@
   std::string call;
   const std::string tag = stand(peer, TransportKind::udp, &call);
   server.send(line("end", call, "\"why\":16"));
-  until([&] { return count(peer.received(), "BYE sip:gw@") >= 2; }, "a repeated BYE");
+  wait_until([&] { return count(peer.received(), "BYE sip:gw@") >= 2; }, "a repeated BYE");
   const std::string bye = peer.take_received();
   EXPECT_NE(bye.find("From: <sip:7f@lab>;tag=" + tag), std::string::npos);
   EXPECT_NE(bye.find("To: <sip:gw@lab>;tag=g\r\n"), std::string::npos);
   const auto via = bye.find("Via: ");
   peer.send("SIP/2.0 200 OK\r\n" + bye.substr(via, bye.find("Max-Forwards") - via) + "\r\n");
-  until([&] { return sip_front->idle(); }, "the end of the BYE");
+  wait_until([&] { return sip_front->idle(); }, "the end of the BYE");
 }
 
 // RFC 3261, section 15: the callee waits with its BYE until the dialog is confirmed.
@@ -256,11 +256,11 @@
   peer.send(invite(peer, TransportKind::udp));
   const std::string call = offered();
   server.send(line("accept", call, "\"desc\":\"s\"") + line("end", call, "\"why\":41"));
-  hears(peer, "SIP/2.0 200");
+  wait_to_receive(peer, "SIP/2.0 200");
   settle(5);
   EXPECT_EQ(count(peer.received(), "BYE sip:"), 0u);
   peer.send(request(peer, TransportKind::udp, "ACK", 1, "a1", {}, {}, to_tag(peer.received())));
-  hears(peer, "BYE sip:");
+  wait_to_receive(peer, "BYE sip:");
 }
 
 TEST_P(SipOver, ACancelEndsTheInviteAndTheAttempt) {
@@ -269,9 +269,9 @@
   const std::string call = offered();
   std::string cancel = request(peer, GetParam(), "CANCEL", 1, "i1");
   peer.send(cancel);
-  hears(peer, "SIP/2.0 487");
+  wait_to_receive(peer, "SIP/2.0 487");
   EXPECT_NE(peer.received().find("SIP/2.0 200"), std::string::npos);
-  hears(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
+  wait_to_receive(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
   server.send(line("accept", call, "\"desc\":\"s\""));
   settle();
   EXPECT_EQ(count(peer.received(), "\r\nCSeq: 1 INVITE"),
@@ -292,17 +292,17 @@
   EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u) << "the drop gave the call up";
   server.send(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
   Peer back;
-  until([&] { return static_cast<bool>(back = home.accept()); }, "a connection to the Via's address");
-  hears(back, "SIP/2.0 500");
+  wait_until([&] { return static_cast<bool>(back = home.accept()); }, "a connection to the Via's address");
+  wait_to_receive(back, "SIP/2.0 500");
   back.send(request(back, TransportKind::tcp, "OPTIONS", 9, "o1"));  // it is a connection like any other
-  hears(back, "SIP/2.0 200");
+  wait_to_receive(back, "SIP/2.0 200");
   EXPECT_EQ(count(back.received(), "SIP/2.0 500"), 1u);
 }
 
 TEST_F(Sip, AFailureIsRepeatedOverUdpUntilItsAck) {
   Peer peer = gateway(TransportKind::udp);
   peer.send(invite(peer, TransportKind::udp, "X-Call-Class: no-such\r\n"));
-  until([&] { return count(peer.received(), "SIP/2.0 500") >= 2; }, "a repeated failure");
+  wait_until([&] { return count(peer.received(), "SIP/2.0 500") >= 2; }, "a repeated failure");
   peer.send(request(peer, TransportKind::udp, "ACK", 1, "i1", {}, {}, "x"));
   settle(5);
   peer.take_received();
@@ -316,7 +316,7 @@
   const auto answers = [&](const std::string& bytes, const std::string& status) {
     peer.take_received();
     peer.send(bytes);
-    hears(peer, "SIP/2.0 " + status);
+    wait_to_receive(peer, "SIP/2.0 " + status);
   };
   answers(request(peer, kind, "OPTIONS", 1, "1"), "200");
   EXPECT_NE(peer.received().find("Allow: INVITE, ACK, CANCEL, BYE, OPTIONS"), std::string::npos);
@@ -344,11 +344,11 @@
                           request(peer, TransportKind::tcp, "OPTIONS", 1, "1", {}, "body\r\n\r\n") +
                           request(peer, TransportKind::tcp, "OPTIONS", 2, "2");
   peer.send(two.substr(0, two.size() - 9));
-  hears(peer, "CSeq: 1 OPTIONS");
+  wait_to_receive(peer, "CSeq: 1 OPTIONS");
   peer.send(two.substr(two.size() - 9));
-  hears(peer, "CSeq: 2 OPTIONS");
+  wait_to_receive(peer, "CSeq: 2 OPTIONS");
   peer.send("NONSENSE\r\n\r\n");
-  until([&] { return peer.ended(); }, "the close");
+  wait_until([&] { return peer.ended(); }, "the close");
 }
 
 // At the limit the connection that has been quiet for longest makes room, and its call still gets its answer.
@@ -360,8 +360,8 @@
   half.send(invite(half, TransportKind::tcp).substr(0, 100));
   good.send(
       request(good, TransportKind::tcp, "INVITE", 1, "i1", "Content-Type: application/sdp\r\n", "\xff\xfe"));
-  hears(good, "SIP/2.0 500 ");
-  until([&] { return half.ended() && silent.ended(); }, "the close of both");
+  wait_to_receive(good, "SIP/2.0 500 ");
+  wait_until([&] { return half.ended() && silent.ended(); }, "the close of both");
   EXPECT_FALSE(good.ended());
   EXPECT_EQ(server.received(), "");
 }
@@ -379,13 +379,13 @@
   silent.send(first);
   const std::string call = offered();
   Peer next = gateway(TransportKind::tcp);
-  until([&] { return silent.ended(); }, "the close of the quiet one");
+  wait_until([&] { return silent.ended(); }, "the close of the quiet one");
   next.send(request(next, TransportKind::tcp, "OPTIONS", 1, "o1"));
-  hears(next, "SIP/2.0 200");
+  wait_to_receive(next, "SIP/2.0 200");
   server.send(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
   Peer back;
-  until([&] { return static_cast<bool>(back = home.accept()); }, "a connection to the Via's address");
-  hears(back, "SIP/2.0 500");
+  wait_until([&] { return static_cast<bool>(back = home.accept()); }, "a connection to the Via's address");
+  wait_to_receive(back, "SIP/2.0 500");
 }
 
 // Two fronts on one UDP port would take each other's datagrams without a word.
@@ -401,8 +401,8 @@
   std::string call;
   stand(peer, TransportKind::udp, &call);
   sip_front->hang_up();
-  hears(peer, "BYE sip:");
-  hears(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
+  wait_to_receive(peer, "BYE sip:");
+  wait_to_receive(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
   EXPECT_EQ(sip_front->dialogs(), 0u);
 }
 
@@ -430,13 +430,13 @@
     heard += session->take_plain();
   };
   session->write(invite(peer, TransportKind::tls));
-  until([&] { return talk(), server.received().find("offer") != std::string::npos; }, "the offer");
+  wait_until([&] { return talk(), server.received().find("offer") != std::string::npos; }, "the offer");
   server.send(line("accept", offered(), "\"desc\":\"s=1\\r\\n\""));
-  until([&] { return talk(), heard.find("s=1\r\n") != std::string::npos; }, "the answer");
+  wait_until([&] { return talk(), heard.find("s=1\r\n") != std::string::npos; }, "the answer");
   EXPECT_NE(heard.find(";transport=tls>"), std::string::npos);
   session->write("NONSENSE\r\n\r\n");
   peer.send(session->take_ciphertext());
-  until([&] { return peer.ended(); }, "the close");
+  wait_until([&] { return peer.ended(); }, "the close");
 
   sip::TlsContext ours(log, nullptr, file, file);
   const std::string before = handshake(ours.server(), "").certificate;
--- a/tests/stop_test.cpp
+++ b/tests/stop_test.cpp
@@ -106,8 +106,9 @@
                "\"aim\":" + std::to_string(deadline / 2) + ",\"deadline\":" + std::to_string(deadline));
   start(text);
   std::list<Peer> lanes;
-  until([&] { return static_cast<bool>(lanes.emplace_back(listener.accept())) || (lanes.pop_back(), false); },
-        "its connection");
+  wait_until(
+      [&] { return static_cast<bool>(lanes.emplace_back(listener.accept())) || (lanes.pop_back(), false); },
+      "its connection");
   serves();
   std::list<BusyClient> clients;
   for (CallId i = 0; i < 6; ++i) clients.emplace_back(address, (i + 1) << 32, i >= 4);
