--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -37,7 +37,7 @@
     planner->news({1, true, {host(listener, 0), host(second, 1)}});
     wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
     wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-    settle(3);
+    run_passes(3);
     gateway = caller();
     gateway.send(setup(0xaa, "d"));
     wait_to_receive(server, "offer");
@@ -79,7 +79,7 @@
     Peer helper = caller();
     for (CallId call = 0xb0; lanes.size() < 3 && call < 0xb8; ++call) {
       gateway.send(setup(call, "d"));
-      settle(10);
+      run_passes(10);
       offered();
     }
     for (Peer& lane : lanes) from = &lane != retried ? &lane : from;
@@ -89,7 +89,7 @@
   from->send(line("end", kId, "\"why\":" + std::to_string(GetParam().cause)));
   std::optional<Time> gave_up;
   for (int pass = 0; pass < 100; ++pass) {
-    settle(1);
+    run_passes(1);
     moved_on += milliseconds(3);
     if (given_up() && !gave_up) gave_up = loop.now();
     if (count(other.received(), kId) == before) continue;
@@ -131,9 +131,9 @@
   wait_to_receive(server, "offer");
   gateway.send(setup(0xbb, "d"));
   wait_until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
-  settle(3);
+  run_passes(3);
   other.send(line("end", kId, "\"why\":16"));
-  settle();
+  run_passes();
   EXPECT_EQ(gateway.received(), "");
   server.send(line("accept", kId, "\"desc\":\"s\""));
   wait_to_receive(gateway, kAnswered + binary(12, 0xaa, {{208, "\x10"}}));
@@ -146,22 +146,22 @@
   planner->news({1, true, {host(listener, 0), host(second, 1)}});
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-  settle(3);
+  run_passes(3);
   gateway = caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   moved_on += milliseconds(400);
-  settle(3);
+  run_passes(3);
   server.send(line("end", kId, "\"why\":16"));
-  settle(3);
+  run_passes(3);
   for (int tenths = 0; tenths < 10; ++tenths) {
     moved_on += milliseconds(100);
-    settle(3);
+    run_passes(3);
   }
   EXPECT_EQ(gateway.received(), binary(12, 0xaa, {{208, std::string(1, 41)}}));
   EXPECT_EQ(other.received(), "");
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  settle();
+  run_passes();
   EXPECT_EQ(count(gateway.received(), kAnswered.substr(2)), 0u);
 }
 
@@ -172,16 +172,16 @@
   planner->news({1, true, {host(listener, 0), host(second, 1)}});
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-  settle(3);
+  run_passes(3);
   gateway = caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   moved_on += milliseconds(900);
-  settle(3);
+  run_passes(3);
   server.send(line("end", kId, "\"why\":41"));
-  settle(3);
+  run_passes(3);
   moved_on += milliseconds(600);
-  settle(3);
+  run_passes(3);
   server.send(line("accept", kId, "\"desc\":\"s\""));
   wait_to_receive(gateway, kAnswered + binary(12, 0xaa, {{208, std::string(1, 41)}}));
   EXPECT_EQ(other.received(), "");
@@ -192,16 +192,16 @@
   planner->news({1, true, {host(listener, 0), host(second, 1)}});
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-  settle(3);
+  run_passes(3);
   gateway = caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   server.send(line("end", kId, "\"why\":16"));
-  settle(3);
+  run_passes(3);
   server.reset();
   wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
   moved_on += milliseconds(400);
-  settle();
+  run_passes();
   EXPECT_EQ(offered() + count(other.received(), kId), 0u);
 }
 
@@ -245,19 +245,19 @@
     return lanes.size();
   };
   wait_until([&] { return accepted() == 1; }, "the first connection");
-  settle();
+  run_passes();
   const Time far = loop.now() + std::chrono::hours(1);
   servers.offer(id, {0xbb, "voice", "1", "d", far});
   servers.offer(id, {0xcc, "voice", "1", "d", far});
   wait_until([&] { return accepted() == 2; }, "the second connection");
-  settle();
+  run_passes();
   servers.offer(id, {0xaa, "voice", "1", "d", far, 0});  // on the second: nothing is out there yet
   servers.offer(id, {0xdd, "voice", "1", "d", far});
   servers.offer(id, {0xee, "voice", "1", "d", far});
-  settle();
+  run_passes();
   servers.end(id, 0xaa, cause::kNormal);
   servers.offer(id, {0xaa, "voice", "1", "d", far, 1});
-  settle();
+  run_passes();
   for (Peer& lane : lanes) {
     const std::string& heard = lane.received();
     const auto release = heard.find(line("end", kId, "\"why\":16"));
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -58,7 +58,7 @@
 TEST_F(Program, ASetupWhoseCallerLeftWhileItsConnectionWasMadeIsNotSent) {
   Peer gateway = caller_before_the_connection();
   gateway.close();
-  settle();
+  run_passes();
   EXPECT_EQ(planner->owed(), 0u);
   EXPECT_EQ(listener.accept().received(), "");
 }
@@ -68,22 +68,22 @@
   const HeldClock held;
   Peer early = caller(), late = caller();
   early.send(setup(0xbb, "d"));
-  settle(3);
+  run_passes(3);
   ASSERT_EQ(planner->owed(), 1u);
   early.close();
-  settle(3);
+  run_passes(3);
   open_server();
   late.send(setup(0xaa, "d"));
   wait_to_receive(server, kId);
   EXPECT_EQ(count(server.received(), "offer"), 1u);
   server.reset();
-  settle(3);  // the guard holds: the clock stands still
+  run_passes(3);  // the guard holds: the clock stands still
   ASSERT_EQ(planner->owed(), 1u);
   late.close();
-  settle(3);
+  run_passes(3);
   moved_on += std::chrono::seconds(1);
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
-  settle();
+  run_passes();
   EXPECT_EQ(server.received(), "");
 }
 
@@ -94,7 +94,7 @@
   moved_on += milliseconds(3001);
   const std::string failed = binary(12, 0xaa, {{208, "\x12"}});
   wait_to_receive(gateway, failed);
-  settle();
+  run_passes();
   EXPECT_EQ(gateway.received(), failed) << "one final answer";
   EXPECT_EQ(listener.accept().received(), "");
 }
@@ -108,12 +108,12 @@
 TEST_F(NothingCalledOff, ASetupWhoseCallerLeftBeforeItWasSentIsNotSent) {
   Peer gateway = caller_before_the_connection();
   gateway.close();
-  settle();
+  run_passes();
   server = listener.accept();
   Peer other = caller();
   other.send(setup(0xbb, "d") + binary(12, 0xbb, {{208, "\x10"}}));
   wait_to_receive(other, binary(16, 0xbb));
-  settle();
+  run_passes();
   EXPECT_EQ(server.received(), "");
 }
 
@@ -125,7 +125,7 @@
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   gateway.close();
-  settle();
+  run_passes();
   again.send(setup(0xaa, "d"));
   wait_to_receive(again, binary(12, 0xaa, {{208, std::string(1, 42)}, {192, "1000"}}));
   EXPECT_TRUE(front->idle());
@@ -152,7 +152,7 @@
   const ServerId id = host(listener, 0).entry.id;
   servers.keep(id);
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
-  settle();
+  run_passes();
   const Time far = loop.now() + std::chrono::hours(1);
   CallId last = 0;
   bool stuck = false;
@@ -190,7 +190,7 @@
   ::setsockopt(stream.descriptor(), SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
   stream.limit_output(4 << 20);
   stream.send({std::string(3 << 20, 'x'), {}, 0});
-  settle(3);
+  run_passes(3);
   ASSERT_FALSE(stream.interest() & POLLIN);
   other.half_close();
   wait_until([&] { return owner.ended; }, "the end");
@@ -207,7 +207,7 @@
   Peer first = caller(), second = caller();
   first.send(kTest);
   wait_to_receive(first, kPassed);
-  settle(3);
+  run_passes(3);
   second.send(kTest);
   wait_to_receive(second, kPassed);
   first.send(setup(0xaa, "d"));
@@ -274,7 +274,7 @@
   Peer gateway = caller();
   gateway.send(kTest);
   wait_to_receive(gateway, kPassed);
-  settle(3);
+  run_passes(3);
   loop.at(loop.now() + milliseconds(1), [&] { gateway.send(setup(0xaa, "d")); });
   moved_on += std::chrono::seconds(11);
   wait_to_receive(server, "offer");
@@ -292,17 +292,17 @@
   Peer gateway = caller();
   const std::string whole = setup(0xaa, "d");
   gateway.send(whole.substr(0, 20));
-  settle();
+  run_passes();
   EXPECT_FALSE(front->idle());
   drain.stop(loop.now(), StopSchedule(std::chrono::seconds(9), milliseconds(1500)));
   moved_on += milliseconds(1600);
-  settle();
+  run_passes();
   ASSERT_FALSE(gateway.ended());
   gateway.send(whole.substr(20));
   wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
   wait_to_receive(gateway, answered(0xaa));
-  settle();
+  run_passes();
   EXPECT_TRUE(front->idle());
 }
 
@@ -318,10 +318,10 @@
   wait_until([this] { return planner->targets_disabled() == 1; }, "the loss");
   Peer fresh = listener.accept_next();
   fresh.reset();
-  settle();
+  run_passes();
   moved_on += milliseconds(500);
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
-  settle();
+  run_passes();
   EXPECT_EQ(gateway.received(), "");
   server.send(line("end", kId, "\"why\":16"));
   wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
@@ -336,7 +336,7 @@
   std::optional<NoDescriptorLeft> none(std::in_place);
   servers.keep(id);
   servers.offer(id, {0xaa, "voice", "1", "d", loop.now() + milliseconds(5000)});
-  settle();
+  run_passes();
   EXPECT_EQ(owner.dead + owner.broken, 0);
   none.reset();
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
@@ -369,7 +369,7 @@
   const FullBacklog full(listener.address());
   for (int half_seconds = 0; half_seconds < 16; ++half_seconds) {
     moved_on += milliseconds(500);
-    settle(5);
+    run_passes(5);
   }
   EXPECT_EQ(count(gateway.received(), binary(12, 0xaa).substr(2)), 1u);
 }
@@ -390,7 +390,7 @@
   for (int half_seconds = 0; half_seconds < 16 && !fresh; ++half_seconds) {
     other.send("{\"op\":\"group\",\"call\":\"\",\"with\":{\"load\":\"queue:0\"}}\n");
     moved_on += milliseconds(500);
-    settle(5);
+    run_passes(5);
     fresh = listener.accept();
   }
   ASSERT_TRUE(static_cast<bool>(fresh)) << "no connection was opened within 8 s";
@@ -413,7 +413,7 @@
   for (int half_seconds = 0; half_seconds < 16; ++half_seconds) {
     other.send("{\"op\":\"group\",\"call\":\"\",\"with\":{\"load\":\"queue:0\"}}\n");
     moved_on += milliseconds(500);
-    settle(5);
+    run_passes(5);
   }
   EXPECT_EQ(count(gateway.received(), binary(12, 0xaa).substr(2)), 1u);
 }
@@ -428,7 +428,7 @@
   std::vector<Peer> tests;
   for (int half_seconds = 0; half_seconds < 18; ++half_seconds) {
     moved_on += milliseconds(500);
-    settle(5);
+    run_passes(5);
     while (Peer more = listener.accept()) tests.push_back(std::move(more));
   }
   EXPECT_EQ(gateway.received(), "");
@@ -446,7 +446,7 @@
   wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
   moved_on += milliseconds(3001);
-  settle();
+  run_passes();
   EXPECT_EQ(gateway.received(), answered(0xaa));
   EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u);
 }
@@ -468,7 +468,7 @@
   wait_to_receive(other, "00000000000000bb");
   other.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
   wait_to_receive(gateway, answered(0xbb));
-  settle();
+  run_passes();
   EXPECT_EQ(gateway.received(), binary(12, 0xaa, {{208, std::string(1, 41)}}) + answered(0xbb));
 }
 
@@ -509,9 +509,9 @@
     const std::string trickled = whole_head ? event : head + event;
     for (std::size_t i = 0; i < 5 && !first.ended(); ++i) {
       first.send(trickled.substr(i, 1));
-      settle(3);
+      run_passes(3);
       moved_on += milliseconds(1000);
-      settle(3);
+      run_passes(3);
     }
     wait_until([&] { return static_cast<bool>(second = at.accept()); }, "the second");
     second.send(head + event);
@@ -531,9 +531,9 @@
   for (const char* part :
        {"HTTP/1.1 200 OK\r\n", "\r\n:", " \ndata: {\"index\":5,\"endpoints\":", "{\"hosts\":[]}}\n\n"}) {
     stream.send(part);
-    settle(3);
+    run_passes(3);
     moved_on += milliseconds(1500);
-    settle(3);
+    run_passes(3);
   }
   EXPECT_EQ(told, 5u);
   EXPECT_FALSE(stream.ended());
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -468,7 +468,7 @@
   wait_to_receive(server, "00000000000000aa");
   planner->news({2, true, {host(listener, 0, Availability::draining)}});
   gateway.send(setup(0xbb, "d"));
-  settle();
+  run_passes();
   EXPECT_EQ(gateway.received(), "") << "it is not held: this test shows nothing";
   EXPECT_NE(add(R"("number":"7f*","control":{"block":true})").find("\"taken\":1"), std::string::npos);
   wait_until([&] { return !gateway.received().empty(); }, "the refusal");
@@ -510,7 +510,7 @@
     deaf.send("{\"v\":1,\"op\":\"gap.list\"}\n");
     loop.pass(milliseconds(1));
   }
-  settle();
+  run_passes();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "00000000000000aa");
@@ -531,7 +531,7 @@
   for (Peer& each : gone) {
     for (int i = 0; i < 12; ++i) each.send("{\"v\":1,\"op\":\"gap.list\"}\n");
   }
-  settle(60);
+  run_passes(60);
   for (Peer& each : gone) each.reset();
   operation.reset();
   Peer gateway = caller();
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -183,7 +183,7 @@
     }
     FAIL() << "never came: " << what;
   }
-  void settle(int passes = 30) {
+  void run_passes(int passes = 30) {
     for (int i = 0; i < passes; ++i) loop.pass(milliseconds(1));
   }
   static Host host(const Listener& at, int number, Availability state = Availability::ready) {
@@ -201,7 +201,7 @@
   void open_server() {
     planner->news({1, true, {host(listener, 0)}});
     wait_until([this] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-    settle(3);
+    run_passes(3);
   }
   Peer caller() { return Peer::connect(front->address()); }
   // A caller whose set-up 0xaa waits for the connection to the one server, which is up and not yet seen to
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -61,7 +61,7 @@
   EXPECT_FALSE(busy.ended());  // its request is answered first
   server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
   wait_to_receive(busy, binary(9, 0xaa, {{210, "s"}}));
-  settle(30);
+  run_passes(30);
   EXPECT_FALSE(busy.ended());  // its call stands, and its end is to be told on it
   server.send(line("end", "00000000000000aa", "\"why\":16"));
   wait_to_receive(busy, binary(12, 0xaa, {{208, "\x10"}}));
@@ -117,10 +117,10 @@
                std::string::npos;
       },
       "the line");
-  settle(100);
+  run_passes(100);
   EXPECT_EQ(count(text(), "still open"), 1u);
   asking.close();
-  settle(5);
+  run_passes(5);
 }
 
 TEST_F(Operations, CallersThatSayNothingNeitherBlockNorHoldIt) {
@@ -150,7 +150,7 @@
   for (std::size_t cut = 1; cut < good.size(); cut += 3) {
     Peer peer = Peer::connect(management.address());
     peer.send(good.substr(0, cut));
-    settle(2);
+    run_passes(2);
     peer.send(good.substr(cut));
     wait_until([&] { return peer.ended(); }, "the answer");
     EXPECT_EQ(status(peer.received()), "200");
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -82,14 +82,14 @@
   server.close();
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   gateway.close();
-  settle();
+  run_passes();
   EXPECT_EQ(count(server.received(), "end"), 0u);
   server.send(line("end", kId, "\"why\":16"));
-  settle();
+  run_passes();
   Peer other = caller();  // the release has waited for an open connection
   wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
   server.send(line("end", kId, "\"why\":16"));  // told on the next connection as well
-  settle();
+  run_passes();
   EXPECT_EQ(other.received(), binary(12, 0xaa, {{208, "\x10"}}));
 }
 
@@ -97,7 +97,7 @@
 TEST_F(Program, TheEndOfACallFromBeforeTheStartIsPassedOn) {
   open_server();
   Peer gateway = caller();
-  settle();
+  run_passes();
   server.send(line("end", kId, "\"why\":16"));
   wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
@@ -108,7 +108,7 @@
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d") + binary(12, 0xaa, {{208, "\x10"}}));
   wait_to_receive(gateway, binary(16, 0xaa));
-  settle();
+  run_passes();
   EXPECT_EQ(server.received(), "");
 }
 
@@ -187,7 +187,7 @@
                                       [&](const FleetNews& news) { told.push_back(news.index); });
   const std::string event =
       R"(data: {"index":5,"endpoints":{"hosts":[{"host":"a","dial":"127.0.0.1:9","health":"in_service"}]}})";
-  settle(3);
+  run_passes(3);
   Peer first = at.accept();
   wait_to_receive(first, "Last-Event-ID: 4\r\n");
   first.send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hi\n\nid: 5\n" + event + "\n\n" +
@@ -203,7 +203,7 @@
   std::snprintf(size, sizeof size, "%zx\r\n", again.size());
   second.send("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + std::string(size) + again +
               "\r\n3\r\n: x\r\n");
-  settle();
+  run_passes();
   EXPECT_EQ(told, std::vector<std::uint64_t>{5});
 }
 
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -40,7 +40,7 @@
   for (CallId call = 0; call <= 6; ++call) all += failed(call);
   wait_to_receive(bad, failed(6));
   EXPECT_EQ(bad.received(), all);
-  settle();
+  run_passes();
   EXPECT_EQ(server.received(), "");
 }
 
@@ -76,7 +76,7 @@
   server.take_received();
   stand(gateway);
   gateway.close();
-  settle();
+  run_passes();
   server.send(line("end", "00000000000000aa", "\"why\":16"));
   wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
   EXPECT_EQ(silent.received(), "");
@@ -112,7 +112,7 @@
   stream.limit_output(4 << 20);
   EXPECT_TRUE(stream.interest() & POLLIN);
   stream.send({std::string(3 << 20, 'x'), {}, 0});
-  settle(3);
+  run_passes(3);
   EXPECT_FALSE(stream.interest() & POLLIN);
   const auto taken = [&] { return other.take_received(), (stream.interest() & POLLIN) != 0; };
   wait_until(taken, "room for more");
@@ -227,7 +227,7 @@
   // And a withdrawal is no silence: the connection that owes nothing any more stays.
   gateway.send(binary(12, 0xbb, {{208, "\x10"}}) + binary(12, 0xaa, {{208, "\x10"}}));
   wait_to_receive(server, line("end", "00000000000000aa", "\"why\":16"));
-  settle(300);
+  run_passes(300);
   EXPECT_FALSE(server.ended());
 }
 
@@ -238,7 +238,7 @@
   stand(gateway);
   gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
   wait_to_receive(gateway, binary(16, 0xaa));
-  settle();
+  run_passes();
   server.reset();
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   wait_to_receive(server, line("end", kId, "\"why\":16"));
@@ -260,7 +260,7 @@
   const ServerId id = host(listener, 0).entry.id;
   servers.keep(id);
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the connection");
-  settle();
+  run_passes();
   const Offer offer{0xaa, "voice", "1", "d", loop.now() + milliseconds(5000)};
   servers.offer(id, offer);
   wait_until([&] { return count(server.received(), "offer") == 1; }, "the first attempt");
@@ -271,7 +271,7 @@
   server.reset();
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   wait_to_receive(server, line("end", "00000000000000bb", "\"why\":16"));
-  settle();
+  run_passes();
   EXPECT_EQ(count(server.received(), kId), 0u);
 }
 
@@ -283,7 +283,7 @@
   const std::string answer = line("accept", kId, "\"desc\":\"s\"");
   server.send(line("accept", "00000000000000ff", "\"desc\":\"s\"") + answer + answer);
   wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
-  settle();
+  run_passes();
   EXPECT_EQ(gateway.received(), binary(9, 0xaa, {{210, "s"}}));
   EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u);
 }
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -78,7 +78,7 @@
     wait_to_receive(peer, "s=1\r\n");
     const std::string tag = to_tag(peer.take_received());
     peer.send(request(peer, kind, "ACK", 1, "a1", {}, {}, tag));
-    settle(5);
+    run_passes(5);
     peer.take_received();
     server.take_received();
     return tag;
@@ -227,7 +227,7 @@
   Peer peer = gateway(GetParam());
   std::string call;
   const std::string tag = stand(peer, GetParam(), &call);
-  settle(80);
+  run_passes(80);
   EXPECT_EQ(peer.received(), "") << "the answer was repeated after its ACK";
   peer.send(request(peer, GetParam(), "BYE", 2, "b1", {}, {}, tag));
   wait_to_receive(peer, "SIP/2.0 200");
@@ -257,7 +257,7 @@
   const std::string call = offered();
   server.send(line("accept", call, "\"desc\":\"s\"") + line("end", call, "\"why\":41"));
   wait_to_receive(peer, "SIP/2.0 200");
-  settle(5);
+  run_passes(5);
   EXPECT_EQ(count(peer.received(), "BYE sip:"), 0u);
   peer.send(request(peer, TransportKind::udp, "ACK", 1, "a1", {}, {}, to_tag(peer.received())));
   wait_to_receive(peer, "BYE sip:");
@@ -273,7 +273,7 @@
   EXPECT_NE(peer.received().find("SIP/2.0 200"), std::string::npos);
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
   server.send(line("accept", call, "\"desc\":\"s\""));
-  settle();
+  run_passes();
   EXPECT_EQ(count(peer.received(), "\r\nCSeq: 1 INVITE"),
             count(peer.received(), "SIP/2.0 100") + count(peer.received(), "SIP/2.0 487"));
 }
@@ -288,7 +288,7 @@
   peer.send(first);
   const std::string call = offered();
   peer.reset();
-  settle();
+  run_passes();
   EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u) << "the drop gave the call up";
   server.send(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
   Peer back;
@@ -304,9 +304,9 @@
   peer.send(invite(peer, TransportKind::udp, "X-Call-Class: no-such\r\n"));
   wait_until([&] { return count(peer.received(), "SIP/2.0 500") >= 2; }, "a repeated failure");
   peer.send(request(peer, TransportKind::udp, "ACK", 1, "i1", {}, {}, "x"));
-  settle(5);
+  run_passes(5);
   peer.take_received();
-  settle(100);
+  run_passes(100);
   EXPECT_EQ(peer.received(), "");
 }
 
