--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -312,7 +312,7 @@
 TEST_F(Program, AConnectionResetAsItComesUpCutsNoCall) {
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   server.reset();
   // The loss is seen, and in the same pass a new one set out, which the kernel has up before the next.
   wait_until([this] { return planner->targets_disabled() == 1; }, "the loss");
@@ -347,7 +347,7 @@
 TEST_F(Program, AReleaseThatWaitsForAConnectionHoldsTheStop) {
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   EXPECT_TRUE(planner->idle());
   server.reset();
   gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
@@ -365,7 +365,7 @@
   const HeldClock held;
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   const FullBacklog full(listener.address());
   for (int half_seconds = 0; half_seconds < 16; ++half_seconds) {
     moved_on += milliseconds(500);
@@ -424,7 +424,7 @@
   const HeldClock held;
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   std::vector<Peer> tests;
   for (int half_seconds = 0; half_seconds < 18; ++half_seconds) {
     moved_on += milliseconds(500);
@@ -459,7 +459,7 @@
   Listener second;
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
   planner->news({9, true, {host(second, 1)}});
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -21,7 +21,7 @@
   }
   Peer standing() {
     Peer gateway = caller();
-    stand(gateway);
+    establish_call(gateway);
     return gateway;
   }
 
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -218,7 +218,7 @@
     wait_until([&] { return peer.received().find(text) != std::string::npos; }, text.c_str());
   }
   // The call 0xaa of this caller stands; what both sides have heard so far is taken off.
-  void stand(Peer& gateway) {
+  void establish_call(Peer& gateway) {
     gateway.send(setup(0xaa, "d"));
     wait_to_receive(server, "offer");
     server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -34,7 +34,7 @@
 TEST_F(Operations, TheFiguresCountWhatWasServedAndSent) {
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   const std::string figures = get("/v1/metrics");
   EXPECT_EQ(status(figures), "200");
   const std::string body = figures.substr(figures.find("\r\n\r\n") + 4);
@@ -96,7 +96,7 @@
 TEST_F(Operations, WhatADrainStillHoldsAfterFourSecondsIsLogged) {
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   std::FILE* const lines = std::tmpfile();
   Logger told(lines);
   BinaryFront drained(loop, told, *planner, any_port(), 8, 1 << 20);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -68,7 +68,7 @@
 TEST_F(Program, CallsOfAServerThatDiedAreOver) {
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   listener.close();
   server.reset();
   wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
@@ -78,7 +78,7 @@
 TEST_F(Program, ACallThatStandsSurvivesItsConnectionsOnBothSides) {
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   server.close();
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   gateway.close();
@@ -137,7 +137,7 @@
 TEST_F(Program, ADrainingServerGetsNothingNewAndAGoneOneLosesItsCalls) {
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   planner->news({2, false, {host(listener, 0, Availability::draining)}});
   gateway.take_received();
   gateway.send(setup(0xbb, "d", "60"));
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -74,7 +74,7 @@
   server.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
   wait_to_receive(other, binary(9, 0xbb, {{210, "s"}}));
   server.take_received();
-  stand(gateway);
+  establish_call(gateway);
   gateway.close();
   run_passes();
   server.send(line("end", "00000000000000aa", "\"why\":16"));
@@ -235,7 +235,7 @@
 TEST_F(Program, AReleaseOutlivesItsConnection) {
   open_server();
   Peer gateway = caller();
-  stand(gateway);
+  establish_call(gateway);
   gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
   wait_to_receive(gateway, binary(16, 0xaa));
   run_passes();
