--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -759,7 +759,7 @@
   };
 
   start(config());
-  serves();
+  wait_until_serving();
   EXPECT_NE(process_file("status").find("Threads:\t1\n"), std::string::npos);
   EXPECT_EQ(process_file("maps").find("libcurl"), std::string::npos);
   ::kill(pid, SIGKILL);
--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -284,7 +284,7 @@
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
   wait_until([&] { return static_cast<bool>(other = second.accept()); },
              "its connection to the other server");
-  serves();
+  wait_until_serving();
   Peer gateway = Peer::connect(address);
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -566,7 +566,7 @@
   start(config(), {"--control", directory + "/control.toml"});
   Peer server;
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-  serves();
+  wait_until_serving();
   const auto command = [&](std::vector<std::string> words, int wanted) {
     words.insert(words.begin(), "gap");
     words.insert(words.end(), {"--control", address_text(control)});
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -186,7 +186,7 @@
   const sockaddr_in old_management = free_address(), new_management = free_address();
   ::setenv("NODE_MANAGEMENT", address_text(old_management).c_str(), 1);
   start(config());
-  serves();
+  wait_until_serving();
   ::setenv("NODE_MANAGEMENT", address_text(new_management).c_str(), 1);
   const pid_t next = spawn({}, "next");
   ::unsetenv("NODE_MANAGEMENT");
@@ -224,7 +224,7 @@
   ::unsetenv("NODE_MANAGEMENT");
   Peer server;
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-  serves();
+  wait_until_serving();
   const auto figures = [&] {
     Peer peer = Peer::connect(management);
     peer.send("GET /v1/metrics HTTP/1.1\r\n\r\n");
--- a/tests/process.hpp
+++ b/tests/process.hpp
@@ -79,14 +79,14 @@
     FAIL() << "never came: " << what;
   }
   // It listens: its connections to setup servers come before that.
-  void serves() {
+  void wait_until_serving() {
     wait_until([&] { return log().find("serving at") != std::string::npos; }, "the start");
   }
   // Started, and the call 0xaa of `gateway` is out at `server`.
   void start_with_a_call(Peer& server, Peer& gateway) {
     start(config());
     wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-    serves();
+    wait_until_serving();
     gateway = Peer::connect(address);
     gateway.send(setup(0xaa, "d"));
     wait_to_receive(server, "00000000000000aa");
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -58,7 +58,7 @@
   start(config());
   Peer server, stream;
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-  serves();
+  wait_until_serving();
   wait_until([&] { return static_cast<bool>(stream = coordinator.accept()); }, "its stream");
   wait_to_receive(stream, "Last-Event-ID: 1\r\n");
   Peer gateway = Peer::connect(address);
@@ -106,7 +106,7 @@
   std::string text = config();
   const auto known = text.find(",\"known\"");
   start(text.erase(known, text.find(",\"settings\"") - known));
-  serves();
+  wait_until_serving();
   Peer gateway = Peer::connect(address);
   gateway.send(kTest);
   wait_to_receive(gateway, binary(53, 7, {{208, std::string(1, 0)}}));
@@ -132,7 +132,7 @@
   refused.replace(refused.find(at), at.size(), address_text(free_address()));
   for (const std::string& each : {refused, text}) {
     start(each);
-    serves();
+    wait_until_serving();
     Peer gateway = Peer::connect(address), server;
     gateway.send(kTest);
     wait_to_receive(gateway, kPassed);
@@ -155,7 +155,7 @@
   Peer server, watch;
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
   wait_until([&] { return static_cast<bool>(watch = coordinator.accept()); }, "its watch");
-  serves();
+  wait_until_serving();
   const rlimit few{24, 1024};  // the hard one is the sanitizer's (sanitizer_pipe.cpp)
   ASSERT_EQ(::prlimit(pid, RLIMIT_NOFILE, &few, nullptr), 0);
   std::vector<Peer> idle;
@@ -202,7 +202,7 @@
   std::string text = config();
   text.replace(text.find("\"cancelling\""), 12, "\"cancel\":true,\"cancelling\"");
   start(text);
-  serves();
+  wait_until_serving();
   EXPECT_EQ(count(log(), "settings that mean nothing here: limits.cancel\n"), 1u);
 }
 
--- a/tests/stop_test.cpp
+++ b/tests/stop_test.cpp
@@ -109,7 +109,7 @@
   wait_until(
       [&] { return static_cast<bool>(lanes.emplace_back(listener.accept())) || (lanes.pop_back(), false); },
       "its connection");
-  serves();
+  wait_until_serving();
   std::list<BusyClient> clients;
   for (CallId i = 0; i < 6; ++i) clients.emplace_back(address, (i + 1) << 32, i >= 4);
   const auto step = [&] {
