--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -90,7 +90,7 @@
   std::optional<Time> gave_up;
   for (int pass = 0; pass < 100; ++pass) {
     run_passes(1);
-    moved_on += milliseconds(3);
+    clock_offset += milliseconds(3);
     if (given_up() && !gave_up) gave_up = loop.now();
     if (count(other.received(), kId) == before) continue;
     ASSERT_TRUE(gave_up) << "two attempts of one call are out";
@@ -142,7 +142,7 @@
 // Its answer does not come in time any more: the caller hears of the end within 1 s of it, and the call is
 // not sent again.
 TEST_F(RetriedCall, ACallThatIsOverBeforeItsAnswerIsToldWithinASecond) {
-  const HeldClock held;
+  const FrozenClock held;
   planner->news({1, true, {host(listener, 0), host(second, 1)}});
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
@@ -150,12 +150,12 @@
   gateway = caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
-  moved_on += milliseconds(400);
+  clock_offset += milliseconds(400);
   run_passes(3);
   server.send(line("end", kId, "\"why\":16"));
   run_passes(3);
   for (int tenths = 0; tenths < 10; ++tenths) {
-    moved_on += milliseconds(100);
+    clock_offset += milliseconds(100);
     run_passes(3);
   }
   EXPECT_EQ(gateway.received(), binary(12, 0xaa, {{208, std::string(1, 41)}}));
@@ -168,7 +168,7 @@
 // After so long a reset may be the cut of a call whose answer is still in the server's line: no attempt
 // elsewhere.
 TEST_F(RetriedCall, ALateResetOfASlowServerIsNotSentAgain) {
-  const HeldClock held;
+  const FrozenClock held;
   planner->news({1, true, {host(listener, 0), host(second, 1)}});
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
@@ -176,11 +176,11 @@
   gateway = caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
-  moved_on += milliseconds(900);
+  clock_offset += milliseconds(900);
   run_passes(3);
   server.send(line("end", kId, "\"why\":41"));
   run_passes(3);
-  moved_on += milliseconds(600);
+  clock_offset += milliseconds(600);
   run_passes(3);
   server.send(line("accept", kId, "\"desc\":\"s\""));
   wait_to_receive(gateway, kAnswered + binary(12, 0xaa, {{208, std::string(1, 41)}}));
@@ -200,7 +200,7 @@
   run_passes(3);
   server.reset();
   wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
-  moved_on += milliseconds(400);
+  clock_offset += milliseconds(400);
   run_passes();
   EXPECT_EQ(offered() + count(other.received(), kId), 0u);
 }
@@ -227,7 +227,7 @@
 
 // A release of the first attempt that is read after the retry would end the retry: both go on one connection.
 TEST_F(RetriedCall, ARetryFollowsTheReleaseOfTheAttemptBeforeOnItsConnection) {
-  const HeldClock held;  // a connection that owes answers for 50 ms gets no retry
+  const FrozenClock held;  // a connection that owes answers for 50 ms gets no retry
   struct Nobody : Servers::Owner {
     SetUpOutcome told_of_call(const ServerId&, ServerLine, MessageOrigin) override {
       return SetUpOutcome::settled;
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -65,7 +65,7 @@
 
 // Held for want of a server, and waiting behind the release guard: who left in either is not sent on.
 TEST_F(Program, NothingHeldOrGuardedIsSentForACallerThatLeft) {
-  const HeldClock held;
+  const FrozenClock held;
   Peer early = caller(), late = caller();
   early.send(setup(0xbb, "d"));
   run_passes(3);
@@ -81,7 +81,7 @@
   ASSERT_EQ(planner->owed(), 1u);
   late.close();
   run_passes(3);
-  moved_on += std::chrono::seconds(1);
+  clock_offset += std::chrono::seconds(1);
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   run_passes();
   EXPECT_EQ(server.received(), "");
@@ -89,9 +89,9 @@
 
 // The same crossing with its time-out: nothing goes out after it, and it fails once.
 TEST_F(Program, ASetupThatTimedOutWhileItsConnectionWasMadeIsNotSent) {
-  const HeldClock held;
+  const FrozenClock held;
   Peer gateway = caller_before_the_connection("3000");
-  moved_on += milliseconds(3001);
+  clock_offset += milliseconds(3001);
   const std::string failed = binary(12, 0xaa, {{208, "\x12"}});
   wait_to_receive(gateway, failed);
   run_passes();
@@ -201,7 +201,7 @@
 // At the limit the acceptor has its turn before the callers: a set-up that had arrived by then is not closed
 // upon.
 TEST_F(Program, AnEvictionDoesNotLoseASetupThatHadArrived) {
-  const HeldClock held;
+  const FrozenClock held;
   open_server();
   front->limit(2, 1 << 20);
   Peer first = caller(), second = caller();
@@ -221,7 +221,7 @@
 // Out of descriptors an idle caller makes room for the next one at once, not after the acceptor's rest: the
 // clock stands still.
 TEST_F(Program, WithoutADescriptorAnIdleCallerMakesRoomAtOnce) {
-  const HeldClock held;
+  const FrozenClock held;
   open_server();
   std::vector<Peer> idle;
   for (int i = 0; i < 3; ++i) {
@@ -269,14 +269,14 @@
 
 // The same for one that has been quiet for too long: its set-up arrives after the poll and before the sweep.
 TEST_F(Program, ASweepDoesNotLoseASetupThatHadArrived) {
-  const HeldClock held;
+  const FrozenClock held;
   open_server();
   Peer gateway = caller();
   gateway.send(kTest);
   wait_to_receive(gateway, kPassed);
   run_passes(3);
   loop.at(loop.now() + milliseconds(1), [&] { gateway.send(setup(0xaa, "d")); });
-  moved_on += std::chrono::seconds(11);
+  clock_offset += std::chrono::seconds(11);
   wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
   wait_to_receive(gateway, answered(0xaa));
@@ -285,7 +285,7 @@
 // A set-up of which half has come is taken when the rest comes: neither a drain that empties connections nor
 // a stop may end before it.
 TEST_F(Program, HalfASetupHoldsItsConnectionInADrainAndTheStop) {
-  const HeldClock held;
+  const FrozenClock held;
   open_server();
   Drain drain;
   front->follow_drain(drain);
@@ -295,7 +295,7 @@
   run_passes();
   EXPECT_FALSE(front->idle());
   drain.stop(loop.now(), StopSchedule(std::chrono::seconds(9), milliseconds(1500)));
-  moved_on += milliseconds(1600);
+  clock_offset += milliseconds(1600);
   run_passes();
   ASSERT_FALSE(gateway.ended());
   gateway.send(whole.substr(20));
@@ -319,7 +319,7 @@
   Peer fresh = listener.accept_next();
   fresh.reset();
   run_passes();
-  moved_on += milliseconds(500);
+  clock_offset += milliseconds(500);
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   run_passes();
   EXPECT_EQ(gateway.received(), "");
@@ -362,13 +362,13 @@
 // that stood there may have ended in the first instant, and no release could be sent: its caller hears within
 // 8 s.
 TEST_F(Program, ACallAtAServerThatFallsSilentIsToldOverInTime) {
-  const HeldClock held;
+  const FrozenClock held;
   open_server();
   Peer gateway = caller();
   establish_call(gateway);
   const FullBacklog full(listener.address());
   for (int half_seconds = 0; half_seconds < 16; ++half_seconds) {
-    moved_on += milliseconds(500);
+    clock_offset += milliseconds(500);
     run_passes(5);
   }
   EXPECT_EQ(count(gateway.received(), binary(12, 0xaa).substr(2)), 1u);
@@ -377,7 +377,7 @@
 // One connection is silent, another to the same server brings reports: what ended on the silent one is said
 // again on the next connection that is opened, so one has to be.
 TEST_F(Program, ACallOnASilentConnectionIsToldOverAlthoughAnotherBringsReports) {
-  const HeldClock held;
+  const FrozenClock held;
   open_server();
   Peer gateway = caller(), other;
   gateway.send(setup(0xaa, "d"));
@@ -389,7 +389,7 @@
   Peer fresh;
   for (int half_seconds = 0; half_seconds < 16 && !fresh; ++half_seconds) {
     other.send("{\"op\":\"group\",\"call\":\"\",\"with\":{\"load\":\"queue:0\"}}\n");
-    moved_on += milliseconds(500);
+    clock_offset += milliseconds(500);
     run_passes(5);
     fresh = listener.accept();
   }
@@ -400,7 +400,7 @@
 
 // The same where new connections do not come up: the caller hears within 8 s.
 TEST_F(Program, ACallOnASilentConnectionIsToldOverAlthoughNoNewOneComesUp) {
-  const HeldClock held;
+  const FrozenClock held;
   open_server();
   Peer gateway = caller(), other;
   gateway.send(setup(0xaa, "d"));
@@ -412,7 +412,7 @@
   const FullBacklog full(listener.address());
   for (int half_seconds = 0; half_seconds < 16; ++half_seconds) {
     other.send("{\"op\":\"group\",\"call\":\"\",\"with\":{\"load\":\"queue:0\"}}\n");
-    moved_on += milliseconds(500);
+    clock_offset += milliseconds(500);
     run_passes(5);
   }
   EXPECT_EQ(count(gateway.received(), binary(12, 0xaa).substr(2)), 1u);
@@ -421,13 +421,13 @@
 // The same silence of a server that has nothing to say: connections come up there, so no call is cut, and it
 // is not asked often.
 TEST_F(Program, ACallAtAQuietServerStands) {
-  const HeldClock held;
+  const FrozenClock held;
   open_server();
   Peer gateway = caller();
   establish_call(gateway);
   std::vector<Peer> tests;
   for (int half_seconds = 0; half_seconds < 18; ++half_seconds) {
-    moved_on += milliseconds(500);
+    clock_offset += milliseconds(500);
     run_passes(5);
     while (Peer more = listener.accept()) tests.push_back(std::move(more));
   }
@@ -439,13 +439,13 @@
 
 // The answer and the time-out fall due in one pass: what had come by then counts, and there is one answer.
 TEST_F(Program, AnAnswerInThePassOfItsTimeOutCounts) {
-  const HeldClock held;
+  const FrozenClock held;
   open_server();
   Peer gateway = caller();
   gateway.send(setup(0xaa, "d", "3000"));
   wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
-  moved_on += milliseconds(3001);
+  clock_offset += milliseconds(3001);
   run_passes();
   EXPECT_EQ(gateway.received(), answered(0xaa));
   EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u);
@@ -481,12 +481,12 @@
   Peer first, second, third;
   wait_until([&] { return static_cast<bool>(first = at.accept()); }, "the first");
   wait_to_receive(first, "Last-Event-ID: 4\r\n");
-  moved_on += milliseconds(2300);
+  clock_offset += milliseconds(2300);
   wait_until([&] { return static_cast<bool>(second = at.accept()); }, "the second");
   wait_to_receive(second, "Last-Event-ID: 4\r\n");
   second.send("HTTP/1.1 200 OK\r\n\r\ndata: {\"index\":5,\"endpoints\":{\"hosts\":[]}}\n\n");
   wait_until([&] { return told == 5; }, "event 5");
-  moved_on += milliseconds(2300);
+  clock_offset += milliseconds(2300);
   wait_until([&] { return static_cast<bool>(third = at.accept()); }, "the third");
   wait_to_receive(third, "Last-Event-ID: 5\r\n");
 }
@@ -497,7 +497,7 @@
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
   const std::string event = "data: {\"index\":5,\"endpoints\":{\"hosts\":[]}}\n\n";
   for (const bool whole_head : {false, true}) {
-    const HeldClock held;
+    const FrozenClock held;
     Listener at;
     std::uint64_t told = 4;
     const CoordinatorClient coordinator(loop, log, at.address(), 4,
@@ -510,7 +510,7 @@
     for (std::size_t i = 0; i < 5 && !first.ended(); ++i) {
       first.send(trickled.substr(i, 1));
       run_passes(3);
-      moved_on += milliseconds(1000);
+      clock_offset += milliseconds(1000);
       run_passes(3);
     }
     wait_until([&] { return static_cast<bool>(second = at.accept()); }, "the second");
@@ -521,7 +521,7 @@
 
 // A large list that takes its time, a comment between, is no such response.
 TEST_F(Program, ASlowResponseOfDiscoveryThatGoesOnIsReadOn) {
-  const HeldClock held;
+  const FrozenClock held;
   Listener at;
   std::uint64_t told = 4;
   const CoordinatorClient coordinator(loop, log, at.address(), 4,
@@ -532,7 +532,7 @@
        {"HTTP/1.1 200 OK\r\n", "\r\n:", " \ndata: {\"index\":5,\"endpoints\":", "{\"hosts\":[]}}\n\n"}) {
     stream.send(part);
     run_passes(3);
-    moved_on += milliseconds(1500);
+    clock_offset += milliseconds(1500);
     run_passes(3);
   }
   EXPECT_EQ(told, 5u);
@@ -541,7 +541,7 @@
 
 // Idle callers hold all descriptors while discovery is down: the watch gets one of theirs.
 TEST_F(Program, IdleCallersGiveADescriptorToTheWatch) {
-  const HeldClock held;
+  const FrozenClock held;
   open_server();
   Listener at;
   std::vector<Peer> idle;
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -146,12 +146,12 @@
 
 // The system's clock and what a test has moved it on by, so that nothing has to be slept for. While it is
 // held, it goes on only as it is moved: a slow machine lets nothing fall due.
-inline Duration moved_on{};
-inline std::optional<Time> held_at{};
-inline Time test_clock() { return held_at.value_or(unix_time()) + moved_on; }
-struct HeldClock {
-  HeldClock() { held_at = unix_time(); }
-  ~HeldClock() { held_at.reset(); }
+inline Duration clock_offset{};
+inline std::optional<Time> frozen_at{};
+inline Time test_clock() { return frozen_at.value_or(unix_time()) + clock_offset; }
+struct FrozenClock {
+  FrozenClock() { frozen_at = unix_time(); }
+  ~FrozenClock() { frozen_at.reset(); }
 };
 
 // The program with two classes of call, and one stand-in setup server unless a test adds more.
