--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -38,7 +38,7 @@
     wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
     wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
     run_passes(3);
-    gateway = caller();
+    gateway = connect_caller();
     gateway.send(setup(0xaa, "d"));
     wait_to_receive(server, "offer");
     if (how == Loss::spoilt) server.send("{\"op\":\"accept\",\x01\n");
@@ -76,7 +76,7 @@
   Peer* from = retried;
   if (GetParam().on == On::fresh) {
     // A second call shares the server, so that one more connection opens.
-    Peer helper = caller();
+    Peer helper = connect_caller();
     for (CallId call = 0xb0; lanes.size() < 3 && call < 0xb8; ++call) {
       gateway.send(setup(call, "d"));
       run_passes(10);
@@ -126,7 +126,7 @@
 // first.
 TEST_F(RetriedCall, ACallWhoseReleaseOvertakesItsAnswerIsAnsweredAndThenOver) {
   open_server();
-  gateway = caller();
+  gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   gateway.send(setup(0xbb, "d"));
@@ -147,7 +147,7 @@
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   run_passes(3);
-  gateway = caller();
+  gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   clock_offset += milliseconds(400);
@@ -173,7 +173,7 @@
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   run_passes(3);
-  gateway = caller();
+  gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   clock_offset += milliseconds(900);
@@ -193,7 +193,7 @@
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
   wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
   run_passes(3);
-  gateway = caller();
+  gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   server.send(line("end", kId, "\"why\":16"));
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -56,7 +56,7 @@
 
 // The connection to the server comes up in the very pass in which the caller's closing is read.
 TEST_F(Program, ASetupWhoseCallerLeftWhileItsConnectionWasMadeIsNotSent) {
-  Peer gateway = caller_before_the_connection();
+  Peer gateway = caller_ahead_of_the_connection();
   gateway.close();
   run_passes();
   EXPECT_EQ(planner->owed(), 0u);
@@ -66,7 +66,7 @@
 // Held for want of a server, and waiting behind the release guard: who left in either is not sent on.
 TEST_F(Program, NothingHeldOrGuardedIsSentForACallerThatLeft) {
   const FrozenClock held;
-  Peer early = caller(), late = caller();
+  Peer early = connect_caller(), late = connect_caller();
   early.send(setup(0xbb, "d"));
   run_passes(3);
   ASSERT_EQ(planner->owed(), 1u);
@@ -90,7 +90,7 @@
 // The same crossing with its time-out: nothing goes out after it, and it fails once.
 TEST_F(Program, ASetupThatTimedOutWhileItsConnectionWasMadeIsNotSent) {
   const FrozenClock held;
-  Peer gateway = caller_before_the_connection("3000");
+  Peer gateway = caller_ahead_of_the_connection("3000");
   clock_offset += milliseconds(3001);
   const std::string failed = binary(12, 0xaa, {{208, "\x12"}});
   wait_to_receive(gateway, failed);
@@ -106,11 +106,11 @@
 
 // Where attempts may not be called off, one that has not begun is none.
 TEST_F(NothingCalledOff, ASetupWhoseCallerLeftBeforeItWasSentIsNotSent) {
-  Peer gateway = caller_before_the_connection();
+  Peer gateway = caller_ahead_of_the_connection();
   gateway.close();
   run_passes();
   server = listener.accept();
-  Peer other = caller();
+  Peer other = connect_caller();
   other.send(setup(0xbb, "d") + binary(12, 0xbb, {{208, "\x10"}}));
   wait_to_receive(other, binary(16, 0xbb));
   run_passes();
@@ -121,7 +121,7 @@
 // beside it, and who asks is told so.
 TEST_F(NothingCalledOff, ASetupThatComesAgainBesideItsFirstAttemptIsRefused) {
   open_server();
-  Peer gateway = caller(), again = caller();
+  Peer gateway = connect_caller(), again = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   gateway.close();
@@ -204,14 +204,14 @@
   const FrozenClock held;
   open_server();
   front->limit(2, 1 << 20);
-  Peer first = caller(), second = caller();
+  Peer first = connect_caller(), second = connect_caller();
   first.send(kTest);
   wait_to_receive(first, kPassed);
   run_passes(3);
   second.send(kTest);
   wait_to_receive(second, kPassed);
   first.send(setup(0xaa, "d"));
-  Peer third = caller();
+  Peer third = connect_caller();
   wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
   wait_to_receive(first, answered(0xaa));
@@ -225,11 +225,11 @@
   open_server();
   std::vector<Peer> idle;
   for (int i = 0; i < 3; ++i) {
-    idle.push_back(caller());
+    idle.push_back(connect_caller());
     idle.back().send(kTest);
     wait_to_receive(idle.back(), kPassed);
   }
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   const NoDescriptorLeft none;
   wait_to_receive(server, "offer");
@@ -243,7 +243,7 @@
   front->limit(4, 1 << 20);
   std::vector<Peer> callers;
   for (CallId call = 1; call <= 60; ++call) {
-    callers.push_back(caller());
+    callers.push_back(connect_caller());
     callers.back().send(setup(call, "d"));
   }
   std::vector<Peer> lanes;
@@ -271,7 +271,7 @@
 TEST_F(Program, ASweepDoesNotLoseASetupThatHadArrived) {
   const FrozenClock held;
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(kTest);
   wait_to_receive(gateway, kPassed);
   run_passes(3);
@@ -289,7 +289,7 @@
   open_server();
   Drain drain;
   front->follow_drain(drain);
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   const std::string whole = setup(0xaa, "d");
   gateway.send(whole.substr(0, 20));
   run_passes();
@@ -311,7 +311,7 @@
 // A connection that is reset as it comes up is no refusal: the process there lives, and so do its calls.
 TEST_F(Program, AConnectionResetAsItComesUpCutsNoCall) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   server.reset();
   // The loss is seen, and in the same pass a new one set out, which the kernel has up before the next.
@@ -346,7 +346,7 @@
 // What is to be released at a server is said before a stop ends, although its connection has just broken.
 TEST_F(Program, AReleaseThatWaitsForAConnectionHoldsTheStop) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   EXPECT_TRUE(planner->idle());
   server.reset();
@@ -364,7 +364,7 @@
 TEST_F(Program, ACallAtAServerThatFallsSilentIsToldOverInTime) {
   const FrozenClock held;
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   const FullBacklog full(listener.address());
   for (int half_seconds = 0; half_seconds < 16; ++half_seconds) {
@@ -379,7 +379,7 @@
 TEST_F(Program, ACallOnASilentConnectionIsToldOverAlthoughAnotherBringsReports) {
   const FrozenClock held;
   open_server();
-  Peer gateway = caller(), other;
+  Peer gateway = connect_caller(), other;
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, kId);
   gateway.send(setup(0xbb, "d"));
@@ -402,7 +402,7 @@
 TEST_F(Program, ACallOnASilentConnectionIsToldOverAlthoughNoNewOneComesUp) {
   const FrozenClock held;
   open_server();
-  Peer gateway = caller(), other;
+  Peer gateway = connect_caller(), other;
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, kId);
   gateway.send(setup(0xbb, "d"));
@@ -423,7 +423,7 @@
 TEST_F(Program, ACallAtAQuietServerStands) {
   const FrozenClock held;
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   std::vector<Peer> tests;
   for (int half_seconds = 0; half_seconds < 18; ++half_seconds) {
@@ -441,7 +441,7 @@
 TEST_F(Program, AnAnswerInThePassOfItsTimeOutCounts) {
   const FrozenClock held;
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d", "3000"));
   wait_to_receive(server, "offer");
   server.send(line("accept", kId, "\"desc\":\"s\""));
@@ -458,7 +458,7 @@
 TEST_F(Program, AWholeListWithoutAServerEndsWhatIsThere) {
   Listener second;
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
@@ -546,7 +546,7 @@
   Listener at;
   std::vector<Peer> idle;
   for (int i = 0; i < 5; ++i) {
-    idle.push_back(caller());
+    idle.push_back(connect_caller());
     idle.back().send(kTest);
     wait_to_receive(idle.back(), kPassed);
   }
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -434,7 +434,7 @@
 TEST_F(GapCore, EveryFrontIsToldTheSameAndALiftedGapLetsAllPass) {
   EXPECT_NE(add(R"("number":"7f3a*","control":{"block":true})").find("\"ok\":true,\"taken\":1"),
             std::string::npos);
-  Peer gateway = caller(), udp = Peer::udp(sip_front->address(sip::TransportKind::udp)),
+  Peer gateway = connect_caller(), udp = Peer::udp(sip_front->address(sip::TransportKind::udp)),
        tcp = Peer::connect(sip_front->address(sip::TransportKind::tcp));
   gateway.send(setup(0xaa, "d"));
   udp.send(invite(udp, "UDP", "u1"));
@@ -463,7 +463,7 @@
 
 // A call that waits for a server falls under a gap announced meanwhile; one whose attempt is out does not.
 TEST_F(GapCore, HeldCallsFallUnderAGapAnnouncedWhileTheyWait) {
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "00000000000000aa");
   planner->news({2, true, {host(listener, 0, Availability::draining)}});
@@ -511,7 +511,7 @@
     loop.pass(milliseconds(1));
   }
   run_passes();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "00000000000000aa");
   half.send("ft\",\"id\":\"r1\"}\n");
@@ -534,7 +534,7 @@
   run_passes(60);
   for (Peer& each : gone) each.reset();
   operation.reset();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "00000000000000aa");
 }
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -20,7 +20,7 @@
     wait_until([&] { return planners->ready(); }, "the link");
   }
   Peer standing() {
-    Peer gateway = caller();
+    Peer gateway = connect_caller();
     establish_call(gateway);
     return gateway;
   }
@@ -70,13 +70,13 @@
   planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
   front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
   planners->strays_to(*front);
-  Peer other = caller();
+  Peer other = connect_caller();
   server.send(line("end", "00000000000000aa", "\"why\":16"));
   wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
 TEST_F(Levels, APlannerThatStopsGetsNothingNewAndEndsWhatItHas) {
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
   port->stop();
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -203,11 +203,11 @@
     wait_until([this] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
     run_passes(3);
   }
-  Peer caller() { return Peer::connect(front->address()); }
+  Peer connect_caller() { return Peer::connect(front->address()); }
   // A caller whose set-up 0xaa waits for the connection to the one server, which is up and not yet seen to
   // be.
-  Peer caller_before_the_connection(const std::string& ms = "5000") {
-    Peer gateway = caller();
+  Peer caller_ahead_of_the_connection(const std::string& ms = "5000") {
+    Peer gateway = connect_caller();
     gateway.send(setup(0xaa, "d", ms));
     wait_until([this] { return planner->owed() == 1; }, "the set-up, held");
     loop.defer([this] { planner->news({1, true, {host(listener, 0)}}); });
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -33,7 +33,7 @@
 
 TEST_F(Operations, TheFiguresCountWhatWasServedAndSent) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   const std::string figures = get("/v1/metrics");
   EXPECT_EQ(status(figures), "200");
@@ -51,8 +51,8 @@
   EXPECT_EQ(status(get("/v1/readyz")), "503");  // no list of servers yet
   open_server();
   EXPECT_EQ(status(get("/v1/readyz")), "200");
-  Peer idle = caller();
-  Peer busy = caller();
+  Peer idle = connect_caller();
+  Peer busy = connect_caller();
   busy.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   EXPECT_EQ(status(post("/v1/call-controller/drain")), "200");
@@ -75,7 +75,7 @@
 TEST_F(Operations, ADrainedProcessFailsTheFrontsTestOnTheCallersPortUntilActivate) {
   open_server();
   const auto test = [&] {
-    Peer front_end = caller();
+    Peer front_end = connect_caller();
     front_end.send(binary(52, 7, {{208, std::string(1, 0)}}));
     wait_until([&] { return !front_end.received().empty(); }, "the test's answer");
     return front_end.take_received();
@@ -95,7 +95,7 @@
 // What is on each connection when the drain is looked at from outside is told, once.
 TEST_F(Operations, WhatADrainStillHoldsAfterFourSecondsIsLogged) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   std::FILE* const lines = std::tmpfile();
   Logger told(lines);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_F(Program, ACallIsAnsweredWithTheServersDescriptionAndReleasedWhenItEnds) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "v=0\r\nc=\"x\" \\ \xc3\xa9\r\n"));
   wait_to_receive(server, "\n");
   const std::string offer = server.take_received();
@@ -30,7 +30,7 @@
 // only after the release guard.
 TEST_F(Program, ASetupThatBrokeIsSentAgainAndAnsweredOnce) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   server.reset();
@@ -43,7 +43,7 @@
 
 TEST_F(Program, ALateAnswerToASetupThatWasGivenUpIsReleased) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
@@ -57,7 +57,7 @@
 // The caller's deadline passes with a set-up out: the server hears of it and the caller has one failure.
 TEST_F(Program, ASilentServerCostsTheCallerOneFailureAtItsDeadline) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d", "40"));
   wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 18)}}));
   EXPECT_EQ(count(server.received(), "offer"), 1u);
@@ -67,7 +67,7 @@
 // A process that dies cannot say so: its connection is reset and the next is refused.
 TEST_F(Program, CallsOfAServerThatDiedAreOver) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   listener.close();
   server.reset();
@@ -77,7 +77,7 @@
 // A connection that only broke takes no call with it.
 TEST_F(Program, ACallThatStandsSurvivesItsConnectionsOnBothSides) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   server.close();
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
@@ -86,7 +86,7 @@
   EXPECT_EQ(count(server.received(), "end"), 0u);
   server.send(line("end", kId, "\"why\":16"));
   run_passes();
-  Peer other = caller();  // the release has waited for an open connection
+  Peer other = connect_caller();  // the release has waited for an open connection
   wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
   server.send(line("end", kId, "\"why\":16"));  // told on the next connection as well
   run_passes();
@@ -96,7 +96,7 @@
 // Calls from before a restart are unknown here, and their callers must hear all the same that they are over.
 TEST_F(Program, TheEndOfACallFromBeforeTheStartIsPassedOn) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   run_passes();
   server.send(line("end", kId, "\"why\":16"));
   wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
@@ -105,7 +105,7 @@
 // Both messages are read in one pass: the set-up must not leave after it was given up.
 TEST_F(Program, ASetupGivenUpInTheSamePassNeverLeaves) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d") + binary(12, 0xaa, {{208, "\x10"}}));
   wait_to_receive(gateway, binary(16, 0xaa));
   run_passes();
@@ -114,7 +114,7 @@
 
 TEST_F(Program, AMalformedMessageClosesItsConnectionOnly) {
   open_server();
-  Peer good = caller(), bad = caller();
+  Peer good = connect_caller(), bad = connect_caller();
   bad.send(std::string("\x00\x09\x01", 3) + "12345678" + std::string("\x00\x0b\x01", 3) + "12345678" +
            std::string("\xb4\x00", 2));
   wait_until([&] { return bad.ended(); }, "the close");
@@ -125,7 +125,7 @@
 }
 
 TEST_F(Program, ATestPassesOnceTheServersAreKnown) {
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
   wait_to_receive(gateway, binary(53, 7, {{208, std::string(1, 0)}}));
   open_server();
@@ -136,7 +136,7 @@
 // Nothing new goes to a server that drains, even if the news came in the pass of the call.
 TEST_F(Program, ADrainingServerGetsNothingNewAndAGoneOneLosesItsCalls) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   planner->news({2, false, {host(listener, 0, Availability::draining)}});
   gateway.take_received();
@@ -170,10 +170,10 @@
 TEST_F(Program, IdleCallersMakeRoomForNewOnes) {
   front = std::make_unique<BinaryFront>(loop, log, *planner, any_port(), 2, 1 << 20);
   open_server();
-  Peer idle = caller(), busy = caller();
+  Peer idle = connect_caller(), busy = connect_caller();
   busy.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
-  Peer next = caller();
+  Peer next = connect_caller();
   next.send(binary(52, 7, {{208, std::string(1, 0)}}));
   wait_to_receive(next, binary(53, 7, {{208, "\x01"}}));
   EXPECT_TRUE(idle.ended());
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -15,7 +15,7 @@
 // Neither the body of what no caller sends nor the rest of half a message is awaited, and who says nothing is
 // not kept.
 TEST_F(Program, NothingIsAwaitedOfCallersThatSayNothingWhole) {
-  Peer strange = caller(), half = caller(), silent = caller();
+  Peer strange = connect_caller(), half = connect_caller(), silent = connect_caller();
   strange.send(std::string("\x3f\xff\x7b", 3));
   wait_until([&] { return strange.ended(); }, "the close of a type that callers do not send");
   half.send(binary(52, 7) + "\x01");
@@ -25,7 +25,7 @@
 // What is not sound fails at the front: the setup server would close the connection that all calls share.
 TEST_F(Program, NoServerHearsOfWhatItCannotRead) {
   open_server();
-  Peer bad = caller();
+  Peer bad = connect_caller();
   const std::string far(15900, '\x01');  // six bytes each in a server's line
   const std::vector<std::pair<int, std::string>> sound{
       {180, "voice"}, {182, "5000"}, {190, "dest:0;width:1"}};
@@ -47,7 +47,7 @@
 // An id in use fails for who uses it again, and nobody takes back what another has asked for.
 TEST_F(Program, ASecondSetupUnderAnIdHarmsNoOtherCaller) {
   open_server();
-  Peer good = caller(), bad = caller();
+  Peer good = connect_caller(), bad = connect_caller();
   good.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   bad.send(setup(0xaa, "other") + binary(12, 0xaa, {{208, "\x10"}}));
@@ -68,7 +68,7 @@
 // What ends a call whose caller is gone goes to a caller that has shown itself to be one.
 TEST_F(Program, AReleaseWithoutAHomeGoesToAKnownCaller) {
   open_server();
-  Peer silent = caller(), gateway = caller(), other = caller();
+  Peer silent = connect_caller(), gateway = connect_caller(), other = connect_caller();
   other.send(setup(0xbb, "d"));
   wait_to_receive(server, "offer");
   server.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
@@ -87,7 +87,7 @@
 TEST_F(Program, SetupsThatWaitAreBoundedByTheMemory) {
   planner->limit({10, 100});
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, std::string(60, 'd')));
   wait_to_receive(server, "offer");
   gateway.send(setup(0xbb, std::string(60, 'd')));
@@ -139,7 +139,7 @@
 // or on a new one, and has one answer.
 TEST_F(Program, ASpoiltAnswerCostsOneConnectionAndNoCall) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   const std::string good = line("accept", kId, "\"desc\":\"s\"");
   const std::vector<std::string> spoilt{
       std::string(good).replace(3, 3, "\x01\xfe"),  // noise
@@ -167,7 +167,7 @@
 // Set-ups do not share one fate: those on another connection to the same server go on.
 TEST_F(Program, AConnectionThatBreaksTakesOnlyItsOwnSetups) {
   open_server();
-  Peer gateway = caller(), other;
+  Peer gateway = connect_caller(), other;
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "00000000000000aa");
   gateway.send(setup(0xbb, "d"));
@@ -189,7 +189,7 @@
 // and what was out on it goes again.
 TEST_F(Program, AnOpenConnectionThatBringsNothingIsOfNoMoreUse) {
   open_server();
-  Peer gateway = caller(), other;
+  Peer gateway = connect_caller(), other;
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "00000000000000aa");
   gateway.send(setup(0xbb, "d"));
@@ -214,7 +214,7 @@
 // opens: one has to open after the server knew.
 TEST_F(Program, AfterAConnectionWasClosedFromHereANewOneOpensOnceTheServerKnows) {
   open_server();
-  Peer gateway = caller(), other, fresh;
+  Peer gateway = connect_caller(), other, fresh;
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "00000000000000aa");
   gateway.send(setup(0xbb, "d"));
@@ -234,7 +234,7 @@
 // What was released must not stay standing because the connection broke before it was read.
 TEST_F(Program, AReleaseOutlivesItsConnection) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   establish_call(gateway);
   gateway.send(binary(12, 0xaa, {{208, "\x10"}}));
   wait_to_receive(gateway, binary(16, 0xaa));
@@ -277,7 +277,7 @@
 
 TEST_F(Program, AnswersToWhatWasNeverAskedAreIgnored) {
   open_server();
-  Peer gateway = caller();
+  Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
   wait_to_receive(server, "offer");
   const std::string answer = line("accept", kId, "\"desc\":\"s\"");
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -138,7 +138,7 @@
     }
   }
   Outcome by_binary() {
-    Peer peer = caller();
+    Peer peer = connect_caller();
     peer.send(binary(1, 0xb1,
                      {{180, GetParam().call_class},
                       {182, "1000"},
