--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -25,7 +25,7 @@
  public:
   Question(Loop& loop, const sockaddr_in& to, std::string frame)
       : stream_(std::make_shared<Stream>(loop, to, milliseconds(500), static_cast<Stream::Owner&>(*this),
-                                         Rank::servers)) {
+                                         Priority::servers)) {
     stream_->send({std::move(frame), {}, 0});
   }
   ~Question() override { stream_->close(); }
@@ -34,7 +34,7 @@
   const std::vector<std::string>& answer() const { return answer_; }
 
  private:
-  void arrived(Stream& stream) override {
+  void on_data(Stream& stream) override {
     link::LinkMessage message;
     std::size_t length = 0;
     const auto taken = link::decode(stream.input(), message, length);
@@ -42,7 +42,7 @@
     if (taken == link::Taken::whole) answer_.assign(message.values.begin(), message.values.end());
     over_ = true;
   }
-  void lost(Stream&, Lost) override { over_ = true; }
+  void on_disconnected(Stream&, DisconnectReason) override { over_ = true; }
 
   std::shared_ptr<Stream> stream_;
   std::vector<std::string> answer_;
@@ -325,7 +325,7 @@
   duty::Runner runner(loop, log, member, duty_name_, command_, settings.ending);
   member.set_work(duty_name_, runner);
   member.start();
-  while (!signals.stop_came() && !(once_ && runner.done())) loop.pass(milliseconds(200));
+  while (!signals.stop_requested_at() && !(once_ && runner.done())) loop.pass(milliseconds(200));
   member.leave();
   // The program has the lease's time to end, and no longer.
   for (const Time until = loop.now() + settings.ttl + milliseconds(500);
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -56,7 +56,7 @@
       servers_(loop, log, *this, start_.connect_timeout),
       capacity_(capacity) {
   for (const std::string& name : start_.class_names) counters_.add_class(name);
-  loop_.at_each_end([this] { return send_due(); });
+  loop_.after_each_pass([this] { return send_due(); });
 }
 
 // ---- The list of setup servers
--- a/src/front/management.hpp
+++ b/src/front/management.hpp
@@ -1,8 +1,8 @@
-// The second address: HTTP/1.1 for operators and the platform, one call a connection (RFC 9112). Requests are
-// read by Boost.Beast's parser on the program's own loop, so that the answer never waits for another thread;
-// what is wrong with one gets 400 and a close, never more than kLongestRequest bytes are kept, and a caller
-// that has not finished its request within kLongestWait is closed, as is the oldest one when all places are
-// taken.
+// The management front: HTTP/1.1 (RFC 9112) for operators and the platform on an address of its own, one
+// request per connection. Boost.Beast parses the requests on the program's event loop, so that no answer
+// waits for another thread. A malformed request is answered 400; at most kMaxRequestBytes are buffered for a
+// head or a body. A connection whose request is not complete within kRequestTimeout is closed, as is the
+// oldest one when kMaxConnections are open and another arrives.
 #pragma once
 
 #include <map>
@@ -15,10 +15,10 @@
 
 namespace quartzarch {
 
-// What the calls of the second address ask of the call controller.
-class Operated {
+// Carries out the requests of the management front.
+class ManagementHandler {
  public:
-  virtual ~Operated() = default;
+  virtual ~ManagementHandler() = default;
   virtual bool ready() const = 0;
   virtual std::string metrics() const = 0;  // one JSON object
   virtual void drain() = 0;
@@ -30,18 +30,19 @@
   std::string body{};
 };
 
-// Which call a method and target are: GET /v1/readyz, GET /v1/metrics, POST /v1/call-controller/drain and
-// .../activate; other paths are 404, other methods on known ones 405. A query is ignored.
-Reply route(std::string_view method, std::string_view target, Operated& operated);
+// Dispatches a request: GET /v1/readyz, GET /v1/metrics, POST /v1/call-controller/drain and .../activate.
+// Other paths are answered 404, other methods on known paths 405. HEAD counts as GET; a query string is
+// ignored.
+Reply route(std::string_view method, std::string_view target, ManagementHandler& handler);
 
-class ManagementFront : private Watched, private Stream::Owner {
+class ManagementFront : private IoHandler, private Stream::Owner {
  public:
-  static constexpr std::size_t kLongestRequest = 8 * 1024;
-  static constexpr std::size_t kMostConnections = 32;
-  static constexpr Duration kLongestWait = std::chrono::milliseconds(1000);
+  static constexpr std::size_t kMaxRequestBytes = 8 * 1024;
+  static constexpr std::size_t kMaxConnections = 32;
+  static constexpr Duration kRequestTimeout = std::chrono::milliseconds(1000);
 
   // Throws std::system_error if the address cannot be listened on.
-  ManagementFront(Loop& loop, Logger& log, Operated& operated, const sockaddr_in& listen);
+  ManagementFront(Loop& loop, Logger& log, ManagementHandler& handler, const sockaddr_in& listen);
   ~ManagementFront() override;
 
   sockaddr_in address() const { return bound_address(acceptor_.fd()); }
@@ -50,10 +51,10 @@
   struct Connection;
 
   int descriptor() const override { return acceptor_.fd().get(); }
-  short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
-  void ready(short events) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  short interest() const override { return acceptor_.paused() ? 0 : POLLIN; }
+  void on_ready(short events) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason reason) override;
 
   void answer(Stream& stream, const Reply& reply);
   void close(const Stream* stream);
@@ -61,7 +62,7 @@
 
   Loop& loop_;
   Logger& log_;
-  Operated& operated_;
+  ManagementHandler& handler_;
   Acceptor acceptor_;
   std::map<const Stream*, std::unique_ptr<Connection>> connections_;
   Loop::TimerId sweep_timer_ = 0;
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -13,11 +13,11 @@
 
 Port::Port(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen)
     : loop_(loop), log_(log), core_(core), acceptor_(loop, listen_on(listen)), told_ready_(core.ready()) {
-  loop_.watch(*this, Rank::callers);
+  loop_.watch(*this, Priority::callers);
 }
 
 Port::~Port() {
-  loop_.forget(*this);
+  loop_.unwatch(*this);
   for (auto& [stream, forwarder] : forwarders_) forwarder.stream->close();
 }
 
@@ -34,11 +34,11 @@
   for (auto& [stream, forwarder] : forwarders_) forwarder.stream->send(state());
 }
 
-void Port::ready(short) {
-  Fd fd = acceptor_.next();
+void Port::on_ready(short) {
+  Fd fd = acceptor_.accept();
   if (!fd || forwarders_.size() >= kMostForwarders) return;
   auto stream =
-      std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::callers);
+      std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
   Stream& link = *stream;
   tell_state();  // so that all of them have been told the same
   forwarders_[&link].stream = std::move(stream);
@@ -46,7 +46,7 @@
   for (Segment& segment : std::exchange(homeless_, {})) link.send(std::move(segment));
 }
 
-void Port::arrived(Stream& stream) {
+void Port::on_data(Stream& stream) {
   while (stream.alive()) {
     LinkMessage message;
     std::size_t length = 0;
@@ -57,7 +57,7 @@
     if (taken == Taken::malformed || !take(found->second, message)) {
       log_.line("link: malformed message from a forwarder, connection closed");
       stream.close();
-      return lost(stream, Lost::closed);
+      return on_disconnected(stream, DisconnectReason::closed);
     }
     stream.consume(length);
   }
@@ -87,12 +87,12 @@
   return true;
 }
 
-void Port::lost(Stream& stream, Lost) {
+void Port::on_disconnected(Stream& stream, DisconnectReason) {
   const auto found = forwarders_.find(&stream);
   if (found == forwarders_.end()) return;
   const Forwarder gone = std::move(found->second);
   forwarders_.erase(found);
-  loop_.bury(gone.stream);
+  loop_.keep_until_pass_end(gone.stream);
   log_.line("link: forwarder lost, %zu requests given up", gone.open.size());
   for (const CallId call : gone.open) {
     calls_.erase(call);
--- a/src/link/port.hpp
+++ b/src/link/port.hpp
@@ -13,7 +13,7 @@
 
 namespace quartzarch::link {
 
-class Port : public Front, private Watched, private Stream::Owner {
+class Port : public Front, private IoHandler, private Stream::Owner {
  public:
   // Throws std::system_error if the address cannot be listened on.
   Port(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen);
@@ -38,10 +38,10 @@
   };
 
   int descriptor() const override { return acceptor_.fd().get(); }
-  short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
-  void ready(short events) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  short interest() const override { return acceptor_.paused() ? 0 : POLLIN; }
+  void on_ready(short events) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   bool take(Forwarder& from, const LinkMessage& message);
   Forwarder* owner_of(CallId call);
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,8 +1,9 @@
-// The one loop: poll(2), timers and the steps that end a pass.
+// The event loop of a thread: poll(2), timers and deferred callbacks.
 //
-// A pass takes what is ready in order of rank (news of the servers before what servers say, that before what
-// callers say), then the timers that are due, then the closing steps, in which decisions are carried out and
-// queued bytes written. Nothing that is sent can so be older than news that had already arrived.
+// A pass handles ready descriptors in order of priority (membership updates before messages of setup servers,
+// those before messages of callers), then the timers that are due, then the deferred callbacks, in which
+// decisions are carried out and queued bytes are written. Nothing is therefore sent without regard to an
+// update that has already arrived.
 #pragma once
 
 #include <poll.h>
@@ -16,47 +17,50 @@
 
 namespace quartzarch {
 
-enum class Rank { news, servers, callers };
+// The order in which ready descriptors are handled within a pass, first to last.
+enum class Priority { control, servers, callers };
 
-class Watched {
+// A descriptor registered with the loop: the poll events it waits for and the callback for them.
+class IoHandler {
  public:
-  virtual ~Watched() = default;
+  virtual ~IoHandler() = default;
   virtual int descriptor() const = 0;
   virtual short interest() const = 0;
-  virtual void ready(short events) = 0;
+  virtual void on_ready(short events) = 0;
 };
 
 class Loop {
  public:
-  using Step = std::function<void()>;
+  using Callback = std::function<void()>;
   using TimerId = std::uint64_t;
   using Clock = Time (*)();
 
   explicit Loop(Clock clock = unix_time) : clock_(clock), now_(clock()) {}
 
-  void watch(Watched& watched, Rank rank);
-  void forget(Watched& watched);
+  void watch(IoHandler& handler, Priority priority);
+  void unwatch(IoHandler& handler);
 
-  TimerId at(Time when, Step step);
+  TimerId at(Time when, Callback callback);
   void cancel(TimerId timer);
 
-  // Runs once, at the end of this pass, or of the next one if none is on.
-  void at_end(Step step) { ending_.push_back(std::move(step)); }
-  // Runs at the end of every pass, before the single steps; true if it did something.
-  void at_each_end(std::function<bool()> step) { each_end_.push_back(std::move(step)); }
-  // Asked when a socket cannot be had for want of descriptors: whether one was given back.
-  class Spares {
+  // Runs the callback once, at the end of the current pass, or of the next one if none is running.
+  void defer(Callback callback) { deferred_.push_back(std::move(callback)); }
+  // Runs the callback at the end of every pass, before the deferred ones, and again until none does anything
+  // more; it returns true if it did something.
+  void after_each_pass(std::function<bool()> callback) { after_each_pass_.push_back(std::move(callback)); }
+  // Asked to free a file descriptor when no socket can be created for lack of them; returns whether it did.
+  class DescriptorReclaimer {
    public:
-    virtual ~Spares() = default;
-    virtual bool spare_descriptor() = 0;
+    virtual ~DescriptorReclaimer() = default;
+    virtual bool reclaim_descriptor() = 0;
   };
-  void spare_by(Spares& spares) { spares_.push_back(&spares); }
-  void forget(const Spares& spares) { std::erase(spares_, &spares); }
-  bool spare_descriptor();
-  // Kept until the pass is over: the object may still be on the stack.
-  void bury(std::shared_ptr<void> object) { graves_.push_back(std::move(object)); }
+  void add_reclaimer(DescriptorReclaimer& reclaimer) { reclaimers_.push_back(&reclaimer); }
+  void remove_reclaimer(const DescriptorReclaimer& reclaimer) { std::erase(reclaimers_, &reclaimer); }
+  bool reclaim_descriptor();
+  // Keeps the object alive until the pass is over, since one of its methods may still be on the stack.
+  void keep_until_pass_end(std::shared_ptr<void> object) { kept_alive_.push_back(std::move(object)); }
 
-  // The start of what is being handled; never runs backwards.
+  // The time at which the current pass began to handle events; never goes backwards.
   Time now() const { return now_; }
 
   void pass(Duration longest_wait = std::chrono::seconds(1));
@@ -64,22 +68,22 @@
  private:
   struct Timer {
     TimerId id;
-    Step step;
+    Callback callback;
   };
 
   void read_clock();
-  void fire_timers();
-  void finish();
+  void run_due_timers();
+  void run_deferred();
   int wait_ms(Duration longest_wait) const;
 
-  std::map<Rank, std::vector<Watched*>> watched_;
+  std::map<Priority, std::vector<IoHandler*>> handlers_;
   std::multimap<Time, Timer> timers_;
   std::map<TimerId, std::multimap<Time, Timer>::iterator> timer_of_;
   TimerId last_timer_ = 0;
-  std::vector<Step> ending_;
-  std::vector<std::function<bool()>> each_end_;
-  std::vector<std::shared_ptr<void>> graves_;
-  std::vector<Spares*> spares_;
+  std::vector<Callback> deferred_;
+  std::vector<std::function<bool()>> after_each_pass_;
+  std::vector<std::shared_ptr<void>> kept_alive_;
+  std::vector<DescriptorReclaimer*> reclaimers_;
   Clock clock_;
   Time now_;
 };
--- a/src/net/servers.cpp
+++ b/src/net/servers.cpp
@@ -172,7 +172,7 @@
   if (connection.retry) loop_.cancel(*std::exchange(connection.retry, std::nullopt));
   if (!connection.stream) return;
   connection.stream->close();
-  loop_.bury(std::exchange(connection.stream, nullptr));
+  loop_.keep_until_pass_end(std::exchange(connection.stream, nullptr));
 }
 
 // Opens one more connection, if the limit allows and none is being opened. While a replacement is scheduled,
@@ -192,7 +192,7 @@
   connection.abandoned_since.reset();
   connection.last_received = loop_.now();
   connection.stream = std::make_shared<Stream>(loop_, socket_address(state.server), connect_timeout_,
-                                               static_cast<Stream::Owner&>(*this), Rank::servers);
+                                               static_cast<Stream::Owner&>(*this), Priority::servers);
 }
 
 void Servers::reconnect_after_backoff(ServerState& state, Connection& connection) {
@@ -235,7 +235,7 @@
   // It may still wait in the output queue of its connection, if the server reads nothing.
   for (Connection& connection : found->second.connections) {
     const auto out = connection.in_flight.find(call);
-    if (out == connection.in_flight.end() || !connection.up() || !connection.stream->take_back(call))
+    if (out == connection.in_flight.end() || !connection.up() || !connection.stream->cancel_unsent(call))
       continue;
     connection.in_flight.erase(out);
     return true;
@@ -301,7 +301,7 @@
   connection.stream->send(end_segment(what.offer.call, what.cause));
 }
 
-void Servers::connected(Stream& stream) {
+void Servers::on_connected(Stream& stream) {
   const ConnectionRef at = find_connection(stream);
   if (!at.state) return;
   at.connection->backoff = Duration{0};
@@ -312,7 +312,7 @@
     write(*at.state, *at.connection, what);
 }
 
-void Servers::arrived(Stream& stream) {
+void Servers::on_data(Stream& stream) {
   while (stream.alive()) {
     const std::string_view input = stream.input();
     const auto length = input.find('\n');
@@ -375,7 +375,7 @@
   log_.line("server %s: %s, connection closed", server_text(at.state->server).c_str(), why);
   stream.close();
   schedule_replacement(*at.state);
-  lost(stream, Lost::closed);
+  on_disconnected(stream, DisconnectReason::closed);
 }
 
 // A release that the server was sending on a connection closed from here is repeated on the next one opened,
@@ -392,19 +392,20 @@
 
 // When a connection ends, the set-ups in flight on it are lost, while its established calls go on. The
 // server's process, and its calls with it, count as gone only if the next connection is refused.
-void Servers::lost(Stream& stream, Lost how) {
+void Servers::on_disconnected(Stream& stream, DisconnectReason how) {
   const ConnectionRef at = find_connection(stream);
   if (!at.state) return;
   const ServerId server = at.state->server;
   std::set<CallId> unsent;
   for (const Segment& segment : stream.unsent()) unsent.insert(segment.tag);
-  loop_.bury(std::exchange(at.connection->stream, nullptr));  // `stream` lives until the end of the pass
-  if (stream.came_up()) {
+  loop_.keep_until_pass_end(
+      std::exchange(at.connection->stream, nullptr));  // `stream` lives until the end of the pass
+  if (stream.was_connected()) {
     const auto in_flight = std::exchange(at.connection->in_flight, {});
     const auto releases = std::exchange(at.connection->recent_releases, {});
     at.state->orphaned_calls.merge(std::exchange(at.connection->established_calls, {}));
     log_.line("server %s: connection %s, %zu set-ups out", server_text(server).c_str(),
-              how == Lost::reset ? "reset" : "closed", in_flight.size());
+              how == DisconnectReason::reset ? "reset" : "closed", in_flight.size());
     at.state->connection_lost = true;
     connect(*at.state);
     // Calls that were being released must not stay established: the releases are sent once more, which is
@@ -424,17 +425,18 @@
     }
     return;
   }
-  at.state->connect_timed_out |= how == Lost::timed_out;
+  at.state->connect_timed_out |= how == DisconnectReason::timed_out;
   if (best_connection(*at.state)) return;
   // Queued messages stay queued: the lack is in this process, not at the server.
-  if (how == Lost::unmade) {
+  if (how == DisconnectReason::no_socket) {
     log_.line("server %s: no socket to be had", server_text(server).c_str());
     return connect_after(*at.state, *at.connection, kNoSocketBackoff);
   }
-  const bool process_gone = how == Lost::refused && std::exchange(at.state->connection_lost, false);
+  const bool process_gone =
+      how == DisconnectReason::refused && std::exchange(at.state->connection_lost, false);
   reconnect_after_backoff(*at.state, *at.connection);
   log_.line("server %s: connection %s", server_text(server).c_str(),
-            how == Lost::refused ? "refused" : "not up in time");
+            how == DisconnectReason::refused ? "refused" : "not up in time");
   const auto queued = std::exchange(at.state->queued, {});
   if (process_gone) owner_.on_process_gone(server);
   for (const QueuedMessage& what : queued) {
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -149,9 +149,9 @@
     Connection* connection = nullptr;
   };
 
-  void connected(Stream& stream) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void on_connected(Stream& stream) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   ServerState& state_of(const ServerId& server);
   ConnectionRef find_connection(const Stream& stream);
--- a/src/register/voter_server.hpp
+++ b/src/register/voter_server.hpp
@@ -30,7 +30,7 @@
 // A unique identity, for a voter that was added later or lost its disk.
 VoterId fresh_identity(const std::string& name);
 
-class VoterServer : private Transport, private Watched, private Stream::Owner {
+class VoterServer : private Transport, private IoHandler, private Stream::Owner {
  public:
   struct Settings {
     std::string name{};
@@ -70,10 +70,10 @@
 
   void send(VoterId to, const std::string& address, std::string bytes) override;
   int descriptor() const override { return acceptor_.fd().get(); }
-  short interest() const override { return acceptor_.resting() ? short{0} : POLLIN; }
-  void ready(short events) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  short interest() const override { return acceptor_.paused() ? short{0} : POLLIN; }
+  void on_ready(short events) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   bool handle_frame(Connection& from, const link::LinkMessage& message, std::string_view bytes);
   bool handle_join(const Connection& from);
--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -37,30 +37,32 @@
 
   void lose_the_first_attempt(Loss how) {
     planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
-    until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-    until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-    settle(3);
-    gateway = caller();
-    gateway.say(setup(0xaa, "d"));
-    hears(server, "offer");
-    if (how == Loss::spoilt) server.say("{\"op\":\"accept\",\x01\n");
+    wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+    wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+    run_passes(3);
+    gateway = connect_caller();
+    gateway.send(setup(0xaa, "d"));
+    wait_to_receive(server, "offer");
+    if (how == Loss::spoilt) server.send("{\"op\":\"accept\",\x01\n");
     if (how == Loss::reset) server.reset();
     if (how == Loss::closed) server.close();
-    if (how == Loss::spoilt) until([&] { return server.ended(); }, "the close of the spoilt connection");
+    if (how == Loss::spoilt) wait_until([&] { return server.ended(); }, "the close of the spoilt connection");
     connections.clear();
-    until([&] { return offered() > 0; }, "the retry");
+    wait_until([&] { return offered() > 0; }, "the retry");
     for (Peer& connection : connections)
-      retried = count(connection.heard(), "offer") > 0 ? &connection : retried;
+      retried = count(connection.received(), "offer") > 0 ? &connection : retried;
   }
   // Number of set-ups that the first server has received on connections opened since the loss.
   std::size_t offered() {
     while (Peer more = listener.accept()) connections.push_back(std::move(more));
     std::size_t found = 0;
-    for (Peer& connection : connections) found += count(connection.heard(), "\"offer\"");
+    for (Peer& connection : connections) found += count(connection.received(), "\"offer\"");
     return found;
   }
   // The retry was released, or its connection closed, by this side.
-  bool given_up() { return count(retried->heard(), line("end", kId, "\"why\":16")) > 0 || retried->ended(); }
+  bool given_up() {
+    return count(retried->received(), line("end", kId, "\"why\":16")) > 0 || retried->ended();
+  }
 
   Listener second;
   Peer other, gateway;
@@ -78,30 +80,30 @@
   Peer* from = retried;
   if (GetParam().on == On::fresh) {
     // Further calls to the server make one more connection open.
-    Peer second_caller = caller();
+    Peer second_caller = connect_caller();
     for (CallId call = 0xb0; connections.size() < 3 && call < 0xb8; ++call) {
-      gateway.say(setup(call, "d"));
-      settle(10);
+      gateway.send(setup(call, "d"));
+      run_passes(10);
       offered();
     }
     for (Peer& connection : connections) from = &connection != retried ? &connection : from;
     ASSERT_NE(from, retried);
   }
-  const std::size_t before = count(other.heard(), kId);
-  from->say(line("end", kId, "\"why\":" + std::to_string(GetParam().cause)));
+  const std::size_t before = count(other.received(), kId);
+  from->send(line("end", kId, "\"why\":" + std::to_string(GetParam().cause)));
   std::optional<Time> gave_up;
   for (int pass = 0; pass < 100; ++pass) {
-    settle(1);
-    moved_on += milliseconds(3);
+    run_passes(1);
+    clock_offset += milliseconds(3);
     if (given_up() && !gave_up) gave_up = loop.now();
-    if (count(other.heard(), kId) == before) continue;
+    if (count(other.received(), kId) == before) continue;
     ASSERT_TRUE(gave_up) << "two attempts of one call are out";
     ASSERT_GE(loop.now() - *gave_up, milliseconds(300)) << "too soon after the attempt was given up";
     return;
   }
   if (gave_up) return;
-  retried->say(line("accept", kId, "\"desc\":\"s\""));
-  until([&] { return count(gateway.heard(), kAnswered.substr(2)) == 1; }, "the answer of the retry");
+  retried->send(line("accept", kId, "\"desc\":\"s\""));
+  wait_until([&] { return count(gateway.received(), kAnswered.substr(2)) == 1; }, "the answer of the retry");
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -116,96 +118,96 @@
 // told, so the call is ended on both sides.
 TEST_F(RetriedCall, AnAmbiguousReleaseEndsTheCallOnBothSides) {
   lose_the_first_attempt(Loss::spoilt);
-  retried->say(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, kAnswered);
-  gateway.take();
-  retried->say(line("end", kId, "\"why\":16"));
-  hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
-  hears(*retried, line("end", kId, "\"why\":16"));
+  retried->send(line("accept", kId, "\"desc\":\"s\""));
+  wait_to_receive(gateway, kAnswered);
+  gateway.take_received();
+  retried->send(line("end", kId, "\"why\":16"));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(*retried, line("end", kId, "\"why\":16"));
 }
 
 // A call is answered and ended before its answer was read: the release, sent on another connection, arrives
 // first.
 TEST_F(RetriedCall, ACallWhoseReleaseOvertakesItsAnswerIsAnsweredAndThenEnded) {
   open_server();
-  gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "offer");
-  gateway.say(setup(0xbb, "d"));
-  until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
-  settle(3);
-  other.say(line("end", kId, "\"why\":16"));
-  settle();
-  EXPECT_EQ(gateway.heard(), "");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, kAnswered + binary(12, 0xaa, {{208, "\x10"}}));
+  gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
+  gateway.send(setup(0xbb, "d"));
+  wait_until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
+  run_passes(3);
+  other.send(line("end", kId, "\"why\":16"));
+  run_passes();
+  EXPECT_EQ(gateway.received(), "");
+  server.send(line("accept", kId, "\"desc\":\"s\""));
+  wait_to_receive(gateway, kAnswered + binary(12, 0xaa, {{208, "\x10"}}));
 }
 
 // The answer of a call that has already ended does not arrive in time: the caller is told of the end
 // within 1 s, and the call is not sent again.
 TEST_F(RetriedCall, ACallThatEndsBeforeItsAnswerIsReportedWithinASecond) {
-  const HeldClock held;
+  const FrozenClock held;
   planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-  settle(3);
-  gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "offer");
-  moved_on += milliseconds(400);
-  settle(3);
-  server.say(line("end", kId, "\"why\":16"));
-  settle(3);
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+  run_passes(3);
+  gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
+  clock_offset += milliseconds(400);
+  run_passes(3);
+  server.send(line("end", kId, "\"why\":16"));
+  run_passes(3);
   for (int tenths = 0; tenths < 10; ++tenths) {
-    moved_on += milliseconds(100);
-    settle(3);
+    clock_offset += milliseconds(100);
+    run_passes(3);
   }
-  EXPECT_EQ(gateway.heard(), binary(12, 0xaa, {{208, std::string(1, 41)}}));
-  EXPECT_EQ(other.heard(), "");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
-  settle();
-  EXPECT_EQ(count(gateway.heard(), kAnswered.substr(2)), 0u);
+  EXPECT_EQ(gateway.received(), binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  EXPECT_EQ(other.received(), "");
+  server.send(line("accept", kId, "\"desc\":\"s\""));
+  run_passes();
+  EXPECT_EQ(count(gateway.received(), kAnswered.substr(2)), 0u);
 }
 
 // A late reset may mean that the call was established and cut while its answer is still queued at the server:
 // no attempt is made at another server.
 TEST_F(RetriedCall, ACallResetLateByASlowServerIsNotSentAgain) {
-  const HeldClock held;
+  const FrozenClock held;
   planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-  settle(3);
-  gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "offer");
-  moved_on += milliseconds(900);
-  settle(3);
-  server.say(line("end", kId, "\"why\":41"));
-  settle(3);
-  moved_on += milliseconds(600);
-  settle(3);
-  server.say(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, kAnswered + binary(12, 0xaa, {{208, std::string(1, 41)}}));
-  EXPECT_EQ(other.heard(), "");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+  run_passes(3);
+  gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
+  clock_offset += milliseconds(900);
+  run_passes(3);
+  server.send(line("end", kId, "\"why\":41"));
+  run_passes(3);
+  clock_offset += milliseconds(600);
+  run_passes(3);
+  server.send(line("accept", kId, "\"desc\":\"s\""));
+  wait_to_receive(gateway, kAnswered + binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  EXPECT_EQ(other.received(), "");
 }
 
 // The connection breaks while the answer of an ended call is awaited: the caller is still told, and the call
 // is still not sent again.
 TEST_F(RetriedCall, ACallThatEndsBeforeItsAnswerIsNotSentAgainWhenItsConnectionBreaks) {
   planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-  settle(3);
-  gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "offer");
-  server.say(line("end", kId, "\"why\":16"));
-  settle(3);
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+  run_passes(3);
+  gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
+  server.send(line("end", kId, "\"why\":16"));
+  run_passes(3);
   server.reset();
-  hears(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
-  moved_on += milliseconds(400);
-  settle();
-  EXPECT_EQ(offered() + count(other.heard(), kId), 0u);
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  clock_offset += milliseconds(400);
+  run_passes();
+  EXPECT_EQ(offered() + count(other.received(), kId), 0u);
 }
 
 // Checks the decision table directly, for cases where a test over connections would only repeat it.
@@ -233,7 +235,7 @@
 // If the server read the release of the first attempt after the retry, it would end the retry. So both are
 // sent on one connection, in this order.
 TEST_F(RetriedCall, ARetryFollowsTheReleaseOfTheAttemptBeforeOnItsConnection) {
-  const HeldClock held;  // a connection with answers outstanding for 50 ms gets no retry
+  const FrozenClock held;  // a connection with answers outstanding for 50 ms gets no retry
   struct Nobody : Servers::Owner {
     SetUpOutcome on_call_message(const ServerId&, ServerLine, MessageOrigin) override {
       return SetUpOutcome::settled;
@@ -250,23 +252,23 @@
     if (Peer more = listener.accept()) connections.push_back(std::move(more));
     return connections.size();
   };
-  until([&] { return accepted() == 1; }, "the first connection");
-  settle();
+  wait_until([&] { return accepted() == 1; }, "the first connection");
+  run_passes();
   const Time far = loop.now() + std::chrono::hours(1);
   servers.offer(id, {0xbb, "voice", "1", "d", far});
   servers.offer(id, {0xcc, "voice", "1", "d", far});
-  until([&] { return accepted() == 2; }, "the second connection");
-  settle();
+  wait_until([&] { return accepted() == 2; }, "the second connection");
+  run_passes();
   servers.offer(
       id, {0xaa, "voice", "1", "d", far, 0});  // on the second connection, which has nothing in flight yet
   servers.offer(id, {0xdd, "voice", "1", "d", far});
   servers.offer(id, {0xee, "voice", "1", "d", far});
-  settle();
+  run_passes();
   servers.release(id, 0xaa, cause::kNormal);
   servers.offer(id, {0xaa, "voice", "1", "d", far, 1});
-  settle();
+  run_passes();
   for (Peer& connection : connections) {
-    const std::string& heard = connection.heard();
+    const std::string& heard = connection.received();
     const auto release = heard.find(line("end", kId, "\"why\":16"));
     EXPECT_EQ(release == std::string::npos, heard.find(kId) == std::string::npos);
     if (release == std::string::npos) continue;
@@ -288,28 +290,29 @@
   text.replace(text.find(no_guard), no_guard.size(), "\"release_guard\":300");
   start(text);
   Peer server, other;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "its connection to the other server");
-  serves();
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); },
+             "its connection to the other server");
+  wait_until_serving();
   Peer gateway = Peer::connect(address);
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "offer");
-  server.say("{\"op\":\"accept\",\x01\n");
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
+  server.send("{\"op\":\"accept\",\x01\n");
   std::list<Peer> connections;
   Peer* retried = nullptr;
   const auto retry = [&] {
     while (Peer more = listener.accept()) connections.push_back(std::move(more));
     for (Peer& connection : connections)
-      retried = count(connection.heard(), "offer") > 0 ? &connection : retried;
+      retried = count(connection.received(), "offer") > 0 ? &connection : retried;
     return retried != nullptr;
   };
-  until(retry, "the retry");
-  retried->say("{\"op\":\"end\",\"call\":\"" + kId + "\",\"with\":{},\"why\":16}\n");
-  retried->say("{\"op\":\"accept\",\"call\":\"" + kId + "\",\"with\":{},\"desc\":\"s\"}\n");
-  until([&] { return !gateway.heard().empty() || !other.heard().empty(); },
-        "an answer or an attempt elsewhere");
-  EXPECT_EQ(other.heard(), "") << "an attempt elsewhere while the retry is out";
-  EXPECT_EQ(gateway.heard(), kAnswered);
+  wait_until(retry, "the retry");
+  retried->send("{\"op\":\"end\",\"call\":\"" + kId + "\",\"with\":{},\"why\":16}\n");
+  retried->send("{\"op\":\"accept\",\"call\":\"" + kId + "\",\"with\":{},\"desc\":\"s\"}\n");
+  wait_until([&] { return !gateway.received().empty() || !other.received().empty(); },
+             "an answer or an attempt elsewhere");
+  EXPECT_EQ(other.received(), "") << "an attempt elsewhere while the retry is out";
+  EXPECT_EQ(gateway.received(), kAnswered);
 }
 
 }  // namespace
--- a/tests/duty_faults_test.cpp
+++ b/tests/duty_faults_test.cpp
@@ -24,9 +24,9 @@
     Peer& gateway = gateways_[who];
     if (!gateway) gateway = Peer::connect(caller_address(who[0] - 'a'));
     const CallId id = ++last_call_;
-    gateway.say(setup(id, "d"));
-    hears(gateway, binary(9, id).substr(2));
-    gateway.take();
+    gateway.send(setup(id, "d"));
+    wait_to_receive(gateway, binary(9, id).substr(2));
+    gateway.take_received();
   }
   std::map<std::string, Peer> gateways_;
   CallId last_call_ = 0xaa00;
@@ -69,7 +69,7 @@
 TEST_F(DutyFaults, OneOfTwelveCandidatesHoldsAndEachKilledHolderHasOneSuccessor) {
   start_fleet();
   for (int i = 1; i <= 12; ++i) start_holder("h" + std::to_string(i));
-  until([&] { return !read_effects().empty(); }, "a holder");
+  wait_until([&] { return !read_effects().empty(); }, "a holder");
   for (int deaths = 0; deaths < 4; ++deaths) {
     const std::string holder = read_effects().back().who;
     kill(holder);
@@ -88,15 +88,16 @@
   wait_for_holder("h1");
   const std::string first = leader();
   Peer server;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "a connection to the setup server");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); },
+             "a connection to the setup server");
   fill_disk_of(first);
-  until([&] { return has_state(first, "failed"); }, "the failure reported");
-  until([&] { return leader() != first && !leader().empty(); }, "another leader");
+  wait_until([&] { return has_state(first, "failed"); }, "the failure reported");
+  wait_until([&] { return leader() != first && !leader().empty(); }, "another leader");
   wait_for_effects(400);  // for longer than two leases
   EXPECT_EQ(count_holdings(), 1u);
   Peer gateway = Peer::connect(caller_address(first[0] - 'a'));
-  gateway.say(binary(52, 7, {{208, std::string(1, 0)}}));
-  hears(gateway, binary(53, 7).substr(2));
+  gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
+  wait_to_receive(gateway, binary(53, 7).substr(2));
   free_disk_of(first);  // the disk has room again: no restart is needed
   wait_for_vote(first);
   wait_for_effects(20);
@@ -127,9 +128,9 @@
     };
     gateways_.erase(restarted);
     signal(restarted, SIGTERM);
-    until([&] { return call_the_others() || has_exited(restarted); }, "its end");
+    wait_until([&] { return call_the_others() || has_exited(restarted); }, "its end");
     start_voter(i);
-    until(
+    wait_until(
         [&] {
           return call_the_others() || has_state(restarted, "follower") || has_state(restarted, "leader");
         },
@@ -152,20 +153,20 @@
   wait_for_holder("h1");
   const std::string first = leader();
   signal(first, SIGTERM);
-  until([&] { return has_exited(first); }, "its end");
-  until([&] { return leader() != first && !leader().empty(); }, "another leader");
+  wait_until([&] { return has_exited(first); }, "its end");
+  wait_until([&] { return leader() != first && !leader().empty(); }, "another leader");
   wait_for_effects(20);
   const std::string second = leader();
   start_voter(first[0] - 'a');
   wait_for_vote(first);
   int code = 0;
   std::string said;
-  until(
+  wait_until(
       [&] {
         return said = run_command({"fleet", "lead", first}, &code), code == 0;
       },
       "the requested leadership transfer");
-  until([&] { return leader() == first; }, "the first leader leading again");
+  wait_until([&] { return leader() == first; }, "the first leader leading again");
   wait_for_effects(20);
   EXPECT_EQ(count_holdings(), 1u) << "the duty changed hands";
   run_command({"fleet", "lead", "nobody"}, &code);
@@ -198,7 +199,7 @@
   wait_for_vote("d");
   int code = 0;
   std::string said;
-  until(
+  wait_until(
       [&] {
         return (said = run_command({"fleet", "remove", "d"}, &code)).find("would come back") !=
                std::string::npos;
@@ -209,11 +210,11 @@
   for (int i = 0; i < 3; ++i) restart(i);
   for (const char* const each : {"d", "e"}) {
     kill(each);
-    until([&] { return run_command({"fleet", "remove", each}, &code), code == 0; }, "the removal");
+    wait_until([&] { return run_command({"fleet", "remove", each}, &code), code == 0; }, "the removal");
   }
   kill("b");  // two of three are up
   wait_for_effects(20);
-  until(
+  wait_until(
       [&] {
         return run_command({"fleet", "sessions", "--json"}).find("\"controller\":\"h1\"") !=
                std::string::npos;
--- a/tests/gap_test.cpp
+++ b/tests/gap_test.cpp
@@ -411,10 +411,10 @@
   }
   // Sends a command and returns its reply.
   std::string ask(const std::string& command) {
-    operator_.say(command + "\n");
+    operator_.send(command + "\n");
     std::string reply;
-    until([&] { return operator_.heard().find('\n') != std::string::npos; }, command.c_str());
-    return operator_.take();
+    wait_until([&] { return operator_.received().find('\n') != std::string::npos; }, command.c_str());
+    return operator_.take_received();
   }
   std::string add(const std::string& rest) {
     return ask("{\"v\":1,\"op\":\"gap.add\",\"rule\":{\"id\":\"g\"," + rest + "}}");
@@ -438,21 +438,21 @@
 TEST_F(GapControl, EveryFrontRefusesAlikeAndALiftedGapLetsAllPass) {
   EXPECT_NE(add(R"("number":"7f3a*","control":{"block":true})").find("\"ok\":true,\"taken\":1"),
             std::string::npos);
-  Peer gateway = caller(), udp = Peer::udp(sip_front->address(sip::TransportKind::udp)),
+  Peer gateway = connect_caller(), udp = Peer::udp(sip_front->address(sip::TransportKind::udp)),
        tcp = Peer::connect(sip_front->address(sip::TransportKind::tcp));
-  gateway.say(setup(0xaa, "d"));
-  udp.say(invite(udp, "UDP", "u1"));
-  tcp.say(invite(tcp, "TCP", "t1"));
-  hears(udp, "SIP/2.0 503");
-  hears(tcp, "SIP/2.0 503");
-  hears(udp, "Retry-After: ");
-  hears(tcp, "Retry-After: ");
-  until([&] { return gateway.heard().size() >= 20; }, "the refusal");
-  const std::string told = gateway.take();
+  gateway.send(setup(0xaa, "d"));
+  udp.send(invite(udp, "UDP", "u1"));
+  tcp.send(invite(tcp, "TCP", "t1"));
+  wait_to_receive(udp, "SIP/2.0 503");
+  wait_to_receive(tcp, "SIP/2.0 503");
+  wait_to_receive(udp, "Retry-After: ");
+  wait_to_receive(tcp, "Retry-After: ");
+  wait_until([&] { return gateway.received().size() >= 20; }, "the refusal");
+  const std::string told = gateway.take_received();
   EXPECT_EQ(told[2], 12) << "no release";
   EXPECT_NE(told.find(std::string("\xd0\x00\x01", 3) + static_cast<char>(42)), std::string::npos);
   EXPECT_NE(told.find(std::string("\xc0\x00\x04", 3)), std::string::npos) << "no retry delay of four digits";
-  EXPECT_EQ(server.heard().find("offer"), std::string::npos);
+  EXPECT_EQ(server.received().find("offer"), std::string::npos);
   EXPECT_NE(ask(R"({"v":1,"op":"gap.list"})").find("\"offered\":3,\"passed\":0,\"refused\":3"),
             std::string::npos);
   EXPECT_NE(ask(R"({"v":1,"op":"gap.suggest"})").find("\"number\":\"7f3a9c21e0b4d655\",\"offered\":3"),
@@ -461,26 +461,26 @@
             std::string::npos);
   EXPECT_NE(ask(R"({"v":1,"op":"gap.lift","id":"g","who":"ops"})").find("\"lifted\":true"),
             std::string::npos);
-  gateway.say(setup(0xbb, "d"));
-  hears(server, "00000000000000bb");
+  gateway.send(setup(0xbb, "d"));
+  wait_to_receive(server, "00000000000000bb");
 }
 
 // A gap announced while a call waits for a server refuses that call, but not a call with an attempt in
 // flight.
 TEST_F(GapControl, AGapAnnouncedMeanwhileAppliesToHeldCalls) {
-  Peer gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
+  Peer gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "00000000000000aa");
   planner->update_servers({2, true, {host(listener, 0, Availability::draining)}});
-  gateway.say(setup(0xbb, "d"));
-  settle();
-  EXPECT_EQ(gateway.heard(), "") << "the call is not held, so this test shows nothing";
+  gateway.send(setup(0xbb, "d"));
+  run_passes();
+  EXPECT_EQ(gateway.received(), "") << "the call is not held, so this test shows nothing";
   EXPECT_NE(add(R"("number":"7f*","control":{"block":true})").find("\"taken\":1"), std::string::npos);
-  until([&] { return !gateway.heard().empty(); }, "the refusal");
-  EXPECT_EQ(count(gateway.heard(), std::string(7, '\0') + '\xbb'), 1u);
-  EXPECT_EQ(count(gateway.heard(), std::string(7, '\0') + '\xaa'), 0u);
-  server.say(line("accept", "00000000000000aa", "\"desc\":\"s\""));
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  wait_until([&] { return !gateway.received().empty(); }, "the refusal");
+  EXPECT_EQ(count(gateway.received(), std::string(7, '\0') + '\xbb'), 1u);
+  EXPECT_EQ(count(gateway.received(), std::string(7, '\0') + '\xaa'), 0u);
+  server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   EXPECT_EQ(planner->pending_answers(), 0u);
 }
 
@@ -511,17 +511,17 @@
   EXPECT_NE(ask("{\"v\":1,\"op\":\"gap.add\",\"rules\":[" + rules + "]}").find("\"taken\":10000"),
             std::string::npos);
   Peer half = Peer::connect(service->address()), deaf = Peer::connect(service->address());
-  half.say("{\"v\":1,\"op\":\"gap.li");
+  half.send("{\"v\":1,\"op\":\"gap.li");
   for (int i = 0; i < 40; ++i) {
-    deaf.say("{\"v\":1,\"op\":\"gap.list\"}\n");
+    deaf.send("{\"v\":1,\"op\":\"gap.list\"}\n");
     loop.pass(milliseconds(1));
   }
-  settle();
-  Peer gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
-  half.say("ft\",\"id\":\"r1\"}\n");
-  hears(half, "\"lifted\":true");
+  run_passes();
+  Peer gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "00000000000000aa");
+  half.send("ft\",\"id\":\"r1\"}\n");
+  wait_to_receive(half, "\"lifted\":true");
 }
 
 // Guards against use of the service during its destruction: closing connections with unsent replies must not
@@ -536,14 +536,14 @@
   std::vector<Peer> gone;
   for (int i = 0; i < 4; ++i) gone.push_back(Peer::connect(service->address()));
   for (Peer& each : gone) {
-    for (int i = 0; i < 12; ++i) each.say("{\"v\":1,\"op\":\"gap.list\"}\n");
+    for (int i = 0; i < 12; ++i) each.send("{\"v\":1,\"op\":\"gap.list\"}\n");
   }
-  settle(60);
+  run_passes(60);
   for (Peer& each : gone) each.reset();
   service.reset();
-  Peer gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
+  Peer gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "00000000000000aa");
 }
 
 // A restarted instance has the rules in force, and lifted rules stay lifted, before it takes calls.
@@ -572,8 +572,8 @@
                                                       "\"\ndirectory = \"" + directory + "/control\"\n");
   start(config(), {"--control", directory + "/control.toml"});
   Peer server;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-  serves();
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+  wait_until_serving();
   const auto command = [&](std::vector<std::string> words, int wanted) {
     words.insert(words.begin(), "gap");
     words.insert(words.end(), {"--control", address_text(control)});
@@ -582,18 +582,18 @@
   };
   command({"add", "nine", "--number", "7f3*", "--interval-ms", "60000", "--why", "exam", "--who", "ana"}, 0);
   Peer gateway = Peer::connect(address);
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "00000000000000aa");
-  gateway.say(setup(0xbb, "d"));
-  hears(gateway, std::string(7, '\0') + '\xbb');
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "00000000000000aa");
+  gateway.send(setup(0xbb, "d"));
+  wait_to_receive(gateway, std::string(7, '\0') + '\xbb');
   EXPECT_NE(command({"list"}, 0).find("one every 60000 ms"), std::string::npos);
   EXPECT_NE(command({"test", "--number", "7f3b"}, 0).find("refused by nine"), std::string::npos);
   EXPECT_NE(command({"suggest"}, 0).find("7f3a9c21e0b4d655"), std::string::npos);
   EXPECT_NE(command({"add", "x", "--number", "1**", "--block"}, 2).find("column 3"), std::string::npos);
   EXPECT_NE(command({"watch", "--times", "1"}, 0).find("nine"), std::string::npos);
   command({"lift", "nine"}, 0);
-  gateway.say(setup(0xcc, "d"));
-  hears(server, "00000000000000cc");
+  gateway.send(setup(0xcc, "d"));
+  wait_to_receive(server, "00000000000000cc");
   ::kill(pid, SIGKILL);
   exit_code();
   EXPECT_NE(command({"list"}, 1).find("cannot connect to"), std::string::npos);
--- a/tests/shared_gaps_test.cpp
+++ b/tests/shared_gaps_test.cpp
@@ -218,10 +218,12 @@
   }
   std::string list_gaps(const std::string& who) { return gap(who, {"list", "--json"}); }
   void wait_until_listed(const std::string& who, const std::string& text) {
-    until([&] { return list_gaps(who).find(text) != std::string::npos; }, (who + " with " + text).c_str());
+    wait_until([&] { return list_gaps(who).find(text) != std::string::npos; },
+               (who + " with " + text).c_str());
   }
   void wait_until_unlisted(const std::string& who, const std::string& text) {
-    until([&] { return list_gaps(who).find(text) == std::string::npos; }, (who + " without " + text).c_str());
+    wait_until([&] { return list_gaps(who).find(text) == std::string::npos; },
+               (who + " without " + text).c_str());
   }
   std::map<std::string, sockaddr_in> control_;
 };
@@ -264,7 +266,7 @@
   for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   announce("b", "exam", 20);
   wait_until_listed("a", R"("id":"exam")");
-  until(
+  wait_until(
       [&] {
         std::ifstream file(directory + "/a.control/gaps.rules");
         return std::string(std::istreambuf_iterator<char>(file), {}).find("agreed") != std::string::npos;
@@ -304,8 +306,8 @@
     start_voter(victim);
     wait_until_serving(voter(victim));
   }
-  until([&] { return list_gaps("b").find(R"("agreed":false)") == std::string::npos; },
-        "agreement on all of them");
+  wait_until([&] { return list_gaps("b").find(R"("agreed":false)") == std::string::npos; },
+             "agreement on all of them");
   for (const char* const each : {"a", "b", "c"}) kill(each);
   for (int i = 0; i < kVoters; ++i) start_voter(i);
   for (const char* const each : {"a", "b", "c"}) {
--- a/tests/stop_test.cpp
+++ b/tests/stop_test.cpp
@@ -49,7 +49,7 @@
     rest_ = whole.substr(whole.size() / 2);
   }
   void read() {
-    for (std::string bytes = left_ + peer_.take(); true;) {
+    for (std::string bytes = left_ + peer_.take_received(); true;) {
       const std::size_t length =
           bytes.size() < 2 ? 0 : std::size_t(std::uint8_t(bytes[0])) << 8 | std::uint8_t(bytes[1]);
       if (bytes.size() < 2 || bytes.size() < 2 + length) {
@@ -106,24 +106,24 @@
                "\"aim\":" + std::to_string(deadline / 2) + ",\"deadline\":" + std::to_string(deadline));
   start(text);
   std::list<Peer> connections;
-  until(
+  wait_until(
       [&] {
         return static_cast<bool>(connections.emplace_back(listener.accept())) ||
                (connections.pop_back(), false);
       },
       "its connection");
-  serves();
+  wait_until_serving();
   std::list<BusyClient> clients;
   for (CallId i = 0; i < 6; ++i) clients.emplace_back(address, (i + 1) << 32, i >= 4);
   const auto step = [&] {
     while (Peer more = listener.accept()) connections.push_back(std::move(more));
     for (Peer& connection : connections) {
-      const std::string said = connection.take();
+      const std::string said = connection.take_received();
       if (GetParam().servers_hang) continue;
       for (auto at = said.find("\"offer\""); at != std::string::npos; at = said.find("\"offer\"", at + 1)) {
         const std::string id = said.substr(at + 16, 16);
         if (id.size() == 16)
-          connection.say_if_open("{\"op\":\"accept\",\"call\":\"" + id + "\",\"with\":{},\"desc\":\"s\"}\n");
+          connection.send_if_open("{\"op\":\"accept\",\"call\":\"" + id + "\",\"with\":{},\"desc\":\"s\"}\n");
       }
     }
     for (BusyClient& client : clients) client.step(deadline);
