--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the decisions, without the simulator: a controller is fed events and its actions are looked at.
+// Tests of the controller's decisions without the simulator: a controller is fed events, and the actions that
+// it emits are checked.
 #include "quartzarch/controller.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 namespace quartzarch::test {
 namespace {
 
-// ---- The ordinary path
+// ---- Gaps and routing
 
 TEST(Gap, ZeroAtStartSendsCallsToTheFirstChoiceAtOnce) {
   Instance instance;
@@ -28,7 +29,7 @@
     instance.run_until(instance.now + milliseconds(100));
     if (id > 1) instance.establish(id, 1, milliseconds(50));
   }
-  instance.no_circuit(1, 1);  // off nought: 1.2 times the spacing of 100 ms; call 1 is held again
+  instance.no_circuit(1, 1);  // rise from zero: 1.2 times the spacing of 100 ms; call 1 is held again
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 3u);
   instance.run_until(milliseconds(315));
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 3u);
@@ -47,29 +48,28 @@
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 2u);
 }
 
-// Guards against hasty retries into a full processor: its wait is near the aims already.
-// Broken callers send floods of what no server can use: it must not take the places of good calls behind a
-// gap.
+// Guards against broken callers that send floods of calls which no server accepts: such a call must not use
+// up the slots of good calls behind a gap, so its slot is free again and it is tried at most twice.
 TEST(Gap, AFaultyCallGivesItsSlotToTheNextAndIsTriedAtMostTwice) {
   Settings settings = plain_settings();
   settings.classes[0].pools = {1};
   Instance instance(settings, {entry(1)});
   instance.call(1);
-  instance.establish(1, 1, milliseconds(900));  // late: the gap is a second wide by now
+  instance.establish(1, 1, milliseconds(900));  // late: the gap is now one second
   instance.call(2);
   instance.run_until(seconds(2));
   ASSERT_EQ(instance.sent_to(1), 2u);
   instance.end_attempt(2, 1, Ending::fault);
-  EXPECT_EQ(instance.sent_to(1), 3u) << "its place was not given back";
+  EXPECT_EQ(instance.sent_to(1), 3u) << "the slot of the rejected call was not given to it again";
   instance.call(3);
   EXPECT_EQ(instance.sent_to(1), 3u);
   instance.end_attempt(2, 1, Ending::fault);
   EXPECT_EQ(instance.final_answers(2), 1u);
-  EXPECT_EQ(instance.sent_to(1), 4u) << "the next call waits although nothing was done";
+  EXPECT_EQ(instance.sent_to(1), 4u) << "the next call waits although the server did no work";
 }
 
-// Guards against a server that fails sound calls at once: it looks idle, and a call that goes back to it has
-// failed although another would take it. Where no other is to be had, it is asked again.
+// Guards against a server that rejects good calls at once and so looks idle: a call sent back to it fails
+// although another server would accept it. Only if no other server is available is the call sent back.
 TEST(Route, ACallIsNotSentBackToTheServerThatRejectedItAsFaulty) {
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   for (CallId id = 1; id <= 20; ++id) {
@@ -89,17 +89,17 @@
   Instance instance(plain_settings(), {entry(1), entry(2)});
   instance.call(1);
   instance.call(9, 2);
-  instance.processor_full(9, 2);  // the other is closed for a while
+  instance.processor_full(9, 2);  // the other server gets nothing for a while
   instance.now += milliseconds(5);
   const std::size_t before = instance.sent_to(1);
   instance.end_attempt(1, 1, Ending::fault);
-  EXPECT_EQ(instance.sent_to(1), before) << "sent back while another server is there to ask";
+  EXPECT_EQ(instance.sent_to(1), before) << "sent back although another server is available";
   instance.call(2);
-  EXPECT_EQ(instance.sent_to(1), before + 1) << "held up by a call of its kind that may not go there";
+  EXPECT_EQ(instance.sent_to(1), before + 1) << "held up by a similar call that may not go there";
 }
 
-// A server that fails sound calls answers at once and looks idle: others are asked first until it does no
-// more.
+// A server that rejects good calls answers at once and looks idle: other servers are preferred until it no
+// longer does so.
 TEST(Route, AServerThatRejectsCallsOthersAcceptIsAvoidedButNotForFaultyCalls) {
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   const auto reject_then_retry = [&](CallId id, bool accepted_by_another) {
@@ -115,7 +115,7 @@
     instance.now += milliseconds(100);
   };
   for (CallId id = 1; id <= 10; ++id)
-    reject_then_retry(id, false);  // nobody takes them: not the server's fault
+    reject_then_retry(id, false);  // no server accepts them: not the server's fault
   instance.call(20);
   EXPECT_EQ(instance.emitted<SendSetup>().back().server, server(1));
   instance.establish(20, 1, milliseconds(20));
@@ -129,27 +129,28 @@
   }
   instance.run_until(instance.now + seconds(3));
   instance.call(40);
-  EXPECT_EQ(instance.emitted<SendSetup>().back().server, server(1)) << "tried again after a while";
+  EXPECT_EQ(instance.emitted<SendSetup>().back().server, server(1))
+      << "the server must be used again after a while";
 }
 
-// Guards against calls that were failed once and then wait behind the gap of a busy server until they are
-// over.
+// Guards against calls that were rejected once and then wait behind the gap of a busy server until their time
+// is over.
 TEST(Route, ACallRejectedOnceWaitsOnlyBrieflyForAnotherServersGap) {
   Instance instance(plain_settings(), {entry(1), entry(2)});
   instance.call(9, 2);
-  instance.establish(9, 2, milliseconds(1900));  // late: server 2 has a wide gap now
+  instance.establish(9, 2, milliseconds(1900));  // late: server 2 now has a wide gap
   instance.call(1);
   instance.end_attempt(1, 1, Ending::fault);
   const Time faulted = instance.now;
   EXPECT_EQ(instance.sent_to(1), 1u);
   instance.run_until(faulted + milliseconds(190));
-  EXPECT_EQ(instance.sent_to(1), 1u) << "not at once";
+  EXPECT_EQ(instance.sent_to(1), 1u) << "sent back before its wait for another server was over";
   instance.run_until(faulted + milliseconds(210));
   EXPECT_EQ(instance.sent_to(1), 2u);
   instance.end_attempt(1, 1, Ending::fault);
-  EXPECT_EQ(instance.final_answers(1), 0u) << "the same server again is no second opinion";
+  EXPECT_EQ(instance.final_answers(1), 0u) << "a second rejection by the same server is no second opinion";
   instance.run_until(instance.now + seconds(1));
-  EXPECT_EQ(instance.emitted<SendSetup>().size(), 4u) << "tried once more";
+  EXPECT_EQ(instance.emitted<SendSetup>().size(), 4u) << "sent once more";
 }
 
 TEST(Route, ACallRejectedOnceIsSentBackIfNoOtherServerIsAvailable) {
@@ -159,7 +160,8 @@
   EXPECT_EQ(instance.sent_to(1), 2u);
 }
 
-// A connection that breaks says nothing of the processor behind it: no pause, no cold gap. The guard holds.
+// A broken connection tells nothing of the processor behind it: no pause and no cold gap follow. The release
+// guard applies.
 TEST(Gap, ALostConnectionIsNoSignOfLoad) {
   Instance instance;
   instance.call(1);
@@ -178,6 +180,7 @@
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 6u);
 }
 
+// Guards against early retries into a full processor: its wait is close to the aims already.
 TEST(Gap, FullProcessorGetsNothingForOneAim) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
@@ -188,7 +191,7 @@
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 2u);
 }
 
-// Guards against reading a fast answer as a sign of spare when hardly a line is free.
+// Guards against taking a fast answer for spare capacity when hardly any line is free.
 TEST(Gap, SpareCapacityIsAtMostTheShareOfFreeLines) {
   for (const double free : {5.0, 95.0}) {
     Instance instance(plain_settings(), {entry(1)});
@@ -202,7 +205,7 @@
     probe.report.free_circuits = free;
     probe.report.circuits = 100;
     instance.handle(probe);
-    instance.run_until(milliseconds(600));  // call 1 went again
+    instance.run_until(milliseconds(600));  // call 1 was sent again
     instance.establish(1, 1, milliseconds(10), 1);
     instance.call(4);
     const auto before = instance.sent_to(1);
@@ -212,7 +215,8 @@
   }
 }
 
-// Guards against pushing on into a server that answers late: 'full' would come only after seconds.
+// Guards against sending more to a server that answers late: its 'processor full' would come only seconds
+// later.
 TEST(Gap, LateSetupRaisesTheGapAndOneSentBeforeTheRiseDoesNotUndoIt) {
   Instance instance(plain_settings(), {entry(1)});
   for (CallId id = 1; id <= 3; ++id) {
@@ -225,13 +229,14 @@
   instance.establish(3, 1, milliseconds(20));
   instance.call(4);
   const auto before = instance.sent_to(1);
-  instance.run_until(milliseconds(460));  // the last went 120 ms in; the gap is 1.2 x 290 ms
+  instance.run_until(milliseconds(460));  // the last was sent at 120 ms; the gap is 1.2 x 290 ms
   EXPECT_EQ(instance.sent_to(1), before);
   instance.run_until(milliseconds(475));
   EXPECT_EQ(instance.sent_to(1), before + 1);
 }
 
-// Guards against a jam that many fronts keep up between them: one rise an answer takes each of them too long.
+// Guards against an overload that many instances keep up together: with a single rise for each late answer
+// every one of them would react too slowly.
 TEST(Gap, LateSetupRaisesTheGapToAtLeastItsWait) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
@@ -244,23 +249,24 @@
   EXPECT_EQ(instance.sent_to(1), 2u);
 }
 
-// Guards against spacing by the whole wait where few fronts have several set-ups in line.
+// Guards against a gap of the whole wait where few instances have several set-ups in the queue.
 TEST(Gap, LateSetupAmongOthersRaisesTheGapByItsPartOfTheWait) {
   Instance instance(plain_settings(), {entry(1)});
-  for (CallId id = 1; id <= 3; ++id) instance.call(id);  // all out at once: the last is the third in line
+  for (CallId id = 1; id <= 3; ++id)
+    instance.call(id);  // all sent at once: the last is the third in the queue
   instance.run_until(milliseconds(900));
   instance.establish(3, 1, milliseconds(900));
   instance.establish(1, 1, milliseconds(900));
   instance.establish(2, 1, milliseconds(900));
   instance.call(4);
-  EXPECT_EQ(instance.sent_to(1), 4u);  // 1.2 x 300 ms since the last went
+  EXPECT_EQ(instance.sent_to(1), 4u);  // 1.2 x 300 ms since the last was sent
 }
 
-// Guards against a server kept jammed by the tries of many fronts, each of which takes its caller's whole
-// time.
+// Guards against a server that is kept overloaded by the tries of many instances, each of which uses up the
+// whole time of its caller.
 TEST(Gap, TimeOutTriplesTheGapOnceForSetupsSentBeforeTheRise) {
   Instance instance(plain_settings(), {entry(1)});
-  instance.run_until(seconds(40));  // it sends there seldom: its usual spacing is some seconds
+  instance.run_until(seconds(40));  // it sends there rarely: its usual spacing is several seconds
   instance.call(1);
   instance.call(2);
   instance.run_until(milliseconds(42980));
@@ -269,7 +275,8 @@
   timed_out.ending = Ending::timed_out;
   timed_out.delay = seconds(3);
   for (timed_out.call = 1; timed_out.call <= 2; ++timed_out.call) instance.handle(timed_out);
-  // No less than 3 s x 1.2^6 = 9 s after the last send, and not 1.2^12 times as much, 27 s at least.
+  // At least 3 s x 1.2^6 = 9 s after the last send, and not 1.2^12 times as much, which would be at least 27
+  // s.
   instance.call(3, 1, 0, seconds(30));
   instance.run_until(milliseconds(48800));
   EXPECT_EQ(instance.sent_to(1), 2u);
@@ -277,7 +284,8 @@
   EXPECT_EQ(instance.sent_to(1), 3u);
 }
 
-// Guards against the small fleet's harm: a front that sends there often goes by single rises.
+// Guards against a gap far too wide in a small fleet: an instance that sends there often raises the gap in
+// single rises.
 TEST(Gap, TimeOutIsOneRiseWhereTheInstanceSendsOften) {
   Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
@@ -300,12 +308,12 @@
   EXPECT_EQ(instance.sent_to(1), before + 1);
 }
 
-// Guards against a line of seconds that a gap of little more than the wait would keep up.
+// Guards against a queue of several seconds that a gap of little more than the wait would keep up.
 TEST(Gap, EachDoublingOfALateSetupsWaitAddsARise) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
   instance.run_until(milliseconds(1700));
-  instance.establish(1, 1, milliseconds(1700));  // over 8 late times: four rises, 3.5 s
+  instance.establish(1, 1, milliseconds(1700));  // over 8 late thresholds: four rises, 3.5 s
   instance.call(2);
   instance.run_until(milliseconds(3400));
   EXPECT_EQ(instance.sent_to(1), 1u);
@@ -313,11 +321,12 @@
   EXPECT_EQ(instance.sent_to(1), 2u);
 }
 
-// Guards against many fronts each coming back an aim after 'processor full': turning them away is work too.
+// Guards against many instances that each retry an aim after 'processor full': refusing them costs processor
+// time too.
 TEST(Gap, FullProcessorGetsNothingForThreeUsualSpacings) {
   Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
-  while (instance.now < seconds(60)) {  // a call in two seconds
+  while (instance.now < seconds(60)) {  // a call every two seconds
     instance.call(++id);
     instance.establish(id, 1, milliseconds(20));
     instance.run_until(instance.now + seconds(2));
@@ -332,11 +341,12 @@
   EXPECT_GT(instance.sent_to(1), before);
 }
 
-// Guards against a lift from the short spacing of a backlog where the front sees the server once in seconds.
+// Guards against a first rise from the short spacing of a backlog where the instance sends to the server only
+// once in several seconds.
 TEST(Gap, FirstRiseStartsFromTheUsualSpacingWhereThatIsLong) {
   Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
-  while (instance.now < seconds(60)) {  // five calls at once in twelve seconds
+  while (instance.now < seconds(60)) {  // five calls at once every twelve seconds
     for (int i = 0; i < 5; ++i) {
       instance.call(++id);
       instance.establish(id, 1, milliseconds(20));
@@ -351,7 +361,7 @@
   EXPECT_EQ(instance.sent_to(1), before);
 }
 
-// Guards against a draw by chance where a front has nothing out anywhere.
+// Guards against a random choice where an instance has nothing in flight anywhere.
 TEST(Route, OfTwoOthersTheOneWithTheShorterLastDelayIsUsed) {
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   instance.call(1, 2);
@@ -359,7 +369,7 @@
   instance.call(2, 3);
   instance.establish(2, 3, milliseconds(20));
   instance.call(3, 1);
-  instance.processor_full(3, 1);  // moves on
+  instance.processor_full(3, 1);  // goes to another server
   for (CallId id = 3; id < 8; ++id) {
     instance.establish(id, 3, milliseconds(20), id == 3 ? 1 : 0);
     instance.call(id + 1, 1);
@@ -368,8 +378,8 @@
   EXPECT_EQ(instance.sent_to(3), 7u);
 }
 
-// Reports: a long wait or queue is pressure, whoever's call brings it; a queue counts by what all fronts
-// send.
+// A long reported wait or queue is a sign of overload, whichever call brings the report; a queue is judged by
+// what all instances send.
 class Reports : public ::testing::Test {
  protected:
   void complete_with_report(CallId id, LoadReport report) {
@@ -392,7 +402,7 @@
 }
 
 TEST_F(Reports, QueueLengthIsJudgedByTheRateOfAllInstances) {
-  for (CallId id = 1; id <= 100; ++id) {  // ten a second of each of four fronts
+  for (CallId id = 1; id <= 100; ++id) {  // ten a second from each of four instances
     instance.call(id);
     instance.establish(id, 1, milliseconds(20));
     instance.run_until(instance.now + milliseconds(100));
@@ -408,17 +418,18 @@
   EXPECT_EQ(instance.sent_to(2), 1u);
 }
 
-// Guards against a server that recovered and is tried once in half a minute by each of many fronts.
+// Guards against a server that has recovered but is tried only once in half a minute by each of many
+// instances.
 TEST_F(Reports, SpareCapacityReportedAtTheEndOfACallLowersTheGap) {
   Instance one(plain_settings(), {entry(1)});
   one.call(1);
   one.establish(1, 1, milliseconds(20));
   one.call(2);
   one.run_until(milliseconds(2500));
-  one.establish(2, 1, milliseconds(2500));  // about six seconds of gap
+  one.establish(2, 1, milliseconds(2500));  // the gap is about six seconds
   LoadReport report;
   report.utilisation = 0.1;
-  one.end_attempt(1, 1, Ending::completed, Cause::none, report);  // not later than the rise: does not count
+  one.end_attempt(1, 1, Ending::completed, Cause::none, report);  // not later than the rise: ignored
   one.call(3);
   one.run_until(milliseconds(4600));
   EXPECT_EQ(one.sent_to(1), 2u);
@@ -439,8 +450,8 @@
   EXPECT_EQ(instance.sent_to(1), 4u);
 }
 
-// Guards against silence: the list says ready, but the set-up that is out gets no answer. One more now and
-// then is to show whether the answer got lost or the server is slow.
+// Guards against a silent server: the list says ready, but the set-up in flight gets no answer. A single
+// further set-up now and then is to show whether the answer got lost or the server is slow.
 TEST(Gap, AServerWithOverdueAnswersGetsOnlySingleSetupsAfterPauses) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
@@ -452,12 +463,13 @@
   EXPECT_EQ(instance.sent_to(1), 2u);
   instance.run_until(milliseconds(1500));
   EXPECT_EQ(instance.sent_to(1), 3u);
-  instance.establish(1, 1, milliseconds(1500));  // in turn: it is slow
+  instance.establish(1, 1, milliseconds(1500));  // in order: the server is slow
   EXPECT_EQ(instance.sent_to(1), 3u);
 }
 
-// A processor answers in turn: where a later set-up has its answer, that of an earlier one got lost. It tells
-// nothing of load, blocks nothing, and the call goes again after the guard.
+// A processor answers in the order of arrival: once a later set-up has been answered, the answer to an
+// earlier one got lost. That is no sign of load and blocks nothing, and the call is sent again after the
+// release guard.
 TEST(Gap, ALostAnswerIsNoSignOfLoadAndItsCallIsSentAgain) {
   Instance instance(plain_settings(), {entry(1)});
   instance.call(1);
@@ -466,7 +478,7 @@
   instance.establish(2, 1, milliseconds(5));
   instance.run_until(milliseconds(390));
   instance.call(3);
-  EXPECT_EQ(instance.sent_to(1), 3u) << "held behind a lost answer";
+  EXPECT_EQ(instance.sent_to(1), 3u) << "held up by a lost answer";
   instance.establish(3, 1, milliseconds(5));
   EXPECT_TRUE(instance.emitted<CancelAttempt>().empty());
   instance.run_until(milliseconds(410));
@@ -474,7 +486,7 @@
   EXPECT_EQ(instance.emitted<CancelAttempt>()[0].call, 1u);
   instance.end_attempt(1, 1, Ending::cancelled);
   instance.run_until(milliseconds(609));
-  EXPECT_EQ(instance.sent_to(1), 3u) << "before the release guard was over";
+  EXPECT_EQ(instance.sent_to(1), 3u) << "sent before the release guard was over";
   instance.run_until(milliseconds(620));
   EXPECT_EQ(instance.sent_to(1), 4u);
   EXPECT_EQ(instance.emitted<SendSetup>().back().call, 1u);
@@ -486,7 +498,7 @@
   instance.call(1);
   instance.now += milliseconds(10);
   instance.call(2);
-  instance.call(3, 1, 1);  // the dear class
+  instance.call(3, 1, 1);  // the class of higher worth
   instance.handle(ServerList{true, {entry(1)}});
   const auto sends = instance.emitted<SendSetup>();
   ASSERT_EQ(sends.size(), 3u);
@@ -495,10 +507,10 @@
   EXPECT_EQ(sends[2].call, 1u);
 }
 
-// Guards against a tenant that floods the fronts: what it brings beyond its share of the quota goes last.
+// Guards against a tenant that floods the instances: its calls beyond its quota are sent last.
 TEST(Order, CallsBeyondATenantsQuotaGoLast) {
   Settings settings = plain_settings();
-  settings.tenants = {{4.0}, {400.0}};  // for this front of four: one a second and a hundred
+  settings.tenants = {{4.0}, {400.0}};  // for this one of four instances: one and a hundred a second
   settings.over_share_worth = 0.2;
   Instance instance(settings, {});
   const auto arrive = [&](CallId id, unsigned tenant) {
@@ -517,11 +529,11 @@
   instance.handle(ServerList{true, {entry(1)}});
   const auto sends = instance.emitted<SendSetup>();
   ASSERT_GE(sends.size(), 2u);
-  EXPECT_EQ(sends[0].call, 9u);  // newer than most of the flood's, older than its last
-  EXPECT_LE(sends[1].call, 5u);  // then what the flooding tenant brought inside its share
+  EXPECT_EQ(sends[0].call, 9u);  // newer than most calls of the flood, older than its last
+  EXPECT_LE(sends[1].call, 5u);  // then the flooding tenant's calls within its quota
 }
 
-// Guards against asking a pool for lines it was told not to have.
+// Guards against sending set-ups to a server that reported no free line.
 TEST(Route, ServerWithoutAFreeLineGetsNothing) {
   Instance instance;
   ServerProbed probe{server(1), true, {}};
@@ -533,8 +545,8 @@
   EXPECT_EQ(instance.sent_to(2), 1u);
 }
 
-// Guards against a burst (redials after a cut, say) that lands before the first answer can raise a gap of
-// nought.
+// Guards against a burst, such as redials after a failure, that is sent before the first answer can raise a
+// gap of zero.
 TEST(Gap, BurstIsLimitedToThisInstancesShareUntilAnswersCome) {
   Instance instance(plain_settings(), {entry(1)});
   instance.run_until(seconds(10));
@@ -546,7 +558,7 @@
   EXPECT_EQ(instance.sent_to(1), out + 1);
 }
 
-// Guards against a jam of one number's calls: they find no line and use up the processors.
+// Guards against overload by calls to one dialled number: they find no free line and use up the processors.
 TEST(Gap, CallsToABusyNumberAreSpacedAndOthersPass) {
   Instance instance(plain_settings(), {entry(1)});
   const auto call_number = [&](CallId id, std::uint64_t key) {
@@ -568,9 +580,7 @@
   EXPECT_EQ(instance.emitted<SendSetup>().size(), 3u);
 }
 
-// While servers answer in time and have lines, the plain mechanism decides alone: each call goes at once to
-// its first choice.
-// Guards against numbers that were busy once and are remembered for good.
+// Guards against remembering for ever the numbers that were busy once.
 TEST(Gap, BusyNumberIsForgottenWhenNoLongerCalled) {
   Instance instance(plain_settings(), {entry(1)});
   CallId id = 0;
@@ -601,9 +611,11 @@
   instance.run_until(instance.now + seconds(2));
   const auto sends = instance.emitted<SendSetup>();
   ASSERT_GT(sends.size(), before);
-  EXPECT_EQ(sends[before].call, id);  // the newest: a crowded number's comes after its equals
+  EXPECT_EQ(sends[before].call, id);  // the newest: a call to a busy number comes after its equals
 }
 
+// While servers answer in time and have free lines, the base algorithm decides alone: each call is sent to
+// its first choice at once.
 TEST(NormalOperation, EveryCallGoesToItsFirstChoiceAtOnce) {
   Instance instance(plain_settings(), {entry(1), entry(2), entry(3)});
   for (const auto at : std::initializer_list<std::uint8_t>{1, 2, 3}) {
@@ -641,12 +653,12 @@
   Instance instance;
   instance.call(1);
   instance.processor_full(1, 1);
-  EXPECT_EQ(instance.sent_to(2), 1u);  // the call turned away goes to the other server
+  EXPECT_EQ(instance.sent_to(2), 1u);  // the refused call goes to the other server
   instance.call(2);
   EXPECT_EQ(instance.sent_to(2), 2u);
   instance.run_until(seconds(8));
   instance.call(3);
-  EXPECT_EQ(instance.sent_to(1), 2u);  // the pressure is long ago
+  EXPECT_EQ(instance.sent_to(1), 2u);  // no longer degraded
 }
 
 TEST(Route, OnlyPoolsOpenToTheClassAreUsed) {
@@ -672,7 +684,7 @@
   EXPECT_EQ(instance.final_answers(1), 1u);
 }
 
-// ---- The five rules
+// ---- Rules that every instance has to keep
 
 TEST(Rules, HeldCallGetsOneAnswerBeforeItsCallerGivesUp) {
   Instance instance(plain_settings(), {});
@@ -788,7 +800,7 @@
 
 TEST(Rules, ColdServerGetsOnlyThisInstancesShareOfItsBudget) {
   Instance instance(plain_settings(), {entry(1), entry(2)});
-  // Ten seconds of ten calls a second: each of two warm servers bears five a second of this front's.
+  // Ten seconds of ten calls a second: each of two warm servers handles five a second from this instance.
   CallId id = 0;
   const auto second_of_calls = [&](int choice) {
     for (int i = 0; i < 10; ++i) {
@@ -803,12 +815,13 @@
   instance.handle(ServerList{false, {entry(2, Availability::ready, instance.now)}});
   const auto before = instance.sent_to(2);
   for (int s = 0; s < 3; ++s) second_of_calls(2);
-  // A third of the capacity at first: far less than the thirty calls that name it, but not none.
+  // A third of the capacity at first: far fewer than the thirty calls that name the server, but not none.
   EXPECT_LE(instance.sent_to(2) - before, 8u);
   EXPECT_GE(instance.sent_to(2) - before, 2u);
 }
 
-// Guards against a cold server pushed over by the first set-up of every front, all told of its start at once.
+// Guards against a cold server that fails under the first set-ups of all instances, which learn of its start
+// at once.
 TEST(Rules, FirstSetupsOfManyInstancesToAColdServerAreSpread) {
   constexpr unsigned kInstances = 60;
   Settings settings = plain_settings();
@@ -835,14 +848,15 @@
     calls(instance.now + settings.cold_overload_window, 2);
     within_window += instance.sent_to(2) - before;
   }
-  // One call a second from each front is what the server bears when warm; it starts with a third of that.
+  // A warm server handles one call a second from each instance; a cold one starts with a third of that.
   EXPECT_LE(at_once, kInstances / 10);
   const double capacity = settings.cold_from * kInstances * 1.5;
   EXPECT_GE(static_cast<double>(within_window), capacity / 2);
   EXPECT_LE(static_cast<double>(within_window), capacity * settings.cold_overload_factor);
 }
 
-// Guards against the end of the cold time: without a gap of its own every front would send at once.
+// Guards against a burst at the end of the cold time: without a gap of its own every instance would send at
+// once.
 TEST(Rules, GapOfAColdServerOutlastsItsColdTime) {
   const Settings settings = plain_settings();
   Instance instance(settings, {entry(1), entry(2)});
@@ -868,7 +882,7 @@
   EXPECT_EQ(instance.sent_to(2), before + 1);
 }
 
-// Guards against a flood to one number that widens the cold share of the server it names.
+// Guards against a flood of calls to one number that raises the share of the cold server that they name.
 TEST(Rules, CallsToABusyNumberDoNotRaiseAColdServersShare) {
   Instance instance(plain_settings(), {entry(1), entry(2)});
   CallId id = 0;
@@ -898,7 +912,8 @@
   EXPECT_LE(instance.sent_to(2) - before, 20u);  // of 150 calls
 }
 
-// Guards against a server that restarts before the list knows: all fronts would fall upon what comes back.
+// Guards against a server that restarts before the list shows it: all instances would send to it at once when
+// it comes back.
 TEST(Rules, ServerThatWasUnreachableCountsAsColdWhereItIsRarelyUsed) {
   for (const Ending ending : {Ending::not_connected, Ending::reset}) {
     Instance instance(plain_settings(), {entry(1), entry(2)});
@@ -915,15 +930,15 @@
     calls(seconds(60), seconds(4));
     instance.call(++id, 2);
     instance.end_attempt(id, 2, ending);
-    instance.run_until(instance.now + milliseconds(500));  // the pause is over
+    instance.run_until(instance.now + milliseconds(500));  // the back-off is over
     const auto before = instance.sent_to(2);
     calls(instance.now + seconds(3), milliseconds(100));
     EXPECT_LE(instance.sent_to(2) - before, 10u);  // of thirty calls
   }
 }
 
-// Guards against a started server whose lines are not told yet: its share is the mean, neither all nor
-// nothing.
+// Guards against a started server whose lines are not reported yet: its share is the mean, neither everything
+// nor nothing.
 TEST(Rules, ColdServerWithUnreportedLinesGetsTheMeanShare) {
   Instance instance(plain_settings(), {entry(1), entry(2)});
   for (const auto at : std::initializer_list<std::uint8_t>{1, 2}) {
@@ -949,7 +964,7 @@
   EXPECT_LE(instance.sent_to(3), 12u);
 }
 
-// ---- Input that means nothing
+// ---- Unknown and out-of-range input
 
 TEST(BadInput, UnknownCallsServersAndTimersAreIgnored) {
   Instance instance;
@@ -972,7 +987,8 @@
   EXPECT_EQ(instance.final_answers(1), 0u);
 }
 
-// Found as a crash of the front: a set-up stood whose server had restarted, or left the list, meanwhile.
+// Regression: a call was established, or its attempt ended, at a server that had restarted or left the list
+// meanwhile; the instance crashed.
 TEST(BadInput, AnswersFromAProcessThatWasReplacedAreIgnored) {
   for (const bool established : {true, false}) {
     for (const bool gone : {true, false}) {
@@ -1048,7 +1064,7 @@
   EXPECT_EQ(play(), play());
 }
 
-// A refused caller that is told nothing comes back at once and is refused again.
+// A refused caller that gets no retry-after calls again at once and is refused again.
 TEST(Answers, ARefusalAdvisesWhenToRetry) {
   Settings settings = plain_settings();
   Instance none(settings, {});
@@ -1056,7 +1072,7 @@
   none.run_until(milliseconds(200));
   ASSERT_EQ(none.emitted<Refuse>().size(), 1u);
   EXPECT_EQ(none.emitted<Refuse>()[0].retry_after, settings.max_retry_after)
-      << "no server, so as long as callers heed";
+      << "no server is known, so the longest retry-after that callers honour";
 
   Instance full(settings, {entry(1)});
   full.call(1, 1, 0, milliseconds(100));
@@ -1064,7 +1080,7 @@
   full.run_until(milliseconds(200));
   ASSERT_EQ(full.emitted<Refuse>().size(), 1u);
   const auto away = full.emitted<Refuse>()[0].retry_after.value();
-  EXPECT_GT(away, seconds(1)) << "the server is closed for an aim after 'processor full'";
+  EXPECT_GT(away, seconds(1)) << "the server gets nothing for an aim after 'processor full'";
   EXPECT_LE(away, settings.max_retry_after);
 
   settings.max_retry_after = Duration{0};
@@ -1074,8 +1090,9 @@
   EXPECT_EQ(unheeded.emitted<Refuse>().at(0).retry_after, std::nullopt);
 }
 
-// Some thousand held calls were once sorted at every event. Looking only at what may go must not change what
-// goes: the dearest, of equals the latest, and none is kept back by one whose class has no open server.
+// All held calls, some thousand, were once sorted at every event. Examining only those that may be sent must
+// not change the order: the call worth most first, among equals the latest, and none is held up by a call
+// whose class has no open server.
 TEST(Holding, OfManyHeldCallsTheMostValuableAndLatestGoesFirst) {
   Settings settings = plain_settings();
   settings.classes[1].pools = {2};
@@ -1086,7 +1103,7 @@
     instance.now += Duration{1};
     instance.call(id, 1, 0, seconds(9));
   }
-  instance.call(5000, 2, 1, seconds(9));  // worth most, and its only server is not there
+  instance.call(5000, 2, 1, seconds(9));  // worth most, but its only server is not listed
   const auto before = instance.emitted<SendSetup>().size();
   instance.run_until(seconds(4));
   const auto sent = instance.emitted<SendSetup>();
--- a/tests/instance.hpp
+++ b/tests/instance.hpp
@@ -1,4 +1,4 @@
-// The shared helper of the tests of decisions: a controller with its clock, fed events by hand.
+// Test harness for the controller: an instance with a simulated clock that is fed events by hand.
 #pragma once
 
 #include <algorithm>
@@ -25,9 +25,9 @@
   usual.aim = seconds(2);
   usual.deadline = seconds(9);
   usual.late_worth = 0.2;
-  CallClass dear = usual;
-  dear.worth = 5;
-  settings.classes = {usual, dear};
+  CallClass valuable = usual;
+  valuable.worth = 5;
+  settings.classes = {usual, valuable};
   settings.resend = milliseconds(400);
   settings.release_guard = milliseconds(200);
   settings.answer_grace = milliseconds(20);
@@ -42,7 +42,8 @@
   return settings;
 }
 
-// A controller with its clock, the calls it sent and how it answered.
+// A controller with its clock, its timers and all actions that it has emitted. Each function delivers one
+// event and returns the actions for it; servers are named by the last byte of their address.
 class Instance {
  public:
   explicit Instance(Settings settings = plain_settings(),
@@ -93,7 +94,7 @@
     return end_attempt(id, at, Ending::full, Cause::no_circuit);
   }
 
-  // Runs the clock on, firing the timers that were asked for.
+  // Advances the clock to `end` and fires the timers that fall due.
   void run_until(Time end) {
     for (;;) {
       const auto next = std::min_element(timers_.begin(), timers_.end());
@@ -105,6 +106,7 @@
     now = end;
   }
 
+  // All actions of kind T that were emitted so far.
   template <typename T>
   std::vector<T> emitted() const {
     std::vector<T> found;
@@ -113,11 +115,13 @@
     }
     return found;
   }
+  // Number of set-ups sent to the server so far.
   std::size_t sent_to(std::uint8_t at) const {
     const auto sends = emitted<SendSetup>();
     return static_cast<std::size_t>(
         std::count_if(sends.begin(), sends.end(), [&](const auto& s) { return s.server == server(at); }));
   }
+  // Number of final answers that the call got without being established.
   std::size_t final_answers(CallId id) const {
     std::size_t count = 0;
     for (const auto& refused : emitted<Refuse>()) count += refused.call == id;
