--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -228,6 +228,8 @@
 
 }  // namespace
 
+// The decisions and all that they depend on. Calls are held until a server is open to them; each event ends
+// with a dispatch of the held calls.
 class Controller::State {
  public:
   State(Settings settings, std::uint64_t seed, Time now) : settings_(std::move(settings)), random_(seed) {
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -1,5 +1,6 @@
-// What all call controllers together send a cold server: many instances of the module, each seeing a thin and
-// uneven part of the traffic, in virtual time. None knows of the others.
+// The load that all call controllers together put on a cold server: many instances, each with a small and
+// uneven part of the traffic and without knowledge of the others, run in virtual time against simulated
+// servers.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -21,28 +22,29 @@
 
 struct Case {
   unsigned instances = 20;
-  double calls = 43;          // a second, of all instances
-  std::uint8_t servers = 3;   // the last of them starts cold
+  double calls = 43;          // per second, of all instances
+  std::uint8_t servers = 3;   // of which the last starts cold
   double utilisation = 0.78;  // of a warm server's processor
   double cold_from = 0.35;
   double cold_overload_factor = 2.5;
   Duration cold_overload_window = seconds(1);
-  Duration traffic_before = seconds(25);  // traffic before the start
-  Duration notified_within = milliseconds(600);
-  bool instances_restart = false;  // the instances start anew with the server
-  Duration others_full{};  // after the start; from then on the warm ones turn all away for two seconds
-  Duration others_gone{};  // after the start; from then on the list names the warm ones as gone
-  bool all_cold = false;   // all servers start anew at once; the last is looked at
-  double extra_named_share =
-      0;                       // share of the calls that name it besides its even share: the plan missed them
-  double surge = 1;            // from the start on, so many times the usual calls
-  bool cold_rule_off = false;  // the instances are not told that a started server is cold
-  double redial_share = 0;     // share of the refused that come again
-  double fault_share = 0;      // share of what the cold server makes nothing of
-  bool load_unreported = false;  // servers tell nothing of their load and nothing that waits is sent again
+  Duration traffic_before = seconds(25);         // traffic before the cold server's start
+  Duration notified_within = milliseconds(600);  // until all instances know of the start
+  bool instances_restart = false;                // the instances restart together with the server
+  Duration others_full{};  // after the start; from then on the warm servers refuse all calls for two seconds
+  Duration others_gone{};  // after the start; from then on the list shows the warm servers as gone
+  bool all_cold = false;   // all servers restart at once; the last is examined
+  // Share of the calls that name the cold server beyond its even share, which it was not planned for.
+  double extra_named_share = 0;
+  double surge = 1;              // factor of the usual calls from the start on
+  bool cold_rule_off = false;    // the instances do not apply the cold rule
+  double redial_share = 0;       // share of the refused calls that are dialled again
+  double fault_share = 0;        // share of the calls that the cold server rejects as faulty
+  bool load_unreported = false;  // servers do not report their load and set-ups are not retransmitted
 };
 
-// A deployment's budget of four times over 2 s from 28% on, where servers are silent.
+// A deployment with a wider limit: four times the capacity over 2 s, which starts at 28%, and servers that do
+// not report their load.
 Case wide_budget(const std::function<void(Case&)>& change) {
   Case made;
   made.instances = 30, made.cold_from = 0.28, made.cold_overload_factor = 4,
@@ -52,7 +54,7 @@
   return made;
 }
 
-// The fleet, its servers and the count of what reached the cold one.
+// Simulates the instances and the servers, and counts the set-ups that reach the cold server.
 class ColdFleet {
  public:
   ColdFleet(const Case& of, std::uint64_t seed) : case_(of), random_(seed) {
@@ -75,7 +77,8 @@
     run_until(started_ + seconds(15));
   }
 
-  // The largest sum of a window over what it may be: N + 2 x root of N + 2.
+  // The largest number of set-ups in a window, divided by what is permitted: N + 2 x root of N + 2, where N
+  // is the limit of the window and the rest allows for random arrivals.
   double worst_load_ratio() const {
     double found = 0;
     std::size_t first = 0;
@@ -96,7 +99,7 @@
     unsigned instance = 0;
     CallId call = 0;
     std::uint8_t server = 0;
-    Ending ending = Ending::completed;  // completed: it stands
+    Ending ending = Ending::completed;  // completed: the call is established
   };
 
   double capacity() const { return case_.calls / case_.servers / case_.utilisation; }
@@ -182,7 +185,8 @@
     process_actions(i);
   }
 
-  // What the instance did since it was looked at last.
+  // Answers the set-ups and redials the refused calls among the actions that the instance has emitted since
+  // the last look.
   void process_actions(unsigned i) {
     for (; processed_[i] < instances_[i]->all_actions.size(); ++processed_[i]) {
       const Action& action = instances_[i]->all_actions[processed_[i]];
@@ -228,7 +232,7 @@
   const char* first;
   Case second;
 };
-// Named in test lists by its name: bytes would differ from one build to the next.
+// Shown by its name in test lists: its bytes would differ from one build to the next.
 void PrintTo(const NamedCase& named, std::ostream* out) { *out << named.first; }
 class ColdServer : public ::testing::TestWithParam<NamedCase> {};
 
@@ -242,12 +246,12 @@
     established += fleet.established_share() / seeds;
     sum += static_cast<double>(fleet.sent_to_cold()) / seeds;
   }
-  std::printf("%-28s worst %.2f of what it may be, sent %.0f, stood %.4f\n", GetParam().first, worst, sum,
-              established);
+  std::printf("%-28s worst %.2f of the permitted load, sent %.0f, established %.4f\n", GetParam().first,
+              worst, sum, established);
   EXPECT_LE(worst, 1);
 }
 
-// The checker itself: without the cold rule the same fleet goes far beyond the budget.
+// Checks the checker: without the cold rule the same fleet goes far beyond the limit.
 TEST(ColdServerChecker, DetectsAFleetWithoutTheColdRule) {
   Case without_rule;
   without_rule.instances = 30, without_rule.servers = 8, without_rule.cold_rule_off = true,
@@ -263,6 +267,9 @@
   return made;
 }
 
+// The names: calm, no disturbance; rush, the warm servers refuse all calls for a while; lost, the warm
+// servers are gone; named, more calls name the cold server than it was planned for; thin, little traffic;
+// wide and narrow, the limit of the cold server. The number at the end is that of the instances.
 const NamedCase kCases[] = {
     {"calm20", {}},
     {"calm30", default_with([](Case& c) { c.instances = 30; })},
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -1,5 +1,6 @@
-// What other deployments' settings change in the decisions: servers that tell nothing of their load,
-// processors that repeat nothing, wider budgets of cold servers, callers whose further tries carry no mark.
+// How the settings of other deployments change the controller's decisions: servers that do not report their
+// load, set-ups that are not retransmitted, higher overload limits of cold servers, and callers that do not
+// mark their retries.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -10,7 +11,8 @@
 namespace quartzarch::test {
 namespace {
 
-// Servers tell nothing of their load and send nothing again that waits; late is a quarter of the aim, 500 ms.
+// Servers do not report their load and set-ups are not retransmitted; a set-up is late after a quarter of the
+// aim, 500 ms.
 Settings unreported_load_settings() {
   Settings settings = plain_settings();
   settings.resend = Duration{0};
@@ -27,7 +29,7 @@
   return event;
 }
 
-// Calls at an even rate, each set-up answered once its delay is over at the latest.
+// Sends calls at an even rate and answers each set-up within the spacing of the calls with the given delay.
 class Traffic {
  public:
   explicit Traffic(Instance& instance) : instance_(instance) {}
@@ -54,8 +56,8 @@
   return calls;
 }
 
-// A redial comes under a new id and looks like the newest call of all, but it can earn no more than a late
-// one: under load it took the places of calls that could still be in time.
+// A redial has a new id and looks like the newest call of all, but it can earn only the worth of a late call:
+// under load redials took the places of calls that could still be in time.
 TEST(Redial, ARetryCountsFromTheFirstTry) {
   Instance instance(plain_settings(), {});
   instance.handle(arrival(1, 0xa, milliseconds(2500)));
@@ -63,13 +65,14 @@
   ASSERT_EQ(instance.final_answers(1), 1u);
   instance.handle(arrival(2, 0xb));
   instance.now += milliseconds(10);
-  instance.handle(arrival(3, 0xa));  // the first caller's, 2.6 s after its first try: its aim of 2 s is over
+  instance.handle(
+      arrival(3, 0xa));  // from the first caller, 2.6 s after its first try: its aim of 2 s is over
   instance.handle(ServerList{true, {entry(1)}});
   EXPECT_EQ(sent_in_order(instance), (std::vector<CallId>{2, 3}));
 }
 
-// The same for a caller that gave its first try up, and not for one whose call stood meanwhile, for a call
-// that was cut, or after the class's deadline.
+// The same holds for a caller that abandoned its first try. It does not hold if a call of it was established
+// meanwhile, for a call that lost its connection, or after the class's deadline.
 TEST(Redial, OnlyACallThatWasNotServedCountsAsRetried) {
   const auto order = [](const std::function<void(Instance&)>& before, bool reconnect) {
     Instance instance;
@@ -94,7 +97,7 @@
   };
   const std::vector<CallId> as_retry{8, 9}, as_new{9, 8};
   EXPECT_EQ(order(abandoned, false), as_retry);
-  EXPECT_EQ(order(abandoned, true), as_new) << "a call that was cut has an aim of its own";
+  EXPECT_EQ(order(abandoned, true), as_new) << "a call that lost its connection has an aim of its own";
   EXPECT_EQ(order(
                 [&](Instance& instance) {
                   abandoned(instance);
@@ -103,7 +106,7 @@
                 },
                 false),
             as_new)
-      << "the call stood meanwhile";
+      << "the call was established meanwhile";
   EXPECT_EQ(order(
                 [&](Instance& instance) {
                   abandoned(instance);
@@ -114,8 +117,8 @@
       << "later than the class's deadline";
 }
 
-// Of a number that many call no more are taken for further tries than were not served: the next caller is
-// new.
+// Where many callers dial one number, no more of their calls count as retries than were left unserved: the
+// next caller is new.
 TEST(Redial, CallsToAPopularNumberAreNotAllTakenForRetries) {
   Instance instance(plain_settings(), {});
   instance.handle(arrival(1, 0xa, milliseconds(2500)));
@@ -130,7 +133,8 @@
   EXPECT_EQ(sent_in_order(instance), (std::vector<CallId>{4, 2, 3}));
 }
 
-// A flood of callers that leave unserved takes a bounded memory: beyond it further tries count as new.
+// A flood of callers that leave unserved uses a limited amount of memory; retries beyond the limit count as
+// new.
 TEST(Redial, MemoryOfUnservedCallsIsBounded) {
   Instance instance(plain_settings(), {});
   const CallId flood = 20000;
@@ -141,29 +145,29 @@
   instance.now += milliseconds(2200);
   instance.handle(arrival(flood + 2, 0xfffffff));
   instance.now += milliseconds(10);
-  instance.handle(arrival(flood + 3, flood));  // the last that is remembered
+  instance.handle(arrival(flood + 3, flood));  // the last one that is remembered
   instance.now += milliseconds(10);
   instance.handle(arrival(flood + 4, flood + 1));
   instance.handle(ServerList{true, {entry(1)}});
   EXPECT_EQ(sent_in_order(instance), (std::vector<CallId>{flood + 4, flood + 2, flood + 3}));
 }
 
-// A slowed server has few set-ups out because little is sent there.
+// A slowed server has few set-ups in flight because few are sent to it.
 TEST(UnreportedLoad, ASlowedServerIsNotPreferredForItsFewCalls) {
   Instance instance(unreported_load_settings(), {entry(1), entry(2), entry(3)});
   instance.call(1, 2);
   instance.establish(1, 2, milliseconds(450));
   instance.call(2, 3);
   instance.establish(2, 3, milliseconds(20));
-  instance.call(3, 3);  // stays out
+  instance.call(3, 3);  // stays in flight
   instance.run_until(milliseconds(50));
   instance.call(4, 1);
-  instance.processor_full(4, 1);  // moves on
+  instance.processor_full(4, 1);  // goes to another server
   EXPECT_EQ(instance.sent_to(2), 1u);
   EXPECT_EQ(instance.sent_to(3), 3u);
 }
 
-// What was seen long ago tells neither that a server is idle nor that it is full.
+// An old delay tells neither that a server is idle nor that it is full.
 TEST(UnreportedLoad, AnOldDelayCountsAsHalfSpareCapacity) {
   Instance instance(unreported_load_settings(), {entry(1), entry(2), entry(3)});
   instance.call(1, 3);
@@ -173,7 +177,7 @@
   instance.establish(2, 2, milliseconds(450));
   instance.call(3, 1);
   instance.processor_full(3, 1);
-  EXPECT_EQ(instance.sent_to(2), 2u) << "a delay of long ago was taken for an idle server";
+  EXPECT_EQ(instance.sent_to(2), 2u) << "an old delay was taken for an idle server";
   instance.establish(3, 2, milliseconds(450), 1);
   instance.call(4, 3);
   instance.establish(4, 3, milliseconds(20));
@@ -181,8 +185,8 @@
   EXPECT_EQ(instance.sent_to(3), 3u);
 }
 
-// A small server's line makes its few set-ups late at once. Spaced by what they waited, again and again, it
-// was found idle for the rest of the day.
+// The queue of a small server makes all of its few set-ups late at once. A gap that was raised by their wait
+// again and again left the server idle for the rest of the day.
 TEST(UnreportedLoad, NoGapGrowsBeyondTwoUsualSpacings) {
   Instance instance(unreported_load_settings(), {entry(1)});
   Traffic traffic(instance);
@@ -191,22 +195,23 @@
   traffic.run(25, milliseconds(200), milliseconds(1900), first);
   const auto before = instance.sent_to(1);
   traffic.run(20, milliseconds(200), milliseconds(510), first);
-  // Five a second are usual: every 400 ms at least, which is ten in four seconds but for chance.
+  // Five a second are usual: one every 400 ms at least, which is ten in four seconds apart from random
+  // variation.
   EXPECT_GE(instance.sent_to(1) - before, 8u);
 }
 
-// A burst: as many set-ups may be out as a third of the aim brings, whatever counts as late.
+// As many set-ups may be in flight in a burst as a third of the aim brings, whatever counts as late.
 TEST(UnreportedLoad, ABurstIsLimitedToWhatAThirdOfTheAimBrings) {
   Instance instance(unreported_load_settings(), {entry(1)});
   Traffic(instance).run(200, milliseconds(200), milliseconds(30), [](int) { return 1; });
   const auto before = instance.sent_to(1);
   for (CallId id = 1000; id < 1012; ++id) instance.call(id);
   EXPECT_GE(instance.sent_to(1) - before, 4u);
-  EXPECT_LE(instance.sent_to(1) - before, 5u);  // five a second, 0.67 s, and one for chance
+  EXPECT_LE(instance.sent_to(1) - before, 5u);  // five a second, 0.67 s, and one for random arrivals
 }
 
-// A deployment whose cold servers may be sent four times what they can do gets more of them than one with
-// twice; the least share is the same for all.
+// A deployment whose cold servers fail at four times their capacity sends them more than one where they fail
+// at twice; the minimum share is the same for all.
 TEST(Settings, AHigherOverloadFactorLetsAColdServerGetMore) {
   const auto sent = [](double cold_overload_factor) {
     Settings settings = unreported_load_settings();
