--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -13,11 +13,11 @@
 
 // Reads in pieces, so that a false length cannot ask for memory that the input never fills.
 std::string read_exactly(std::istream& in, std::size_t count) {
-  constexpr std::size_t kPiece = 1 << 20;
+  constexpr std::size_t kChunkSize = 1 << 20;
   std::string bytes;
   while (bytes.size() < count) {
     const auto have = bytes.size();
-    bytes.resize(have + std::min(kPiece, count - have));
+    bytes.resize(have + std::min(kChunkSize, count - have));
     in.read(bytes.data() + have, static_cast<std::streamsize>(bytes.size() - have));
     bytes.resize(have + static_cast<std::size_t>(in.gcount()));
     if (!in) break;
@@ -28,19 +28,19 @@
 void serve(std::istream& in, std::ostream& out) {
   quartzarch::wire::Session session;
   for (std::size_t batch = 0;; ++batch) {
-    const auto at = [&] { return " (batch " + std::to_string(batch) + " of the input)"; };
+    const auto location = [&] { return " (batch " + std::to_string(batch) + " of the input)"; };
     const std::string head = read_exactly(in, BatchHeader::kSize);
     if (head.empty()) return;
-    if (head.size() < BatchHeader::kSize) throw WireError("input ends inside a batch header" + at());
+    if (head.size() < BatchHeader::kSize) throw WireError("input ends inside a batch header" + location());
     const auto header = BatchHeader::parse(head);
     const std::string records = read_exactly(in, header.length);
-    if (records.size() < header.length) throw WireError("input ends inside a batch" + at());
+    if (records.size() < header.length) throw WireError("input ends inside a batch" + location());
     try {
       out << session.reply(header, records) << std::flush;
     } catch (const WireError& error) {
-      throw WireError(error.what() + at());
+      throw WireError(error.what() + location());
     }
-    if (!out) throw WireError("the reply could not be written" + at());
+    if (!out) throw WireError("the reply could not be written" + location());
   }
 }
 
--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -34,7 +34,7 @@
 
 constexpr std::uint16_t kAllPeers = 0xffff;
 
-ServerId server_id(Reader& in) {
+ServerId read_server_id(Reader& in) {
   ServerId id;
   for (auto& byte : id.address) byte = in.get<std::uint8_t>();
   id.port = in.get<std::uint16_t>();
@@ -45,7 +45,7 @@
   return std::isfinite(value) ? static_cast<int>(std::clamp(value, -1.0f, 1e6f)) : -1;
 }
 
-LoadReport load_report(Reader& in, const std::vector<std::string>& fields) {
+LoadReport read_load_report(Reader& in, const std::vector<std::string>& fields) {
   LoadReport report;
   const auto count = in.get<std::uint8_t>();
   for (std::size_t i = 0; i < count; ++i) {
@@ -77,8 +77,8 @@
   }
 }
 
-Cause cause_of(std::uint32_t why) {
-  switch (why % 16) {
+Cause cause_of(std::uint32_t code) {
+  switch (code % 16) {
     case 1:
       return Cause::no_circuit;
     case 2:
@@ -95,7 +95,7 @@
 // Writes the actions of one front.
 class ActionWriter {
  public:
-  ActionWriter(Writer& out, std::uint16_t front) : out_(out), front_(front) {}
+  ActionWriter(Writer& out, std::uint16_t instance) : out_(out), instance_(instance) {}
 
   void operator()(const SendSetup& a) {
     begin(ActionCode::hand_off).put(a.call).put(ms(a.give_up_after));
@@ -118,7 +118,7 @@
   void operator()(const Subscribe&) { begin(ActionCode::keep_informed).put(std::uint8_t{1}); }
 
  private:
-  Writer& begin(ActionCode code) { return out_.put(static_cast<std::uint8_t>(code)).put(front_); }
+  Writer& begin(ActionCode code) { return out_.put(static_cast<std::uint8_t>(code)).put(instance_); }
   void server(const ServerId& id) {
     for (const auto byte : id.address) out_.put(byte);
     out_.put(id.port);
@@ -128,7 +128,7 @@
   }
 
   Writer& out_;
-  std::uint16_t front_;
+  std::uint16_t instance_;
 };
 
 }  // namespace
@@ -148,49 +148,49 @@
   if (!std::isfinite(header.clock_ms)) throw WireError("the clock is not a number");
   now_ = from_ms(header.clock_ms);
   out_ = Writer();
-  actions_ = 0;
+  action_count_ = 0;
   Reader in(records);
-  for (std::uint32_t i = 0; i < header.records; ++i) record(in);
-  if (in.left() != 0) {
-    throw WireError(std::to_string(in.left()) + " bytes are left after the last of " +
+  for (std::uint32_t i = 0; i < header.records; ++i) read_record(in);
+  if (in.remaining() != 0) {
+    throw WireError(std::to_string(in.remaining()) + " bytes are left after the last of " +
                     std::to_string(header.records) + " records");
   }
   Writer head;
-  head.put(header.number).put(actions_).put(static_cast<std::uint32_t>(out_.bytes().size()));
+  head.put(header.number).put(action_count_).put(static_cast<std::uint32_t>(out_.bytes().size()));
   return head.bytes() + out_.bytes();
 }
 
-void Session::record(Reader& in) {
-  const auto start = in.at();
+void Session::read_record(Reader& in) {
+  const auto start = in.position();
   const auto code = static_cast<EventCode>(in.get<std::uint8_t>());
-  if (code == EventCode::page) return page(in);
-  if (code == EventCode::provision) return provision(in);
+  if (code == EventCode::page) return read_page(in);
+  if (code == EventCode::provision) return create_instance(in);
   const auto number = in.get<std::uint16_t>();
-  const auto found = fronts_.find(number);
-  const Front* const front = found == fronts_.end() ? nullptr : &found->second;
+  const auto found = instances_.find(number);
+  const Instance* const instance = found == instances_.end() ? nullptr : &found->second;
   switch (code) {
     case EventCode::retire:
-      fronts_.erase(number);
+      instances_.erase(number);
       return;
     case EventCode::update:
-      if (const auto event = update(in)) deliver(number, *event);
+      if (const auto event = read_server_list(in)) deliver(number, *event);
       return;
     case EventCode::request:
-      return deliver(number, arrived(in));
+      return deliver(number, read_call_arrived(in));
     case EventCode::started: {
       CallEstablished event{in.get<std::uint64_t>(), in.get<std::uint16_t>(), {}, {}};
-      event.server = server_id(in);
+      event.server = read_server_id(in);
       event.delay = from_ms(in.get<double>());
       return deliver(number, event);
     }
     case EventCode::ended:
-      return deliver(number, ended(in, front));
+      return deliver(number, read_attempt_ended(in, instance));
     case EventCode::withdrawn:
       return deliver(number, CallCancelled{in.get<std::uint64_t>()});
     case EventCode::wake:
       return deliver(number, TimerFired{in.get<std::uint64_t>()});
     case EventCode::check_result:
-      return deliver(number, probed(in, front));
+      return deliver(number, read_server_probed(in, instance));
     case EventCode::heard: {
       const auto from = in.get<std::uint16_t>();
       const auto body = in.take(in.get<std::uint16_t>());
@@ -202,34 +202,34 @@
   }
 }
 
-void Session::provision(Reader& in) {
+void Session::create_instance(Reader& in) {
   const auto number = in.get<std::uint16_t>();
   const auto seed = in.get<std::uint64_t>();
-  const auto facts = in.take(in.get<std::uint32_t>());
+  const auto json = in.take(in.get<std::uint32_t>());
   StartUp start;
   try {
-    start = parse_settings(facts);
+    start = parse_settings(json);
   } catch (const SettingsError& error) {
     throw WireError(error.what());
   }
-  fronts_.erase(number);
-  fronts_.emplace(number, Front{Controller(std::move(start.settings), seed, now_),
-                                std::move(start.report_fields), start.waits_hinted});
+  instances_.erase(number);
+  instances_.emplace(number, Instance{Controller(std::move(start.settings), seed, now_),
+                                      std::move(start.report_fields), start.waits_hinted});
 }
 
-void Session::page(Reader& in) {
+void Session::read_page(Reader& in) {
   const auto id = in.get<std::uint32_t>();
   const auto rows = in.get<std::uint32_t>();
   std::vector<ServerEntry> entries;
   for (std::uint32_t i = 0; i < rows; ++i) {
     ServerEntry entry;
-    entry.id = server_id(in);
+    entry.id = read_server_id(in);
     in.take(2);  // zone and machine kind
     entry.number = in.get<std::uint16_t>();
-    const auto state = in.get<std::uint8_t>();
-    entry.availability = state == 0   ? Availability::ready
-                         : state == 1 ? Availability::draining
-                                      : Availability::gone;
+    const auto availability = in.get<std::uint8_t>();
+    entry.availability = availability == 0   ? Availability::ready
+                         : availability == 1 ? Availability::draining
+                                             : Availability::gone;
     in.take(4);  // size
     const double started = in.get<double>();
     if (started != 0) entry.started = from_ms(started);
@@ -238,7 +238,7 @@
   pages_[id] = std::move(entries);
 }
 
-std::optional<Event> Session::update(Reader& in) {
+std::optional<Event> Session::read_server_list(Reader& in) {
   const auto scope = in.get<std::uint8_t>();
   in.get<std::uint32_t>();  // version: the simulator delivers in order
   const auto id = in.get<std::uint32_t>();
@@ -249,7 +249,7 @@
   return ServerList{scope != 0, found->second};
 }
 
-Event Session::arrived(Reader& in) {
+Event Session::read_call_arrived(Reader& in) {
   CallArrived event;
   event.call = in.get<std::uint64_t>();
   event.call_class = in.get<std::uint8_t>();
@@ -267,39 +267,39 @@
   return event;
 }
 
-Event Session::ended(Reader& in, const Front* front) {
+Event Session::read_attempt_ended(Reader& in, const Instance* instance) {
   AttemptEnded event;
   event.call = in.get<std::uint64_t>();
   event.delay = from_ms(in.get<double>());
   event.ending = ending_of(in.get<std::uint16_t>());
-  event.server = server_id(in);
+  event.server = read_server_id(in);
   event.attempt = in.get<std::uint16_t>();
-  const auto why = in.get<std::uint32_t>();
-  event.cause = cause_of(why);
-  if (front && front->waits_hinted && event.cause == Cause::processor_full && why >= 16) {
-    event.retry_after = from_ms(why / 16);
+  const auto code = in.get<std::uint32_t>();
+  event.cause = cause_of(code);
+  if (instance && instance->waits_hinted && event.cause == Cause::processor_full && code >= 16) {
+    event.retry_after = from_ms(code / 16);
   }
   event.call_finished = in.get<std::uint8_t>() != 0;
-  event.report = load_report(in, front ? front->report_fields : std::vector<std::string>{});
+  event.report = read_load_report(in, instance ? instance->report_fields : std::vector<std::string>{});
   return event;
 }
 
-Event Session::probed(Reader& in, const Front* front) {
+Event Session::read_server_probed(Reader& in, const Instance* instance) {
   ServerProbed event;
   in.get<double>();  // how long it took
-  event.server = server_id(in);
+  event.server = read_server_id(in);
   event.passed = in.get<std::uint16_t>() == 1;
-  event.report = load_report(in, front ? front->report_fields : std::vector<std::string>{});
+  event.report = read_load_report(in, instance ? instance->report_fields : std::vector<std::string>{});
   return event;
 }
 
-void Session::deliver(std::uint16_t front, const Event& event) {
-  const auto found = fronts_.find(front);
-  if (found == fronts_.end()) return;  // killed a moment ago
-  ActionWriter writer(out_, front);
+void Session::deliver(std::uint16_t instance, const Event& event) {
+  const auto found = instances_.find(instance);
+  if (found == instances_.end()) return;  // killed a moment ago
+  ActionWriter writer(out_, instance);
   for (const Action& action : found->second.controller.handle(now_, event)) {
     std::visit(writer, action);
-    ++actions_;
+    ++action_count_;
   }
 }
 
--- a/adapter/session.hpp
+++ b/adapter/session.hpp
@@ -30,26 +30,26 @@
   std::string reply(const BatchHeader& header, std::string_view records);
 
  private:
-  struct Front {
+  struct Instance {
     Controller controller;
     std::vector<std::string> report_fields;
     bool waits_hinted = false;
   };
 
-  void record(Reader& in);
-  void provision(Reader& in);
-  void page(Reader& in);
-  std::optional<Event> update(Reader& in);
-  Event arrived(Reader& in);
-  Event ended(Reader& in, const Front* front);
-  Event probed(Reader& in, const Front* front);
-  void deliver(std::uint16_t front, const Event& event);
+  void read_record(Reader& in);
+  void create_instance(Reader& in);
+  void read_page(Reader& in);
+  std::optional<Event> read_server_list(Reader& in);
+  Event read_call_arrived(Reader& in);
+  Event read_attempt_ended(Reader& in, const Instance* instance);
+  Event read_server_probed(Reader& in, const Instance* instance);
+  void deliver(std::uint16_t instance, const Event& event);
 
-  std::map<std::uint16_t, Front> fronts_;
+  std::map<std::uint16_t, Instance> instances_;
   std::map<std::uint32_t, std::vector<ServerEntry>> pages_;
   Time now_{};
   Writer out_;
-  std::uint32_t actions_ = 0;
+  std::uint32_t action_count_ = 0;
 };
 
 }  // namespace quartzarch::wire
--- a/adapter/wire.hpp
+++ b/adapter/wire.hpp
@@ -30,18 +30,18 @@
     return value;
   }
   std::string_view take(std::size_t count) {
-    if (count > bytes_.size() - at_) {
-      throw WireError("input ends inside a record at byte " + std::to_string(at_) + " of the batch");
+    if (count > bytes_.size() - position_) {
+      throw WireError("input ends inside a record at byte " + std::to_string(position_) + " of the batch");
     }
-    at_ += count;
-    return bytes_.substr(at_ - count, count);
+    position_ += count;
+    return bytes_.substr(position_ - count, count);
   }
-  std::size_t at() const { return at_; }
-  std::size_t left() const { return bytes_.size() - at_; }
+  std::size_t position() const { return position_; }
+  std::size_t remaining() const { return bytes_.size() - position_; }
 
  private:
   std::string_view bytes_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 class Writer {
@@ -55,9 +55,9 @@
     return *this;
   }
   Writer& text(std::string_view value) {
-    const auto shown = value.substr(0, 0xffff);
-    put(static_cast<std::uint16_t>(shown.size()));
-    bytes_.append(shown);
+    const auto truncated = value.substr(0, 0xffff);
+    put(static_cast<std::uint16_t>(truncated.size()));
+    bytes_.append(truncated);
     return *this;
   }
   const std::string& bytes() const { return bytes_; }
