--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,5 @@
-// quartzarch_sim: speaks the simulator's wire on standard input and output until the input ends.
+// quartzarch_sim: connects the controllers to the simulator, whose binary protocol it speaks on standard
+// input and output until the input ends.
 #include <algorithm>
 #include <exception>
 #include <iostream>
@@ -11,7 +12,8 @@
 using quartzarch::wire::BatchHeader;
 using quartzarch::wire::WireError;
 
-// Reads in pieces, so that a false length cannot ask for memory that the input never fills.
+// Reads `count` bytes, or fewer at the end of the input. Reads in chunks, so that a wrong length cannot
+// allocate memory that the input never fills.
 std::string read_exactly(std::istream& in, std::size_t count) {
   constexpr std::size_t kChunkSize = 1 << 20;
   std::string bytes;
@@ -25,6 +27,7 @@
   return bytes;
 }
 
+// Answers batch after batch until the input ends. Throws WireError on malformed input.
 void serve(std::istream& in, std::ostream& out) {
   quartzarch::wire::Session session;
   for (std::size_t batch = 0;; ++batch) {
@@ -40,7 +43,7 @@
     } catch (const WireError& error) {
       throw WireError(error.what() + location());
     }
-    if (!out) throw WireError("the reply could not be written" + location());
+    if (!out) throw WireError("cannot write the reply" + location());
   }
 }
 
--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -6,6 +6,7 @@
 namespace quartzarch::wire {
 namespace {
 
+// Record codes of the simulator's protocol.
 enum class EventCode : std::uint8_t {
   provision = 1,
   update = 2,
@@ -32,6 +33,7 @@
   keep_informed = 75,
 };
 
+// Receiver of a message to all other instances.
 constexpr std::uint16_t kAllPeers = 0xffff;
 
 ServerId read_server_id(Reader& in) {
@@ -41,6 +43,7 @@
   return id;
 }
 
+// A server number, which the protocol carries as a float; -1: none.
 int number_of(float value) {
   return std::isfinite(value) ? static_cast<int>(std::clamp(value, -1.0f, 1e6f)) : -1;
 }
@@ -51,7 +54,7 @@
   for (std::size_t i = 0; i < count; ++i) {
     const float value = in.get<float>();
     auto* const field = i < fields.size() ? report_field(report, fields[i]) : nullptr;
-    if (field && value != -1.0f) *field = value;  // -1: not given
+    if (field && value != -1.0f) *field = value;  // -1: not reported
   }
   return report;
 }
@@ -77,6 +80,7 @@
   }
 }
 
+// The low 4 bits are the cause; above them stands the hinted wait in milliseconds.
 Cause cause_of(std::uint32_t code) {
   switch (code % 16) {
     case 1:
@@ -92,7 +96,7 @@
   }
 }
 
-// Writes the actions of one front.
+// Encodes the actions of one instance.
 class ActionWriter {
  public:
   ActionWriter(Writer& out, std::uint16_t instance) : out_(out), instance_(instance) {}
@@ -144,8 +148,8 @@
 }
 
 std::string Session::reply(const BatchHeader& header, std::string_view records) {
-  if (records.size() != header.length) throw WireError("length of the batch does not match its header");
-  if (!std::isfinite(header.clock_ms)) throw WireError("the clock is not a number");
+  if (records.size() != header.length) throw WireError("the batch has another length than its header says");
+  if (!std::isfinite(header.clock_ms)) throw WireError("the time in the batch header is not a finite number");
   now_ = from_ms(header.clock_ms);
   out_ = Writer();
   action_count_ = 0;
@@ -240,12 +244,13 @@
 
 std::optional<Event> Session::read_server_list(Reader& in) {
   const auto scope = in.get<std::uint8_t>();
-  in.get<std::uint32_t>();  // version: the simulator delivers in order
+  in.get<std::uint32_t>();  // version, not needed: the simulator delivers in order
   const auto id = in.get<std::uint32_t>();
   if (scope == 3) return DiscoveryFailed{};
   const auto found = pages_.find(id);
   if (scope > 3) throw WireError("unknown scope " + std::to_string(scope) + " of an update");
-  if (found == pages_.end()) throw WireError("an update names list " + std::to_string(id) + ", never sent");
+  if (found == pages_.end())
+    throw WireError("an update names list " + std::to_string(id) + ", which was never sent");
   return ServerList{scope != 0, found->second};
 }
 
@@ -256,7 +261,7 @@
   event.tenant = in.get<std::uint32_t>();
   event.number_key = in.get<std::uint64_t>();
   event.caller_timeout = from_ms(in.get<double>());
-  in.take(8);  // a guess of the cost
+  in.take(8);  // estimated cost
   event.first_choice = number_of(in.get<float>());
   in.take(4);  // circuits
   event.advised = number_of(in.get<float>());
@@ -286,7 +291,7 @@
 
 Event Session::read_server_probed(Reader& in, const Instance* instance) {
   ServerProbed event;
-  in.get<double>();  // how long it took
+  in.get<double>();  // duration of the probe
   event.server = read_server_id(in);
   event.passed = in.get<std::uint16_t>() == 1;
   event.report = read_load_report(in, instance ? instance->report_fields : std::vector<std::string>{});
@@ -295,7 +300,7 @@
 
 void Session::deliver(std::uint16_t instance, const Event& event) {
   const auto found = instances_.find(instance);
-  if (found == instances_.end()) return;  // killed a moment ago
+  if (found == instances_.end()) return;  // terminated earlier in the simulation
   ActionWriter writer(out_, instance);
   for (const Action& action : found->second.controller.handle(now_, event)) {
     std::visit(writer, action);
--- a/adapter/session.hpp
+++ b/adapter/session.hpp
@@ -1,4 +1,5 @@
-// One process on the simulator's wire: it hosts a controller for each front and translates batches both ways.
+// A session with the simulator: hosts one controller for each simulated instance, decodes batches of events
+// and encodes the actions that the controllers return.
 #pragma once
 
 #include <cstdint>
@@ -14,6 +15,8 @@
 
 namespace quartzarch::wire {
 
+// Header of a batch of events: its number, the length of its records in bytes, their count and the time of
+// all of them.
 struct BatchHeader {
   static constexpr std::size_t kSize = 20;
   std::uint32_t number = 0;
@@ -26,14 +29,15 @@
 
 class Session {
  public:
-  // The reply to one batch, header included. Throws WireError on malformed input.
+  // Decodes one batch and returns the reply to it, header included. Throws WireError on malformed input.
   std::string reply(const BatchHeader& header, std::string_view records);
 
  private:
+  // A simulated instance: its controller and how its attempt reports are to be read.
   struct Instance {
     Controller controller;
-    std::vector<std::string> report_fields;
-    bool waits_hinted = false;
+    std::vector<std::string> report_fields;  // names of the values of a load report, in order
+    bool waits_hinted = false;               // 'processor full' carries a wait until a retry
   };
 
   void read_record(Reader& in);
@@ -46,6 +50,7 @@
   void deliver(std::uint16_t instance, const Event& event);
 
   std::map<std::uint16_t, Instance> instances_;
+  // Server lists by their id; an update names one that was sent before.
   std::map<std::uint32_t, std::vector<ServerEntry>> pages_;
   Time now_{};
   Writer out_;
--- a/adapter/wire.hpp
+++ b/adapter/wire.hpp
@@ -1,4 +1,5 @@
-// Little-endian records of the simulator's wire, read with bounds checks and written without padding.
+// Reader and writer of the simulator's binary protocol: little-endian records without padding. The reader
+// checks bounds.
 #pragma once
 
 #include <bit>
@@ -11,12 +12,12 @@
 
 namespace quartzarch::wire {
 
-// What was wrong with the input, and where.
+// Malformed input; the message says what is wrong and where.
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
+static_assert(std::endian::native == std::endian::little, "the simulator's protocol is little-endian");
 
 class Reader {
  public:
@@ -54,6 +55,7 @@
     bytes_.append(raw, sizeof value);
     return *this;
   }
+  // A 16-bit length and the text, which is cut to the longest that fits.
   Writer& text(std::string_view value) {
     const auto truncated = value.substr(0, 0xffff);
     put(static_cast<std::uint16_t>(truncated.size()));
--- a/examples/one_call.cpp
+++ b/examples/one_call.cpp
@@ -1,4 +1,4 @@
-// One call, offered to a front that knows one server.
+// Offers one call to a controller that knows one server, and prints the set-up that the controller sends.
 #include <cstdio>
 #include <quartzarch/controller.hpp>
 
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the wire: real frames in, frames out, and what malformed ones get.
+// Tests of the adapter to the simulator: frames of its binary protocol in, frames out, and the errors for
+// malformed ones.
 #include <gtest/gtest.h>
 
 #include "session.hpp"
@@ -36,7 +37,7 @@
   return out.bytes() + std::string(settings);
 }
 
-// The frames printed in the protocol's description.
+// The example frames of the protocol's description.
 const std::string kPage = bytes_of(
     "0b 00000000 02000000 0a124a07 c32b 00 00 0000 00 0000803f 0000000000000000"
     "0a9011f2 ec2b 01 00 0100 00 0000c03f 0000000000000000");
@@ -131,7 +132,7 @@
   auto other_front = kRequest;
   other_front[1] = 4;
   const Reply reply(play(provision(3) + provision(4) + kPage + kUpdate + other_front, 5));
-  EXPECT_NE(reply.rest.substr(0, 1), bytes_of("41"));  // front 4 has no list: it holds the call
+  EXPECT_NE(reply.rest.substr(0, 1), bytes_of("41"));  // instance 4 has no server list: it holds the call
 }
 
 TEST_F(Wire, DrillOfAllOtherEventsIsRead) {
