--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -31,9 +31,12 @@
   return bytes;
 }
 
-std::string provision(std::uint16_t front = 3, std::string_view settings = kSettings) {
+std::string provision(std::uint16_t instance = 3, std::string_view settings = kSettings) {
   Writer out;
-  out.put(std::uint8_t{1}).put(front).put(std::uint64_t{42}).put(static_cast<std::uint32_t>(settings.size()));
+  out.put(std::uint8_t{1})
+      .put(instance)
+      .put(std::uint64_t{42})
+      .put(static_cast<std::uint32_t>(settings.size()));
   return out.bytes() + std::string(settings);
 }
 
@@ -51,9 +54,9 @@
 const std::string kEnded = bytes_of(
     "05 0300 c4913a5daadc0200 0000000000803240 0200 0a124a07 c32b 0000 03000000 00 02 0000803f 0000803f");
 
-class Wire : public ::testing::Test {
+class SimulatorProtocol : public ::testing::Test {
  protected:
-  std::string play(std::string_view records, std::uint32_t count, double clock = 58000.0) {
+  std::string reply_to(std::string_view records, std::uint32_t count, double clock = 58000.0) {
     BatchHeader header;
     header.number = number++;
     header.length = static_cast<std::uint32_t>(records.size());
@@ -61,11 +64,11 @@
     header.clock_ms = clock;
     return session.reply(header, records);
   }
-  std::string error(std::string_view records, std::uint32_t count) {
+  std::string error_for(std::string_view records, std::uint32_t count) {
     try {
-      play(records, count);
-    } catch (const WireError& wrong) {
-      return wrong.what();
+      reply_to(records, count);
+    } catch (const WireError& exception) {
+      return exception.what();
     }
     return "none";
   }
@@ -86,95 +89,95 @@
   }
 };
 
-TEST_F(Wire, EmptyBatchIsAnsweredAsPrinted) {
+TEST_F(SimulatorProtocol, EmptyBatchGetsTheReplyOfTheDescription) {
   const auto header = BatchHeader::parse(bytes_of("01000000 00000000 00000000 00000000206ec040"));
   EXPECT_EQ(header.clock_ms, 8412.25);
   EXPECT_EQ(session.reply(header, ""), bytes_of("01000000 00000000 00000000"));
 }
 
-TEST_F(Wire, RequestIsSentToTheServerOfItsFirstChoice) {
-  const Reply reply(play(provision() + kPage + kUpdate + kRequest, 4));
+TEST_F(SimulatorProtocol, RequestIsSentToTheServerOfItsFirstChoice) {
+  const Reply reply(reply_to(provision() + kPage + kUpdate + kRequest, 4));
   EXPECT_EQ(reply.number, 12u);
   EXPECT_EQ(reply.length, reply.rest.size());
   ASSERT_GE(reply.records, 1u);
   EXPECT_EQ(reply.rest.substr(0, 25), bytes_of("41 0300 c4913a5daadc0200 0000000000000000 0a124a07 c32b"));
 }
 
-TEST_F(Wire, FullProcessorMovesTheCallToTheOtherServer) {
-  play(provision() + kPage + kUpdate + kRequest, 4);
-  const Reply reply(play(kEnded, 1, 58020.0));
+TEST_F(SimulatorProtocol, FullProcessorMovesTheCallToTheOtherServer) {
+  reply_to(provision() + kPage + kUpdate + kRequest, 4);
+  const Reply reply(reply_to(kEnded, 1, 58020.0));
   EXPECT_NE(reply.rest.find(bytes_of("41 0300 c4913a5daadc0200 0000000000000000 0a9011f2 ec2b")),
             std::string::npos);
   EXPECT_NE(reply.rest.find("server 10.18.74.7:11203: processor full"), std::string::npos);
 }
 
-TEST_F(Wire, PageNumbersAreResolvedInOrderOfEvents) {
+TEST_F(SimulatorProtocol, PageNumbersAreResolvedInOrderOfEvents) {
   const auto other = bytes_of("0b 00000000 01000000 01020304 0500 00 00 0000 00 0000803f 0000000000000000");
-  const Reply reply(play(provision() + kPage + kUpdate + other + kRequest, 5));
+  const Reply reply(reply_to(provision() + kPage + kUpdate + other + kRequest, 5));
   EXPECT_EQ(reply.rest.substr(0, 25), bytes_of("41 0300 c4913a5daadc0200 0000000000000000 0a124a07 c32b"));
 }
 
-TEST_F(Wire, RestartWithinABatchForgetsWhatWasHeld) {
-  play(provision() + kRequest, 2);
-  const Reply reply(play(bytes_of("0a 0300") + provision() + kPage + kUpdate, 4));
+TEST_F(SimulatorProtocol, RestartWithinABatchDropsHeldCalls) {
+  reply_to(provision() + kRequest, 2);
+  const Reply reply(reply_to(bytes_of("0a 0300") + provision() + kPage + kUpdate, 4));
   EXPECT_EQ(reply.records, 0u);
 }
 
-TEST_F(Wire, EventsForAKilledFrontAreIgnored) {
-  play(provision(), 1);
-  const Reply reply(play(bytes_of("0a 0300") + kRequest + kWake + kWithdrawn + kEnded + kUpdate.substr(0, 3) +
-                             bytes_of("03 00000000 00000000"),
-                         6));
+TEST_F(SimulatorProtocol, EventsForATerminatedInstanceAreIgnored) {
+  reply_to(provision(), 1);
+  const Reply reply(reply_to(bytes_of("0a 0300") + kRequest + kWake + kWithdrawn + kEnded +
+                                 kUpdate.substr(0, 3) + bytes_of("03 00000000 00000000"),
+                             6));
   EXPECT_EQ(reply.records, 0u);
 }
 
-TEST_F(Wire, FrontsOfOneProcessShareNothing) {
-  auto other_front = kRequest;
-  other_front[1] = 4;
-  const Reply reply(play(provision(3) + provision(4) + kPage + kUpdate + other_front, 5));
+TEST_F(SimulatorProtocol, InstancesOfOneProcessShareNoState) {
+  auto for_other_instance = kRequest;
+  for_other_instance[1] = 4;
+  const Reply reply(reply_to(provision(3) + provision(4) + kPage + kUpdate + for_other_instance, 5));
   EXPECT_NE(reply.rest.substr(0, 1), bytes_of("41"));  // instance 4 has no server list: it holds the call
 }
 
-TEST_F(Wire, DrillOfAllOtherEventsIsRead) {
+TEST_F(SimulatorProtocol, AllOtherEventsAreRead) {
   const auto started = bytes_of("04 0300 c4913a5daadc0200 0000 0a124a07 c32b 0000000000803240");
   const auto probed = bytes_of("08 0300 0000000000000000 0a124a07 c32b 0100 02 0000803f 0000803f");
   const auto heard = bytes_of("09 0300 0100 0400 68692037");
-  const Reply reply(play(provision() + kPage + kUpdate + started + probed + heard + kWake, 7));
+  const Reply reply(reply_to(provision() + kPage + kUpdate + started + probed + heard + kWake, 7));
   EXPECT_EQ(reply.records, 0u);
 }
 
-TEST_F(Wire, TruncatedRecordIsNamed) {
-  EXPECT_NE(error(kRequest.substr(0, 30), 1).find("ends inside a record"), std::string::npos);
+TEST_F(SimulatorProtocol, TruncatedRecordIsReported) {
+  EXPECT_NE(error_for(kRequest.substr(0, 30), 1).find("ends inside a record"), std::string::npos);
 }
 
-TEST_F(Wire, EveryTruncationIsAnErrorAndNoCrash) {
-  const auto whole = provision() + kPage + kUpdate + kRequest + kEnded;
-  for (std::size_t cut = 0; cut < whole.size(); cut += 3) {
+TEST_F(SimulatorProtocol, EveryTruncationIsAnErrorAndNoCrash) {
+  const auto complete = provision() + kPage + kUpdate + kRequest + kEnded;
+  for (std::size_t length = 0; length < complete.size(); length += 3) {
     Session fresh;
     BatchHeader header;
-    header.length = static_cast<std::uint32_t>(cut);
+    header.length = static_cast<std::uint32_t>(length);
     header.records = 5;
-    EXPECT_THROW(fresh.reply(header, whole.substr(0, cut)), WireError) << cut;
+    EXPECT_THROW(fresh.reply(header, complete.substr(0, length)), WireError) << length;
   }
 }
 
-TEST_F(Wire, UnknownCodeIsNamed) {
-  EXPECT_NE(error(bytes_of("63 0300"), 1).find("unknown event code 99 at byte 0"), std::string::npos);
+TEST_F(SimulatorProtocol, UnknownCodeIsReported) {
+  EXPECT_NE(error_for(bytes_of("63 0300"), 1).find("unknown event code 99 at byte 0"), std::string::npos);
 }
 
-TEST_F(Wire, CountThatDoesNotMatchIsNamed) {
-  EXPECT_NE(error(kWake + kWake, 1).find("bytes are left"), std::string::npos);
-  EXPECT_NE(error(kWake, 2).find("ends inside a record"), std::string::npos);
+TEST_F(SimulatorProtocol, WrongRecordCountIsReported) {
+  EXPECT_NE(error_for(kWake + kWake, 1).find("bytes are left"), std::string::npos);
+  EXPECT_NE(error_for(kWake, 2).find("ends inside a record"), std::string::npos);
 }
 
-TEST_F(Wire, SettingsThatAreNoJsonObjectAreNamed) {
-  EXPECT_NE(error(provision(3, "{nonsense"), 1).find("settings"), std::string::npos);
-  EXPECT_NE(error(provision(3, "[1]"), 1).find("settings"), std::string::npos);
-  EXPECT_NE(error(provision(3, R"({"quantum": "soon"})"), 1).find("settings"), std::string::npos);
+TEST_F(SimulatorProtocol, SettingsThatAreNotAJsonObjectAreReported) {
+  EXPECT_NE(error_for(provision(3, "{nonsense"), 1).find("settings"), std::string::npos);
+  EXPECT_NE(error_for(provision(3, "[1]"), 1).find("settings"), std::string::npos);
+  EXPECT_NE(error_for(provision(3, R"({"quantum": "soon"})"), 1).find("settings"), std::string::npos);
 }
 
-TEST_F(Wire, ListNeverSentIsNamed) {
-  EXPECT_NE(error(provision() + kUpdate, 2).find("names list 0"), std::string::npos);
+TEST_F(SimulatorProtocol, UnknownServerListIsReported) {
+  EXPECT_NE(error_for(provision() + kUpdate, 2).find("names list 0"), std::string::npos);
 }
 
 TEST(StartUpSettings, AreTranslatedUnknownKeysSkippedAbsentOnesDefaulted) {
@@ -190,7 +193,7 @@
   EXPECT_TRUE(parse_settings("{}").settings.classes.empty());
 }
 
-TEST(StartUpSettings, TimesNoClockCanHoldAreCut) {
+TEST(StartUpSettings, OutOfRangeTimesAreClamped) {
   EXPECT_EQ(from_ms(std::stod("nan")), Duration{0});
   EXPECT_EQ(from_ms(1e300), from_ms(1e250));
   EXPECT_GT(from_ms(1e300), Duration{0});
