--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -969,8 +969,8 @@
   struct Fleet {
     double usable = 0, reporting = 0, lines = 0;
   };
-  Fleet
-      fleet_;  // number of usable servers, how many of them reported their lines, and the sum of these lines
+  // Number of usable servers, how many of them reported their lines, and the sum of these lines.
+  Fleet fleet_;
   Time pruned_at_{};
   DecayingCount arrivals_;
   std::map<int, DecayingCount> first_choices_;  // counts of calls by the number of their first choice
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -85,7 +85,7 @@
     number = in.get<std::uint32_t>();
     records = in.get<std::uint32_t>();
     length = in.get<std::uint32_t>();
-    rest = std::string(in.take(in.left()));
+    rest = std::string(in.take(in.remaining()));
   }
 };
 
