--- a/include/quartzarch/controller.hpp
+++ b/include/quartzarch/controller.hpp
@@ -74,11 +74,14 @@
 // ---- Events
 
 // A server's report of its own load; delayed and noisy. Values that the server did not give are absent.
+// Circuits are the server's lines; in_progress and queued count set-ups; utilisation (0 to 1) and wait_ms are
+// those of its processor. The controller does not use in_progress, setups_per_second and hold_back.
 struct LoadReport {
   std::optional<double> free_circuits{}, circuits{}, in_progress{}, queued{}, utilisation{}, wait_ms{};
   std::optional<double> setups_per_second{}, hold_back{};
 };
 
+// State of a server in the list: in service, finishing its calls without taking new ones, or removed.
 enum class Availability { ready, draining, gone };
 
 struct ServerEntry {
@@ -116,8 +119,19 @@
   Duration delay{};  // from the set-up to its answer
 };
 
+// How an attempt ended:
+//   fault          the server rejected the set-up as faulty or for a reason without an ending of its own
+//   completed      the call was established and is over
+//   full           the server refused the set-up for lack of a line or of processor capacity
+//   timed_out      no answer within the time of the attempt
+//   not_connected  the server could not be reached
+//   reset          the server or its connection reset the set-up
+//   cancelled      cancelled by this instance
+//   not_sent       the set-up was not sent, or too late to be carried out
 enum class Ending { fault, completed, full, timed_out, not_connected, reset, cancelled, not_sent };
-// Only connection_lost is not reported by the server: it says that the set-up or its answer was lost on the
+// Why it ended so. no_circuit: the server has no free line; rejected: the server or the network behind it
+// returned the set-up; processor_full: the processor has no capacity; number_busy: the dialled number has no
+// free line. Only connection_lost is not reported by the server: the set-up or its answer was lost on the
 // network.
 enum class Cause { none, no_circuit, rejected, processor_full, number_busy, connection_lost };
 
