--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -228,6 +228,8 @@
 
 }  // namespace
 
+// The decisions and all that they depend on. Calls are held until a server is open to them; each event ends
+// with a dispatch of the held calls.
 class Controller::State {
  public:
   State(Settings settings, std::uint64_t seed, Time now) : settings_(std::move(settings)), random_(seed) {
@@ -967,8 +969,8 @@
   struct Fleet {
     double usable = 0, reporting = 0, lines = 0;
   };
-  Fleet
-      fleet_;  // number of usable servers, how many of them reported their lines, and the sum of these lines
+  // Number of usable servers, how many of them reported their lines, and the sum of these lines.
+  Fleet fleet_;
   Time pruned_at_{};
   DecayingCount arrivals_;
   std::map<int, DecayingCount> first_choices_;  // counts of calls by the number of their first choice
