--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -26,7 +26,7 @@
 // The controller's cause for the note that a setup server gives with a refusal.
 Cause cause_from_note(std::string_view note) {
   if (note == "blocked") return Cause::no_circuit;
-  if (note == "bounced" || note == "far_swamped") return Cause::turned_back;
+  if (note == "bounced" || note == "far_swamped") return Cause::rejected;
   if (note == "swamped") return Cause::processor_full;
   if (note == "occupied") return Cause::number_busy;
   return Cause::none;
@@ -76,7 +76,7 @@
                                                              : "gone");
   }
   deliver(change.list);
-  if (change.list.whole) listed_servers_.clear();
+  if (change.list.is_snapshot) listed_servers_.clear();
   for (const ServerEntry& entry : change.list.entries) {
     if (entry.availability == Availability::gone) {
       listed_servers_.erase(entry.id);
@@ -168,16 +168,16 @@
   CallArrived event;
   event.call = call;
   event.call_class = static_cast<unsigned>(name - names.begin());
-  event.key = number_key(request.number);
+  event.number_key = number_key(request.number);
   // The deadline of the class limits the caller's time-out, whatever the request says.
   const Duration longest = start_.settings.classes[event.call_class].deadline;
   if (!request.caller_timeout || (longest > Duration{0} && *request.caller_timeout > longest))
     request.caller_timeout = longest;
-  event.patience = *request.caller_timeout - std::max(loop_.now() - request.received_at, Duration{0});
+  event.caller_timeout = *request.caller_timeout - std::max(loop_.now() - request.received_at, Duration{0});
   event.first_choice = request.first_choice;
   event.advised = request.advised;
   event.retry = request.retry;
-  event.cut = request.cut;
+  event.reconnect = request.cut;
   ++pending_answers_;
   waiting_bytes_ += request.description.size();
   calls_.emplace(call, Exchange(std::move(request), front));
@@ -380,7 +380,7 @@
   if (admission_filter_) admission_filter_->answered(exchange.request(), loop_.now());
   counters_.served(exchange.request().call_class);
   exchange.answer(std::move(line.description));
-  deliver(SetupStood{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent_at});
+  deliver(CallEstablished{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent_at});
   if (!line.load.empty()) on_load_report(attempt.server, parse_load(line.load));
   if (!attempt.early_end_cause) return SetUpOutcome::established;
   const Ending ending = *attempt.early_end_cause == cause::kNormal ? Ending::completed : Ending::reset;
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -118,7 +118,7 @@
   void execute(const Log& action);
   // The settings exclude these actions, and the controller does not issue them.
   void execute(const Probe&) {}
-  void execute(const TellPeer&) {}
+  void execute(const SendPeerMessage&) {}
   void execute(const Subscribe&) {}
 
   Exchange* find(CallId call);
