--- a/src/core/server_inventory.hpp
+++ b/src/core/server_inventory.hpp
@@ -36,7 +36,7 @@
   Change apply(const ServerListUpdate& update);
 
  private:
-  // The host that counts for an address: one that is not gone, else the one started last.
+  // The host that counts for an address: hosts that are not gone come first, then the one started last.
   const Host* at(const ServerId& address) const;
 
   std::map<std::string, Host> hosts_;
