--- a/src/fleet/certificate_store.hpp
+++ b/src/fleet/certificate_store.hpp
@@ -52,6 +52,7 @@
   void look() override;
 
  private:
+  // What a watch reported: changes up to revision `at`; `complete`: they are all there is.
   struct WatchUpdate {
     reg::Revision at = 0;
     std::vector<reg::Change> changes{};
@@ -71,7 +72,7 @@
   // Applies a change to the register. Throws StateError, TurnLost.
   void change(reg::Command command);
   void put(const std::string& name, std::string_view text);
-  std::vector<std::string> copied_names() const;  // names
+  std::vector<std::string> copied_names() const;
   std::optional<acme::Secret> copy_of(const std::string& name) const;
   // Writes to the copy, if it differs.
   void update_copy(const std::string& name, std::string_view text);
@@ -87,8 +88,8 @@
   std::function<bool()> stopped_;
   std::shared_ptr<Inbox> inbox_ = std::make_shared<Inbox>();
   std::map<std::string, Known> known_;
-  std::map<std::string, std::string>
-      rejected_digests_;       // digests of records put aside, which are not copied again
+  // Digests of records put aside, by name, which are not copied again.
+  std::map<std::string, std::string> rejected_digests_;
   bool initialized_ = false;   // the register holds the fleet's certificates
   bool received_all_ = false;  // the complete contents were received once
   bool logged_unsealed_ = false;
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -12,11 +12,13 @@
 
 namespace quartzarch::fleet {
 
+// A voter of the register, and where other processes reach it.
 struct VoterAddress {
   std::string name{};  // the controller's
   sockaddr_in address{};
 };
 
+// The settings of a duty.
 struct Duty {
   std::string name{};
   std::vector<std::string> preferred{};  // preferred controllers; empty: any
@@ -33,11 +35,11 @@
   Duration election = std::chrono::milliseconds(500);
   Duration heartbeat = std::chrono::milliseconds(100);
   Duration ending = std::chrono::milliseconds(300);
-  Duration start_wait = std::chrono::milliseconds(
-      2000);  // how long a start waits for the shared state before calls are accepted
-  double drift = 0.05;
-  std::string
-      secret_file{};  // file with the secret that encrypts certificates' keys in the register; empty: none
+  // How long a start waits for the shared state before calls are accepted.
+  Duration start_wait = std::chrono::milliseconds(2000);
+  double drift = 0.05;  // steady clocks of the fleet differ by at most this share
+  // File with the secret that encrypts certificates' keys in the register; empty: none.
+  std::string secret_file{};
   std::vector<Duty> duties{};
 
   const VoterAddress* voter(std::string_view name) const;
--- a/src/register/frames.hpp
+++ b/src/register/frames.hpp
@@ -1,5 +1,6 @@
 // The protocol between the register's clients and voters, and among voters: frames of src/link, each with a
 // type, a number and values.
+//
 //     ask       number = the client's id of the request        {command}
 //     reply     the same id                                    {reply}
 //     refused   the same id                                    {outcome, the leader's name or empty}
--- a/src/register/service.hpp
+++ b/src/register/service.hpp
@@ -11,6 +11,7 @@
 
 namespace quartzarch::reg {
 
+// Serves the clients of one voter.
 class Service {
  public:
   using ClientId = std::uint64_t;
@@ -18,7 +19,7 @@
 
   struct Bounds {
     std::size_t in_flight = 256;  // commands in flight of one client
-    std::size_t watches = 16;     // of one client
+    std::size_t watches = 16;     // watches of one client
   };
 
   Service(Node& node, Send send, Bounds bounds);
--- a/src/register/state.hpp
+++ b/src/register/state.hpp
@@ -60,6 +60,7 @@
   Token token = 0;
 };
 
+// What is proposed to the register; which members are used depends on `op`.
 struct Command {
   Op op{};
   SessionId session = 0;
@@ -113,6 +114,7 @@
   std::optional<std::string> value{};
 };
 
+// A duty: a task that at most one session holds at a time.
 struct Duty {
   Token token = 0;            // of the present or the last holding; kept for ever, so that tokens only grow
   SessionId holder = 0;       // 0: free
@@ -122,6 +124,7 @@
   bool paused = false;
 };
 
+// A client's session, which ends unless it is renewed within its time to live.
 struct Session {
   std::string name{};
   std::uint64_t incarnation = 0;  // of the process; a later start has a higher one
@@ -187,8 +190,9 @@
 };
 
 // Prefixes of the keys under which watches and lists show duties and sessions.
-inline constexpr std::string_view kDutyPrefix = "duty/";        // duty/NAME: see duty_text()
-inline constexpr std::string_view kSessionPrefix = "session/";  // session/NAME/INCARNATION: the session's id
+inline constexpr std::string_view kDutyPrefix = "duty/";  // duty/NAME: see duty_text()
+inline constexpr std::string_view kSessionPrefix =
+    "session/";  // session/NAME/INCARNATION; lists show the session's id
 
 // A duty as the value that watches and lists show, and back.
 std::string duty_text(const Duty& duty);
--- a/src/register/voter_server.hpp
+++ b/src/register/voter_server.hpp
@@ -30,6 +30,7 @@
 // A unique identity, for a voter that was added later or lost its disk.
 VoterId fresh_identity(const std::string& name);
 
+// Serves one voter of the register.
 class VoterServer : private Transport, private Watched, private Stream::Owner {
  public:
   struct Settings {
@@ -56,6 +57,7 @@
   static void init(const Settings& settings);
 
  private:
+  // An accepted connection.
   struct Connection {
     std::shared_ptr<Stream> stream{};
     std::uint64_t client = 0;
--- a/tests/duty_clocks_test.cpp
+++ b/tests/duty_clocks_test.cpp
@@ -35,8 +35,8 @@
       if (read_effects().empty()) wait_for_holder(who);
     }
   }
-  std::map<std::string, double>
-      rates;  // rates of the steady clocks, by process, as from its next start; 1 if absent
+  // Rates of the steady clocks, by process, as from its next start; 1 if absent.
+  std::map<std::string, double> rates;
   std::string path(const std::string& who) const { return directory + "/" + who + ".clock"; }
 };
 
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -165,8 +165,8 @@
     WorldSettings settings;
     settings.seed = walks;
     settings.faults_a_second = 4;
-    settings.hand_overs =
-        false;  // with a defective disk the library may abort before a checker reports the defect
+    // With a defective disk the library may abort before a checker reports the defect.
+    settings.hand_overs = false;
     GetParam().seed(settings);
     const std::string fault = faults::walk(settings).fault;
     if (fault.empty()) continue;
