--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -165,7 +165,7 @@
     WorldSettings settings;
     settings.seed = walks;
     settings.faults_a_second = 4;
-    // With a defective disk the library may abort before a checker reports the defect.
+    // A defect may violate an assumption of libraft, which could abort before a checker reports the defect.
     settings.hand_overs = false;
     GetParam().seed(settings);
     const std::string fault = faults::walk(settings).fault;
