--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -61,8 +61,8 @@
   settings.answer_grace = time_of(contract, "grace_to_answer");
   settings.cold = time_of(contract, "cold");
   settings.cold_from = value(contract, "cold_from", settings.cold_from);
-  settings.fall_multiple = value(contract, "fall_multiple", settings.fall_multiple);
-  settings.fall_window = time_of(contract, "fall");
+  settings.cold_overload_factor = value(contract, "fall_multiple", settings.cold_overload_factor);
+  settings.cold_overload_window = time_of(contract, "fall");
 }
 
 void parse_limits(const Facts& limits, StartUp& start) {
@@ -70,7 +70,7 @@
   settings.attempts_cap = count_of(limits, "attempts_cap", settings.attempts_cap);
   settings.may_cancel = value(limits, "cancelling", false);
   settings.may_probe = value(limits, "probes", false);
-  settings.may_tell = value(limits, "may_tell", false);
+  settings.may_message_peers = value(limits, "may_tell", false);
   if (value(limits, "retry_after", false)) settings.max_retry_after = time_of(limits, "max_retry_after");
   if (const auto limit = time_of(limits, "connect_timeout"); limit > Duration{0})
     start.connect_timeout = limit;
@@ -80,8 +80,9 @@
   Settings& settings = start.settings;
   settings.resend = time_of(specifics, "resend");
   settings.release_guard = time_of(specifics, "release_guard");
-  settings.own_number = static_cast<int>(value(specifics, "self_no", double(settings.own_number)));
-  if (text(specifics, "far_state") == "silent") settings.load_told = false;
+  settings.own_server_number =
+      static_cast<int>(value(specifics, "self_no", double(settings.own_server_number)));
+  if (text(specifics, "far_state") == "silent") settings.load_reported = false;
   start.waits_hinted = value(specifics, "retry_hint", false);
   std::size_t at = 0;
   each<array>(specifics, "class_cells", [&](array cells) {
@@ -152,8 +153,8 @@
 std::optional<double>* report_field(LoadReport& report, std::string_view name) {
   if (name == "free" || name == "x0") return &report.free_circuits;
   if (name == "size" || name == "x1") return &report.circuits;
-  if (name == "rif" || name == "inflight") return &report.in_work;
-  if (name == "q" || name == "queue") return &report.waiting;
+  if (name == "rif" || name == "inflight") return &report.in_progress;
+  if (name == "q" || name == "queue") return &report.queued;
   if (name == "busy" || name == "util") return &report.utilisation;
   if (name == "lat_ms" || name == "latency_ms") return &report.wait_ms;
   if (name == "can_take" || name == "qps") return &report.setups_per_second;
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -12,7 +12,7 @@
 #include <random>
 #include <string>
 
-#include "front.hpp"
+#include "instance.hpp"
 
 namespace quartzarch::test {
 namespace {
@@ -25,8 +25,8 @@
   std::uint8_t servers = 3;  // the last of them starts cold
   double use = 0.78;         // of a warm server's processor
   double cold_from = 0.35;
-  double fall_multiple = 2.5;
-  Duration fall_window = seconds(1);
+  double cold_overload_factor = 2.5;
+  Duration cold_overload_window = seconds(1);
   Duration seen = seconds(25);  // traffic before the start
   Duration told_within = milliseconds(600);
   bool restarted = false;  // the instances start anew with the server
@@ -44,7 +44,8 @@
 // A deployment's budget of four times over 2 s from 28% on, where servers are silent.
 Case wide(const std::function<void(Case&)>& change) {
   Case made;
-  made.instances = 30, made.cold_from = 0.28, made.fall_multiple = 4, made.fall_window = seconds(2);
+  made.instances = 30, made.cold_from = 0.28, made.cold_overload_factor = 4,
+  made.cold_overload_window = seconds(2);
   made.silent = true;
   change(made);
   return made;
@@ -77,7 +78,7 @@
     double found = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < reached_.size(); ++last) {
-      while (reached_[last] - reached_[first] >= case_.fall_window) ++first;
+      while (reached_[last] - reached_[first] >= case_.cold_overload_window) ++first;
       const double budget = this->budget(reached_[first]);
       const auto sum = static_cast<double>(last - first + 1);
       found = std::max(found, sum / (budget + 2 * std::sqrt(budget) + 2));
@@ -101,7 +102,8 @@
     const double warmth =
         static_cast<double>((at - started_).count()) / static_cast<double>(Duration(seconds(15)).count());
     const double now = case_.cold_from + (1 - case_.cold_from) * std::clamp(warmth, 0.0, 1.0);
-    return case_.fall_multiple * now * capacity() * static_cast<double>(case_.fall_window.count()) / 1e6;
+    return case_.cold_overload_factor * now * capacity() *
+           static_cast<double>(case_.cold_overload_window.count()) / 1e6;
   }
 
   void start(unsigned i, std::optional<Time> cold_since) {
@@ -109,15 +111,15 @@
     settings.instances = case_.instances;
     settings.cold = case_.blind ? Duration{0} : seconds(15);
     settings.cold_from = case_.cold_from;
-    settings.fall_multiple = case_.fall_multiple;
-    settings.fall_window = case_.fall_window;
-    if (case_.silent) settings.resend = Duration{0}, settings.load_told = false;
+    settings.cold_overload_factor = case_.cold_overload_factor;
+    settings.cold_overload_window = case_.cold_overload_window;
+    if (case_.silent) settings.resend = Duration{0}, settings.load_reported = false;
     std::vector<ServerEntry> list;
     for (std::uint8_t s = 1; s <= case_.servers; ++s) list.push_back(entry(s));
     if (cold_since) list.back().started = cold_since;
-    auto front = std::make_unique<Front>(settings, list, random_(), now_);
-    if (fronts_.size() <= i) return fronts_.push_back(std::move(front));
-    fronts_[i] = std::move(front);
+    auto instance = std::make_unique<Instance>(settings, list, random_(), now_);
+    if (instances_.size() <= i) return instances_.push_back(std::move(instance));
+    instances_[i] = std::move(instance);
     taken_[i] = 0;
   }
 
@@ -130,20 +132,20 @@
   }
 
   void step(unsigned i) {
-    Front& front = *fronts_[i];
-    front.run_until(now_);
+    Instance& instance = *instances_[i];
+    instance.run_until(now_);
     if (!case_.restarted && i < told_.size() && told_[i] != Time{} && now_ >= told_[i]) {
       told_[i] = Time{};
       ServerList news{false, {entry(case_.servers, Availability::ready, started_)}};
       for (std::uint8_t s = 1; case_.all_cold && s < case_.servers; ++s)
         news.entries.push_back(entry(s, Availability::ready, started_));
-      front.tell(news);
+      instance.handle(news);
     }
     if (case_.others_gone > Duration{} && cold() && now_ - kTick < started_ + case_.others_gone &&
         now_ >= started_ + case_.others_gone) {
       ServerList gone;
       for (std::uint8_t s = 1; s < case_.servers; ++s) gone.entries.push_back(entry(s, Availability::gone));
-      front.tell(gone);
+      instance.handle(gone);
     }
     for (auto answer = answers_.begin(); answer != answers_.end();) {
       if (answer->instance != i || answer->due > now_) {
@@ -154,11 +156,11 @@
       answer = answers_.erase(answer);
       if (at.ending == Ending::completed) {
         if (cold()) stood_ += 1;
-        front.stands(at.call, at.server, milliseconds(30));
+        instance.establish(at.call, at.server, milliseconds(30));
       } else if (at.ending == Ending::full) {
-        front.full(at.call, at.server);
+        instance.processor_full(at.call, at.server);
       } else {
-        front.ends(at.call, at.server, at.ending);
+        instance.end_attempt(at.call, at.server, at.ending);
       }
     }
     std::poisson_distribution<int> arrivals(case_.calls * weights_[i] * 0.005 * (cold() ? case_.surge : 1));
@@ -173,14 +175,14 @@
   void call(unsigned i) {
     if (cold()) offered_ += 1;
     const auto even = static_cast<int>(random_() % case_.servers) + 1;
-    fronts_[i]->call(++id_, even_(random_) < case_.named ? case_.servers : even);
+    instances_[i]->call(++id_, even_(random_) < case_.named ? case_.servers : even);
     take(i);
   }
 
   // What the instance did since it was looked at last.
   void take(unsigned i) {
-    for (; taken_[i] < fronts_[i]->all.size(); ++taken_[i]) {
-      const Action& action = fronts_[i]->all[taken_[i]];
+    for (; taken_[i] < instances_[i]->all_actions.size(); ++taken_[i]) {
+      const Action& action = instances_[i]->all_actions[taken_[i]];
       if (const auto* refused = std::get_if<Refuse>(&action)) {
         if (even_(random_) < case_.redial)
           again_.emplace_back(now_ + refused->retry_after.value_or(seconds(1)), i);
@@ -207,7 +209,7 @@
   std::normal_distribution<double> normal_{};
   std::uniform_real_distribution<double> even_{0, 1};
   std::vector<double> weights_;
-  std::vector<std::unique_ptr<Front>> fronts_;
+  std::vector<std::unique_ptr<Instance>> instances_;
   std::vector<std::size_t> taken_;
   std::deque<Answer> answers_;
   std::deque<std::pair<Time, unsigned>> again_;
@@ -307,10 +309,11 @@
     {"faults30", changed([](Case& c) { c.instances = 30, c.fault = 0.8, c.others_full = seconds(3); })},
     {"redials30", changed([](Case& c) { c.instances = 30, c.redial = 1, c.others_full = seconds(3); })},
     {"window1500of2", changed([](Case& c) {
-       c.instances = 30, c.fall_multiple = 2, c.fall_window = milliseconds(1500), c.others_full = seconds(4);
+       c.instances = 30, c.cold_overload_factor = 2, c.cold_overload_window = milliseconds(1500),
+       c.others_full = seconds(4);
      })},
     {"window2000of4", changed([](Case& c) {
-       c.instances = 30, c.cold_from = 0.28, c.fall_multiple = 4, c.fall_window = seconds(2),
+       c.instances = 30, c.cold_from = 0.28, c.cold_overload_factor = 4, c.cold_overload_window = seconds(2),
        c.others_full = seconds(4);
      })},
     {"wideRush20", wide([](Case& c) { c.instances = 20, c.others_full = seconds(4); })},
@@ -329,7 +332,8 @@
     {"wideRedialsLostOfEightLate30",
      wide([](Case& c) { c.servers = 8, c.redial = 1, c.surge = 1.4, c.others_gone = seconds(8); })},
     {"wideRedials30", wide([](Case& c) { c.redial = 1, c.surge = 1.8, c.others_full = seconds(3); })},
-    {"narrow", changed([](Case& c) { c.instances = 30, c.fall_multiple = 1.2, c.others_full = seconds(4); })},
+    {"narrow",
+     changed([](Case& c) { c.instances = 30, c.cold_overload_factor = 1.2, c.others_full = seconds(4); })},
 };
 
 INSTANTIATE_TEST_SUITE_P(Fleet, ColdServer, ::testing::ValuesIn(kCases),
