--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -31,7 +31,7 @@
   ManagementFront management;
 };
 
-TEST_F(Operations, TheFiguresCountWhatWasServedAndSent) {
+TEST_F(Operations, MetricsCountServedCallsAndDispatches) {
   open_server();
   Peer gateway = connect_caller();
   establish_call(gateway);
@@ -47,7 +47,7 @@
       "\"reload_success\":0,\"reload_failure\":0}");
 }
 
-TEST_F(Operations, ADrainSaysNotReadyEmptiesIdleConnectionsAndActivateEndsIt) {
+TEST_F(Operations, ADrainReportsNotReadyAndClosesIdleConnectionsUntilActivate) {
   EXPECT_EQ(status(get("/v1/readyz")), "503");  // no list of servers yet
   open_server();
   EXPECT_EQ(status(get("/v1/readyz")), "200");
@@ -93,7 +93,7 @@
 }
 
 // What is on each connection when the drain is looked at from outside is told, once.
-TEST_F(Operations, WhatADrainStillHoldsAfterFourSecondsIsLogged) {
+TEST_F(Operations, ConnectionsStillOpenFourSecondsIntoADrainAreLogged) {
   open_server();
   Peer gateway = connect_caller();
   establish_call(gateway);
@@ -123,7 +123,7 @@
   run_passes(5);
 }
 
-TEST_F(Operations, CallersThatSayNothingNeitherBlockNorHoldIt) {
+TEST_F(Operations, SilentConnectionsNeitherBlockNorFillTheManagementPort) {
   open_server();
   std::vector<Peer> silent;
   for (std::size_t i = 0; i < ManagementFront::kMaxConnections + 8; ++i) {
@@ -134,7 +134,7 @@
              "the silent ones closed");
 }
 
-TEST_F(Operations, WrongCallsAreToldSoAndMalformedOnesClosed) {
+TEST_F(Operations, UnknownRequestsGetAnErrorStatusAndMalformedOnesGet400) {
   EXPECT_EQ(status(get("/v1/nothing")), "404");
   EXPECT_EQ(status(post("/v1/readyz")), "405");
   EXPECT_EQ(status(get("/v1/call-controller/drain")), "405");
@@ -145,7 +145,7 @@
 }
 
 // Hostile bytes in any cut: an answer or a close, never a crash.
-TEST_F(Operations, AnyBytesInAnyPiecesGetAnAnswerOrAClose) {
+TEST_F(Operations, RequestsInPiecesAreAnsweredAndMalformedOnesGet400) {
   const std::string good = "GET /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n";
   for (std::size_t cut = 1; cut < good.size(); cut += 3) {
     Peer peer = Peer::connect(management.address());
@@ -161,7 +161,7 @@
   }
 }
 
-TEST(Drain, IsNotReadyFromTheDrainOnAndClosesQuietThenAllEmptyConnections) {
+TEST(Drain, IsNotReadyWhileDrainingAndClosesQuietThenAllEmptyConnections) {
   Drain drain;
   const Time at{std::chrono::seconds(10)};
   EXPECT_TRUE(drain.ready(true));
@@ -217,7 +217,7 @@
 
 // Broken files at SIGHUP keep the old settings whole and are counted; a good one brings a new class and fewer
 // attempts, and a request of the new class is served.
-TEST_F(Process, BrokenFilesAtSighupAreCountedAndKeptOutWholeAndAGoodOneTakesNewClasses) {
+TEST_F(Process, InvalidFilesAtSighupAreCountedAndRejectedAndAValidOneAddsClasses) {
   const sockaddr_in management = free_address();
   ::setenv("NODE_MANAGEMENT", address_text(management).c_str(), 1);
   start(config());
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -14,7 +14,7 @@
 }
 
 // SIGTERM with a call under way: it is answered, a connection that comes later is served, and then it exits.
-TEST_F(Process, SigtermLetsItAnswerEverythingBeforeItExits) {
+TEST_F(Process, AllCallsAreAnsweredBetweenSigtermAndTheExit) {
   Peer server, first;
   start_with_a_call(server, first);
   ::kill(pid, SIGTERM);
@@ -33,7 +33,7 @@
 }
 
 // A call stands, its caller goes, and then the call ends: nobody is there to hear of it, and nobody will be.
-TEST_F(Process, AnEndThatNobodyIsThereToHearKeepsNoStopWaiting) {
+TEST_F(Process, AnUndeliverableReleaseDoesNotDelayTheStop) {
   Peer server, gateway;
   start_with_a_call(server, gateway);
   server.send("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
@@ -54,7 +54,7 @@
 // SIGHUP under load: a bad file is one line and changes nothing; a good one moves the news to the
 // coordinator's new address, where the numbers go on, and the call under way is answered on its old
 // connection.
-TEST_F(Process, SighupMovesToTheNewCoordinatorAndNothingElse) {
+TEST_F(Process, SighupSwitchesOnlyTheCoordinator) {
   start(config());
   Peer server, stream;
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
@@ -85,7 +85,7 @@
 
 // Told to stop a second time and to read its file again while a call is out: it is answered, and then the
 // process ends.
-TEST_F(Process, ASecondStopAndAReloadWithinTheFirstChangeNothing) {
+TEST_F(Process, ASecondSigtermAndAReloadDuringAStopChangeNothing) {
   Peer server, gateway;
   start_with_a_call(server, gateway);
   ::kill(pid, SIGTERM);
@@ -102,7 +102,7 @@
 }
 
 // Stopped before it has heard of any server: what it took has its answer by its time.
-TEST_F(Process, AStopBeforeTheFirstListAnswersWhatWasTaken) {
+TEST_F(Process, AStopBeforeTheFirstServerListAnswersPendingSetups) {
   std::string text = config();
   const auto known = text.find(",\"known\"");
   start(text.erase(known, text.find(",\"settings\"") - known));
@@ -118,7 +118,7 @@
 }
 
 // Ready without discovery, which refuses, then hangs without a word, and with a list of which most is stale.
-TEST_F(Process, ItIsReadyWithoutDiscoveryAndWithAStaleList) {
+TEST_F(Process, ItServesWithoutTheCoordinatorAndWithAStaleServerList) {
   std::string text = config();
   const std::string hosts = "\"hosts\":[";
   std::string stale;
@@ -148,7 +148,7 @@
 
 // Idle callers hold every descriptor the process may have while discovery is down and its server's connection
 // breaks: both are reached again, a caller with work is served, and readiness answers.
-TEST_F(Process, IdleCallersThatHoldAllDescriptorsKeepNobodyOut) {
+TEST_F(Process, IdleCallersHoldingAllDescriptorsLockNobodyOut) {
   const sockaddr_in management = free_address();
   environment = {{"NODE_MANAGEMENT", address_text(management)}};
   start(config());
@@ -175,7 +175,7 @@
   wait_to_receive(ready, "HTTP/1.1 200");
 }
 
-TEST_F(Process, ABadConfigurationIsNamedInOneLine) {
+TEST_F(Process, AnInvalidConfigurationIsReportedInOneLine) {
   const std::string good = config();
   const auto complains = [&](const std::string& text, const std::vector<std::string>& options,
                              const char* about) {
@@ -198,7 +198,7 @@
 }
 
 // A setting that means nothing here may be a misspelt one: it is named, once, and the rest serves.
-TEST_F(Process, SettingsThatMeanNothingHereAreNamedOnce) {
+TEST_F(Process, UnknownSettingsAreReportedOnce) {
   std::string text = config();
   text.replace(text.find("\"cancelling\""), 12, "\"cancel\":true,\"cancelling\"");
   start(text);
@@ -206,7 +206,7 @@
   EXPECT_EQ(count(log(), "settings that mean nothing here: limits.cancel\n"), 1u);
 }
 
-TEST_F(Process, AnAddressThatIsTakenIsFatal) {
+TEST_F(Process, AnAddressInUseIsFatal) {
   const Fd taken = listen_on(address);
   start(config());
   EXPECT_EQ(exit_code(), 1);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -28,7 +28,7 @@
 
 // A restarted server may break the connection after it took the set-up: one attempt at a time, and the next
 // only after the release guard.
-TEST_F(Program, ASetupThatBrokeIsSentAgainAndAnsweredOnce) {
+TEST_F(Program, ASetupIsRetriedOnceAfterItsConnectionIsReset) {
   open_server();
   Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
@@ -41,7 +41,7 @@
   EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
-TEST_F(Program, ALateAnswerToASetupThatWasGivenUpIsReleased) {
+TEST_F(Program, ALateAnswerToACancelledSetupIsReleased) {
   open_server();
   Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
@@ -55,7 +55,7 @@
 }
 
 // The caller's deadline passes with a set-up out: the server hears of it and the caller has one failure.
-TEST_F(Program, ASilentServerCostsTheCallerOneFailureAtItsDeadline) {
+TEST_F(Program, ACallFailsOnceAtItsDeadlineWhenTheServerDoesNotAnswer) {
   open_server();
   Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d", "40"));
@@ -65,7 +65,7 @@
 }
 
 // A process that dies cannot say so: its connection is reset and the next is refused.
-TEST_F(Program, CallsOfAServerThatDiedAreOver) {
+TEST_F(Program, EstablishedCallsAreReleasedWhenTheirServerDies) {
   open_server();
   Peer gateway = connect_caller();
   establish_call(gateway);
@@ -75,7 +75,7 @@
 }
 
 // A connection that only broke takes no call with it.
-TEST_F(Program, ACallThatStandsSurvivesItsConnectionsOnBothSides) {
+TEST_F(Program, AnEstablishedCallSurvivesTheLossOfBothConnections) {
   open_server();
   Peer gateway = connect_caller();
   establish_call(gateway);
@@ -94,7 +94,7 @@
 }
 
 // Calls from before a restart are unknown here, and their callers must hear all the same that they are over.
-TEST_F(Program, TheEndOfACallFromBeforeTheStartIsPassedOn) {
+TEST_F(Program, TheEndOfACallFromBeforeTheStartIsForwarded) {
   open_server();
   Peer gateway = connect_caller();
   run_passes();
@@ -103,7 +103,7 @@
 }
 
 // Both messages are read in one pass: the set-up must not leave after it was given up.
-TEST_F(Program, ASetupGivenUpInTheSamePassNeverLeaves) {
+TEST_F(Program, ASetupCancelledInTheSamePassIsNotSent) {
   open_server();
   Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d") + binary(12, 0xaa, {{208, "\x10"}}));
@@ -134,7 +134,7 @@
 }
 
 // Nothing new goes to a server that drains, even if the news came in the pass of the call.
-TEST_F(Program, ADrainingServerGetsNothingNewAndAGoneOneLosesItsCalls) {
+TEST_F(Program, ADrainingServerGetsNoNewCallsAndAGoneOneLosesItsCalls) {
   open_server();
   Peer gateway = connect_caller();
   establish_call(gateway);
@@ -167,7 +167,7 @@
 }
 
 // At the limit the connection that is idle makes room for the one that comes.
-TEST_F(Program, IdleCallersMakeRoomForNewOnes) {
+TEST_F(Program, IdleConnectionsAreEvictedAtTheConnectionLimit) {
   front = std::make_unique<BinaryFront>(loop, log, *planner, any_port(), 2, 1 << 20);
   open_server();
   Peer idle = connect_caller(), busy = connect_caller();
@@ -180,7 +180,7 @@
   EXPECT_FALSE(busy.ended());
 }
 
-TEST_F(Program, TheCoordinatorsStreamIsTakenUpWhereItEnded) {
+TEST_F(Program, TheCoordinatorStreamResumesAfterTheLastEvent) {
   Listener at;
   std::vector<std::uint64_t> told;
   const CoordinatorClient coordinator(loop, log, at.address(), 4,
@@ -207,7 +207,7 @@
   EXPECT_EQ(told, std::vector<std::uint64_t>{5});
 }
 
-TEST(Configuration, IsDecodedAndABadOneIsNamedInOneLine) {
+TEST(Configuration, IsParsedAndAnInvalidOneIsRejected) {
   const std::string good = R"({"name":"n3","listen":"127.0.0.1:5070","seed":"8c1f30d27a5be964",
     "limits":{"sockets":512,"memory_mb":32},"coordinator":"127.0.0.2:2379","known":{"index":3,"updates":[{"index":1,"endpoints":
     {"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:9","health":"terminating","block":2,"born_ms":1796136168000}]}}]},
@@ -229,7 +229,7 @@
 }
 
 // Settings that cannot be served by are named by line and key; nothing is put in their place.
-TEST(Configuration, UnusableSettingsAreNamedByLineAndKey) {
+TEST(Configuration, InvalidSettingsAreReportedWithLineAndKey) {
   const std::string good = R"({"listen":"127.0.0.1:5070","coordinator":"127.0.0.2:2379",
     "limits":{"sockets":512,
       "memory_mb":32},
@@ -281,7 +281,7 @@
   EXPECT_THROW(parse_config(none.replace(list, none.find("}],", list) + 2 - list, "[]")), ConfigError);
 }
 
-TEST(ServerLines, AreReadWhateverTheirOrderAndMalformedOnesAreNot) {
+TEST(ServerLines, AreParsedInAnyMemberOrderAndMalformedOnesAreRejected) {
   const auto line = parse_server_line(
       R"( {"with":{"load":"x0:12;x1:40;queue:3;util:0.5;new:1","x":[1,{}],"note":"swamped"},"why":34,"call":"00000000000000ff","op":"end"} )");
   ASSERT_TRUE(line);
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -14,7 +14,7 @@
 
 // Neither the body of what no caller sends nor the rest of half a message is awaited, and who says nothing is
 // not kept.
-TEST_F(Program, NothingIsAwaitedOfCallersThatSayNothingWhole) {
+TEST_F(Program, ConnectionsWithoutACompleteMessageAreClosed) {
   Peer strange = connect_caller(), half = connect_caller(), silent = connect_caller();
   strange.send(std::string("\x3f\xff\x7b", 3));
   wait_until([&] { return strange.ended(); }, "the close of a type that callers do not send");
@@ -23,7 +23,7 @@
 }
 
 // What is not sound fails at the front: the setup server would close the connection that all calls share.
-TEST_F(Program, NoServerHearsOfWhatItCannotRead) {
+TEST_F(Program, InvalidSetupsFailAndReachNoServer) {
   open_server();
   Peer bad = connect_caller();
   const std::string far(15900, '\x01');  // six bytes each in a server's line
@@ -45,7 +45,7 @@
 }
 
 // An id in use fails for who uses it again, and nobody takes back what another has asked for.
-TEST_F(Program, ASecondSetupUnderAnIdHarmsNoOtherCaller) {
+TEST_F(Program, ADuplicateCallIdDoesNotAffectTheOtherCaller) {
   open_server();
   Peer good = connect_caller(), bad = connect_caller();
   good.send(setup(0xaa, "d"));
@@ -66,7 +66,7 @@
 }
 
 // What ends a call whose caller is gone goes to a caller that has shown itself to be one.
-TEST_F(Program, AReleaseWithoutAHomeGoesToAKnownCaller) {
+TEST_F(Program, AReleaseWhoseConnectionIsGoneGoesToAnotherActiveCaller) {
   open_server();
   Peer silent = connect_caller(), gateway = connect_caller(), other = connect_caller();
   other.send(setup(0xbb, "d"));
@@ -84,7 +84,7 @@
 
 // Set-ups that wait hold what their callers sent: more than the memory is meant for is refused unseen, until
 // some have their answer.
-TEST_F(Program, SetupsThatWaitAreBoundedByTheMemory) {
+TEST_F(Program, WaitingSetupsAreBoundedByTheMemoryLimit) {
   planner->limit({10, 100});
   open_server();
   Peer gateway = connect_caller();
@@ -99,7 +99,7 @@
 }
 
 // A peer that asks on and takes no answers is not read any further, and what it sent is not kept.
-TEST_F(Program, WhoTakesNoAnswersIsNotAskedForMore) {
+TEST_F(Program, APeerThatDoesNotReadAnswersIsNotReadFrom) {
   struct Idle : Stream::Owner {
     void on_data(Stream& stream) override { stream.consume(stream.input().size()); }
     void on_disconnected(Stream&, DisconnectReason) override {}
@@ -119,7 +119,7 @@
 }
 
 // Out of descriptors the listening socket rests: what is in line would wake the loop without end.
-TEST_F(Program, WithoutADescriptorConnectionsWait) {
+TEST_F(Program, AcceptingPausesWithoutFileDescriptors) {
   Acceptor acceptor(loop, listen_on(any_port()));
   Peer peer = Peer::connect(bound_address(acceptor.fd()));
   rlimit before{}, none{};
@@ -137,7 +137,7 @@
 
 // Whatever cannot be an answer ends its connection and that alone: the set-up on it is sent again, elsewhere
 // or on a new one, and has one answer.
-TEST_F(Program, ASpoiltAnswerCostsOneConnectionAndNoCall) {
+TEST_F(Program, AMalformedAnswerClosesItsConnectionAndLosesNoCall) {
   open_server();
   Peer gateway = connect_caller();
   const std::string good = line("accept", kId, "\"desc\":\"s\"");
@@ -165,7 +165,7 @@
 }
 
 // Set-ups do not share one fate: those on another connection to the same server go on.
-TEST_F(Program, AConnectionThatBreaksTakesOnlyItsOwnSetups) {
+TEST_F(Program, ALostConnectionAffectsOnlyItsOwnSetups) {
   open_server();
   Peer gateway = connect_caller(), other;
   gateway.send(setup(0xaa, "d"));
@@ -187,7 +187,7 @@
 
 // A connection can stay open and bring nothing any more. Others show that the server is well: it is closed,
 // and what was out on it goes again.
-TEST_F(Program, AnOpenConnectionThatBringsNothingIsOfNoMoreUse) {
+TEST_F(Program, ASilentConnectionIsClosedWhenOthersToTheServerAnswer) {
   open_server();
   Peer gateway = connect_caller(), other;
   gateway.send(setup(0xaa, "d"));
@@ -212,7 +212,7 @@
 
 // What a server had on its way when a connection was closed from here is said again on the next one that
 // opens: one has to open after the server knew.
-TEST_F(Program, AfterAConnectionWasClosedFromHereANewOneOpensOnceTheServerKnows) {
+TEST_F(Program, AfterALocalCloseANewConnectionOpensOnceTheServerKnows) {
   open_server();
   Peer gateway = connect_caller(), other, fresh;
   gateway.send(setup(0xaa, "d"));
@@ -232,7 +232,7 @@
 }
 
 // What was released must not stay standing because the connection broke before it was read.
-TEST_F(Program, AReleaseOutlivesItsConnection) {
+TEST_F(Program, AReleaseIsSentAgainAfterItsConnectionIsReset) {
   open_server();
   Peer gateway = connect_caller();
   establish_call(gateway);
@@ -246,7 +246,7 @@
 
 // A call that was given up at a server may stand there by a later attempt when the connection of the first
 // breaks: the release of the first, said again, would cut it behind its caller's back.
-TEST_F(Program, AReleaseOfAnEarlierAttemptDoesNotCutTheNext) {
+TEST_F(Program, AReleaseOfAnEarlierAttemptDoesNotEndALaterOne) {
   struct Ignores : Servers::Owner {
     SetUpOutcome told_of_call(const ServerId&, ServerLine, MessageOrigin) override {
       return SetUpOutcome::settled;
@@ -275,7 +275,7 @@
   EXPECT_EQ(count(server.received(), kId), 0u);
 }
 
-TEST_F(Program, AnswersToWhatWasNeverAskedAreIgnored) {
+TEST_F(Program, UnsolicitedAndDuplicateAnswersAreIgnored) {
   open_server();
   Peer gateway = connect_caller();
   gateway.send(setup(0xaa, "d"));
