--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -1,5 +1,6 @@
-// The shared helper of the network tests: a loop, scripted peers on ephemeral loopback ports, and the whole
-// program between them. No step depends on how fast the machine is: each waits until what it names has come.
+// Shared fixture of the network tests: an event loop, scripted peers on ephemeral loopback ports and the
+// whole program between them. No step depends on the speed of the machine: each waits for the event that it
+// names.
 #pragma once
 
 #include <arpa/inet.h>
@@ -23,8 +24,9 @@
 
 inline sockaddr_in any_port() { return *parse_address("127.0.0.1:0"); }
 
-// A port that is free and that nobody else takes before it is used: the loopback address is this process's
-// own, and no port is given twice, although the kernel would as soon as the first is closed again.
+// A free port that nobody else takes before it is used: the loopback address is derived from the process id,
+// so no other process uses it, and no port is returned twice, although the kernel would reuse one once it is
+// closed.
 inline sockaddr_in free_address() {
   static std::set<in_port_t> given;
   const int pid = ::getpid();
@@ -58,12 +60,12 @@
     EXPECT_EQ(::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(bytes.size()));
   }
-  // As say, where the other end may have gone.
+  // Like send, but the other end may already have closed the connection.
   void send_if_open(const std::string& bytes) const {
     [[maybe_unused]] const ssize_t said = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
   int descriptor() const { return fd_.get(); }
-  // Everything heard so far.
+  // All bytes received and not taken yet.
   const std::string& received() {
     char bytes[65536];
     for (ssize_t n; fd_ && (n = ::recv(fd_.get(), bytes, sizeof bytes, MSG_DONTWAIT)) >= 0;) {
@@ -79,15 +81,15 @@
     received();
     return ended_;
   }
-  // Takes what was heard off; what comes later is heard afresh.
+  // Returns the bytes received and forgets them, so that received() then holds later ones only.
   std::string take_received() {
     received();
     return std::exchange(received_, {});
   }
   void close() { fd_.reset(); }
-  // Says no more, and still hears.
+  // Shuts down the sending side; still receives.
   void half_close() { ::shutdown(fd_.get(), SHUT_WR); }
-  // As when a process dies: what was not read is thrown back.
+  // Closes with a reset, as the kernel does for a process that dies.
   void reset() {
     const linger hard{1, 0};
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
@@ -100,12 +102,13 @@
   bool ended_ = false;
 };
 
+// A scripted peer's listening socket.
 class Listener {
  public:
   Listener() : fd_(listen_on(any_port())) {}
   sockaddr_in address() const { return bound_address(fd_); }
   Peer accept() { return Peer{Fd(::accept(fd_.get(), nullptr, nullptr))}; }
-  // Waits for it, no pass of a loop between.
+  // Waits for the next connection without running the loop.
   Peer accept_next() {
     pollfd wanted{fd_.get(), POLLIN, 0};
     EXPECT_EQ(::poll(&wanted, 1, 10000), 1);
@@ -117,6 +120,7 @@
   Fd fd_;
 };
 
+// A message of the platform's binary protocol.
 inline std::string binary(int type, CallId call,
                           const std::vector<std::pair<int, std::string>>& parameters = {}) {
   std::string body(1, static_cast<char>(type));
@@ -129,6 +133,7 @@
   }
   return std::string{static_cast<char>(body.size() >> 8), static_cast<char>(body.size() & 0xff)} + body;
 }
+// A set-up of class "voice" with `ms` as its deadline.
 inline std::string setup(CallId call, const std::string& description, const std::string& ms = "5000") {
   return binary(1, call,
                 {{180, "voice"},
@@ -144,8 +149,8 @@
   return found;
 }
 
-// The system's clock and what a test has moved it on by, so that nothing has to be slept for. While it is
-// held, it goes on only as it is moved: a slow machine lets nothing fall due.
+// The clock of the tests: the system's clock plus an offset that a test advances instead of sleeping. While
+// frozen it advances by the offset only, so that no timer expires early on a slow machine.
 inline Duration clock_offset{};
 inline std::optional<Time> frozen_at{};
 inline Time test_clock() { return frozen_at.value_or(unix_time()) + clock_offset; }
@@ -154,10 +159,10 @@
   ~FrozenClock() { frozen_at.reset(); }
 };
 
-// The program with two classes of call, and one stand-in setup server unless a test adds more.
+// The program with two classes of call, and one scripted setup server unless a test adds more.
 class Program : public ::testing::Test {
  protected:
-  // `change`: what a test wants otherwise in the settings.
+  // `change` adapts the settings to the test.
   explicit Program(const std::function<void(StartUp&)>& change = [](StartUp&) {}) {
     std::signal(SIGPIPE, SIG_IGN);
     StartUp start;
@@ -175,7 +180,7 @@
     front = std::make_unique<BinaryFront>(loop, log, *planner, any_port(), 64, 1 << 20);
     planner->strays_to(*front);
   }
-  // Passes of the loop until it holds; what never comes fails here.
+  // Runs passes of the loop until `holds` returns true; fails the test if it never does.
   void wait_until(const std::function<bool()>& holds, const char* what = "what was waited for") {
     for (int pass = 0; pass < 20000; ++pass) {
       if (holds()) return;
@@ -197,15 +202,15 @@
     host.entry.availability = state;
     return host;
   }
-  // The one server is listed and has its connection.
+  // Lists the one server and waits for the program's connection to it.
   void open_server() {
     planner->news({1, true, {host(listener, 0)}});
     wait_until([this] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
     run_passes(3);
   }
   Peer connect_caller() { return Peer::connect(front->address()); }
-  // A caller whose set-up 0xaa waits for the connection to the one server, which is up and not yet seen to
-  // be.
+  // A caller whose set-up 0xaa waits for the connection to the one server; the connection is established, but
+  // the loop has not noticed yet.
   Peer caller_ahead_of_the_connection(const std::string& ms = "5000") {
     Peer gateway = connect_caller();
     gateway.send(setup(0xaa, "d", ms));
@@ -217,7 +222,7 @@
   void wait_to_receive(Peer& peer, const std::string& text) {
     wait_until([&] { return peer.received().find(text) != std::string::npos; }, text.c_str());
   }
-  // The call 0xaa of this caller stands; what both sides have heard so far is taken off.
+  // Establishes the call 0xaa of this caller and forgets what both sides have received so far.
   void establish_call(Peer& gateway) {
     gateway.send(setup(0xaa, "d"));
     wait_to_receive(server, "offer");
@@ -230,8 +235,8 @@
     return "{\"op\":\"" + op + "\",\"call\":\"" + call + "\",\"with\":{}," + rest + "}\n";
   }
 
-  std::FILE* quiet = std::fopen("/dev/null", "w");
-  Logger log{quiet};
+  std::FILE* null_stream = std::fopen("/dev/null", "w");
+  Logger log{null_stream};
   Loop loop{test_clock};
   Listener listener;
   Peer server;
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -1,4 +1,4 @@
-// The second address, the drain and what the operators read: over loopback, with the program's own parts.
+// Tests of the management address, the drain and the operators' metrics, over loopback.
 #include "core/drain.hpp"
 #include "front/management.hpp"
 #include "loopback.hpp"
@@ -13,7 +13,7 @@
   Operations() : managed(loop, *planner, drain), management(loop, log, managed, any_port()) {
     front->follow_drain(drain);
   }
-  // One call of HTTP/1.1: what came back until the program closed the connection.
+  // Sends one HTTP/1.1 request and returns everything received until the program closes the connection.
   std::string call(const std::string& request) {
     Peer peer = Peer::connect(management.address());
     peer.send(request);
@@ -35,9 +35,9 @@
   open_server();
   Peer gateway = connect_caller();
   establish_call(gateway);
-  const std::string figures = get("/v1/metrics");
-  EXPECT_EQ(status(figures), "200");
-  const std::string body = figures.substr(figures.find("\r\n\r\n") + 4);
+  const std::string metrics = get("/v1/metrics");
+  EXPECT_EQ(status(metrics), "200");
+  const std::string body = metrics.substr(metrics.find("\r\n\r\n") + 4);
   EXPECT_EQ(
       body,
       "{\"success\":{\"exam\":0,\"voice\":1},\"overload\":{\"exam\":0,\"voice\":0},\"error\":{\"exam\":0,"
@@ -58,20 +58,20 @@
   EXPECT_EQ(status(post("/v1/call-controller/drain")), "200");
   EXPECT_EQ(status(get("/v1/readyz")), "503");
   wait_until([&] { return idle.ended(); }, "the idle connection closed");
-  EXPECT_FALSE(busy.ended());  // its request is answered first
+  EXPECT_FALSE(busy.ended());  // its set-up is unanswered
   server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
   wait_to_receive(busy, binary(9, 0xaa, {{210, "s"}}));
   run_passes(30);
-  EXPECT_FALSE(busy.ended());  // its call stands, and its end is to be told on it
+  EXPECT_FALSE(busy.ended());  // its call is established and will be released on it
   server.send(line("end", "00000000000000aa", "\"why\":16"));
   wait_to_receive(busy, binary(12, 0xaa, {{208, "\x10"}}));
-  wait_until([&] { return busy.ended(); }, "the emptied connection closed");
+  wait_until([&] { return busy.ended(); }, "the connection without calls closed");
   EXPECT_EQ(status(post("/v1/call-controller/activate")), "200");
   EXPECT_EQ(status(get("/v1/readyz")), "200");
 }
 
-// The front asks on the callers' own port too: a test that a drained process passes is a yes, and new calls
-// keep coming.
+// The platform's front also sends tests on the callers' port: as long as a drained process passes them, new
+// calls keep arriving.
 TEST_F(Operations, ADrainedProcessFailsTheFrontsTestOnTheCallersPortUntilActivate) {
   open_server();
   const auto test = [&] {
@@ -88,18 +88,18 @@
   EXPECT_EQ(test(), passed);
   drain.stop(loop.now(),
              StopSchedule(std::chrono::seconds(9),
-                          milliseconds(1500)));  // beside it a process on the same address may be ready
+                          milliseconds(1500)));  // a second process on the same address may be ready
   EXPECT_EQ(test(), passed);
 }
 
-// What is on each connection when the drain is looked at from outside is told, once.
+// Connections that are still open when the drain may be inspected from outside are logged once.
 TEST_F(Operations, ConnectionsStillOpenFourSecondsIntoADrainAreLogged) {
   open_server();
   Peer gateway = connect_caller();
   establish_call(gateway);
   std::FILE* const lines = std::tmpfile();
-  Logger told(lines);
-  BinaryFront drained(loop, told, *planner, any_port(), 8, 1 << 20);
+  Logger drain_log(lines);
+  BinaryFront drained(loop, drain_log, *planner, any_port(), 8, 1 << 20);
   drained.follow_drain(drain);
   Peer asking = Peer::connect(drained.address());
   asking.send(setup(0xbb, "d"));
@@ -116,7 +116,7 @@
         return text().find("connection still open: 1 set-ups pending, 0 calls established") !=
                std::string::npos;
       },
-      "the line");
+      "the log line");
   run_passes(100);
   EXPECT_EQ(count(text(), "still open"), 1u);
   asking.close();
@@ -131,7 +131,7 @@
   }
   EXPECT_EQ(status(get("/v1/readyz")), "200");
   wait_until([&] { return std::all_of(silent.begin(), silent.end(), [](Peer& p) { return p.ended(); }); },
-             "the silent ones closed");
+             "the silent connections closed");
 }
 
 TEST_F(Operations, UnknownRequestsGetAnErrorStatusAndMalformedOnesGet400) {
@@ -144,7 +144,7 @@
   EXPECT_FALSE(drain.draining());
 }
 
-// Hostile bytes in any cut: an answer or a close, never a crash.
+// A request split at any byte is answered, and malformed requests get 400, never a crash.
 TEST_F(Operations, RequestsInPiecesAreAnsweredAndMalformedOnesGet400) {
   const std::string good = "GET /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n";
   for (std::size_t cut = 1; cut < good.size(); cut += 3) {
@@ -168,7 +168,7 @@
   EXPECT_FALSE(drain.ready(false));
   EXPECT_FALSE(drain.quiet_allowed(at));
   drain.drain(at);
-  drain.drain(at + std::chrono::seconds(1));  // the first one counts
+  drain.drain(at + std::chrono::seconds(1));  // the first one sets the time
   EXPECT_FALSE(drain.ready(true));
   EXPECT_EQ(drain.quiet_allowed(at), Drain::kQuiet);
   EXPECT_EQ(drain.quiet_allowed(at + Drain::kEmptyBy), Duration{0});
@@ -180,8 +180,8 @@
   EXPECT_FALSE(drain.ready(true));
 }
 
-// An upgrade: a second process on the same address beside the first, with a second address of its own. It
-// starts and says ready; SIGTERM lets the old one exit cleanly, and callers then reach the new one.
+// An upgrade: a second process listens on the same address, with a management address of its own, and reports
+// ready. After SIGTERM the old one exits cleanly, and callers then reach the new one.
 TEST_F(Process, ASecondProcessOnTheSameAddressServesBesideTheFirstAndTakesOver) {
   const sockaddr_in old_management = free_address(), new_management = free_address();
   ::setenv("NODE_MANAGEMENT", address_text(old_management).c_str(), 1);
@@ -197,7 +197,7 @@
     return peer.received().rfind("HTTP/1.1 200", 0) == 0;
   };
   wait_until([&] { return read_file(directory + "/next").find("serving at") != std::string::npos; },
-             "the second");
+             "the second process");
   EXPECT_TRUE(ready(new_management));
   EXPECT_TRUE(ready(old_management));
   ::kill(pid, SIGTERM);
@@ -215,8 +215,8 @@
   EXPECT_EQ(exit_code_of(next), 0);
 }
 
-// Broken files at SIGHUP keep the old settings whole and are counted; a good one brings a new class and fewer
-// attempts, and a request of the new class is served.
+// Invalid files at SIGHUP are counted and leave the old settings in force; a valid one adds a class, and a
+// request of that class is served.
 TEST_F(Process, InvalidFilesAtSighupAreCountedAndRejectedAndAValidOneAddsClasses) {
   const sockaddr_in management = free_address();
   ::setenv("NODE_MANAGEMENT", address_text(management).c_str(), 1);
@@ -225,10 +225,10 @@
   Peer server;
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
   wait_until_serving();
-  const auto figures = [&] {
+  const auto metrics = [&] {
     Peer peer = Peer::connect(management);
     peer.send("GET /v1/metrics HTTP/1.1\r\n\r\n");
-    wait_until([&] { return peer.ended(); }, "the figures");
+    wait_until([&] { return peer.ended(); }, "the metrics");
     return peer.received();
   };
   const std::string good = config(), file = directory + "/config.json";
@@ -247,20 +247,21 @@
     acme::replace_file(file, broken[i]);
     ::kill(pid, SIGHUP);
     const std::string counted = "\"reload_failure\":" + std::to_string(i + 1) + "}";
-    wait_until([&] { return figures().find(counted) != std::string::npos; }, "a broken file counted");
+    wait_until([&] { return metrics().find(counted) != std::string::npos; }, "an invalid file counted");
   }
-  EXPECT_NE(figures().find("\"reload_success\":0"), std::string::npos);
+  EXPECT_NE(metrics().find("\"reload_success\":0"), std::string::npos);
   acme::replace_file(file, with(R"({"name":"voice","aim":1500,"deadline":9000})",
                                 R"({"name":"voice","aim":1500,"deadline":9000},)"
                                 R"({"name":"exam","aim":800,"deadline":6000})"));
   ::kill(pid, SIGHUP);
-  wait_until([&] { return figures().find("\"reload_success\":1") != std::string::npos; }, "the good file");
+  wait_until([&] { return metrics().find("\"reload_success\":1") != std::string::npos; },
+             "the valid file counted");
   Peer gateway = Peer::connect(address);
   gateway.send(binary(1, 0xaa, {{180, "exam"}, {182, "5000"}, {188, "7f3a"}, {210, "d"}}));
   wait_to_receive(server, "\"class\":\"exam\"");
   server.send("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
   wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
-  EXPECT_NE(figures().find("\"success\":{\"exam\":1,\"voice\":0}"), std::string::npos);
+  EXPECT_NE(metrics().find("\"success\":{\"exam\":1,\"voice\":0}"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/process.hpp
+++ b/tests/process.hpp
@@ -1,4 +1,4 @@
-// The shared helper of stories of the program as a process.
+// Shared fixture of the tests that run the program as a process of its own.
 #pragma once
 
 #include <sys/wait.h>
@@ -41,8 +41,8 @@
     acme::replace_file(directory + "/config.json", text);
     pid = spawn(options, "log");
   }
-  // The program with these arguments, standard error and output into a file of the directory.
-  // `configuration`: the file of NODE_CONFIG, if it is another than the directory's.
+  // Starts the program with these arguments; standard error and output go to the file `output` of the
+  // directory. `configuration`: the file for NODE_CONFIG, if it is not the directory's config.json.
   pid_t spawn(const std::vector<std::string>& options, const char* output,
               const std::string& configuration = {}) {
     { std::ofstream emptied(directory + "/" + output); }
@@ -53,7 +53,7 @@
     ::setenv("NODE_CONFIG", (configuration.empty() ? directory + "/config.json" : configuration).c_str(), 1);
     ::freopen((directory + "/" + output).c_str(), "w", stderr);
     ::dup2(2, 1);
-    ::close_range(3, ~0U, 0);  // it has what is its own, whatever this process holds
+    ::close_range(3, ~0U, 0);  // the program must not inherit the test's descriptors
     std::string program = QUARTZARCH_PROGRAM;
     std::vector<char*> arguments{program.data()};
     std::vector<std::string> kept = options;
@@ -70,7 +70,7 @@
   }
   std::string log() const { return read_file(directory + "/log"); }
   void wait_until(const std::function<bool()>& holds, const char* what) {
-    // What is looked at may be a command that waits itself: an end to it all.
+    // `holds` may itself run a command that takes long, so the total time is bounded as well.
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(40);
     for (int i = 0; i < 20000 && std::chrono::steady_clock::now() < end; ++i) {
       if (holds()) return;
@@ -78,11 +78,11 @@
     }
     FAIL() << "never came: " << what;
   }
-  // It listens: its connections to setup servers come before that.
+  // Waits until the process listens; it connects to the setup servers before that.
   void wait_until_serving() {
     wait_until([&] { return log().find("serving at") != std::string::npos; }, "the start");
   }
-  // Started, and the call 0xaa of `gateway` is out at `server`.
+  // Starts the process and waits until the set-up 0xaa of `gateway` has reached `server`.
   void start_with_a_call(Peer& server, Peer& gateway) {
     start(config());
     wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
@@ -96,7 +96,7 @@
   }
 
   std::string directory;
-  std::vector<std::pair<std::string, std::string>> environment{};  // of what is spawned from now on
+  std::vector<std::pair<std::string, std::string>> environment{};  // of processes spawned from now on
   sockaddr_in address{};
   Listener listener, coordinator;
   pid_t pid = 0;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the program as a process: how it starts, stops and complains.
+// Tests of the program as a process: start, stop, reload and error messages.
 #include "process.hpp"
 
 #include <sys/resource.h>
@@ -13,7 +13,8 @@
   return "{\"op\":\"accept\",\"call\":\"" + call + "\",\"with\":{},\"desc\":\"s\"}\n";
 }
 
-// SIGTERM with a call under way: it is answered, a connection that comes later is served, and then it exits.
+// SIGTERM with a set-up in flight: it is answered, a later connection is served too, and then the process
+// exits.
 TEST_F(Process, AllCallsAreAnsweredBetweenSigtermAndTheExit) {
   Peer server, first;
   start_with_a_call(server, first);
@@ -32,18 +33,18 @@
       << "a call that stands was cut by the stop";
 }
 
-// A call stands, its caller goes, and then the call ends: nobody is there to hear of it, and nobody will be.
+// An established call ends after its caller has disconnected: no caller is left that the release could go to.
 TEST_F(Process, AnUndeliverableReleaseDoesNotDelayTheStop) {
   Peer server, gateway;
   start_with_a_call(server, gateway);
   server.send("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
   wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   gateway.close();
-  // The next caller to be seen would have been told of it: this one is not, and goes too.
+  // The release would go to the next caller that connects; none does.
   server.send("{\"op\":\"end\",\"call\":\"00000000000000aa\",\"with\":{},\"why\":1}\n");
   server.close();
   wait_until([&] { return log().find("connection closed, 0 set-ups out") != std::string::npos; },
-             "the end taken");
+             "the log line on the closed connection");
   ::kill(pid, SIGTERM);
   int status = -1;
   wait_until([&] { return ::waitpid(pid, &status, WNOHANG) == pid; }, "its exit");
@@ -51,9 +52,9 @@
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
 }
 
-// SIGHUP under load: a bad file is one line and changes nothing; a good one moves the news to the
-// coordinator's new address, where the numbers go on, and the call under way is answered on its old
-// connection.
+// SIGHUP with a call in flight: an invalid file is logged as one line and changes nothing; a valid one moves
+// the stream of updates to the coordinator's new address, where the event numbers continue, and the call is
+// answered on its old connection.
 TEST_F(Process, SighupSwitchesOnlyTheCoordinator) {
   start(config());
   Peer server, stream;
@@ -67,7 +68,8 @@
   const std::string file = directory + "/config.json";
   acme::replace_file(file, "{\"listen\":");
   ::kill(pid, SIGHUP);
-  wait_until([&] { return log().find("; the old one goes on") != std::string::npos; }, "the complaint");
+  wait_until([&] { return log().find("; the old one goes on") != std::string::npos; },
+             "the log line on the invalid file");
   EXPECT_FALSE(stream.ended());
   stream.send("HTTP/1.1 200 OK\r\n\r\ndata: {\"index\":2,\"endpoints\":{\"hosts\":[]}}\n\ndata: {\"ind");
   Listener moved;
@@ -83,8 +85,7 @@
   wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
 }
 
-// Told to stop a second time and to read its file again while a call is out: it is answered, and then the
-// process ends.
+// A second SIGTERM and a SIGHUP while a set-up is in flight: it is answered, and then the process exits.
 TEST_F(Process, ASecondSigtermAndAReloadDuringAStopChangeNothing) {
   Peer server, gateway;
   start_with_a_call(server, gateway);
@@ -101,7 +102,7 @@
   EXPECT_EQ(server.received().find("\"op\":\"end\""), std::string::npos);
 }
 
-// Stopped before it has heard of any server: what it took has its answer by its time.
+// SIGTERM before the first list of servers: the pending set-up is answered in time.
 TEST_F(Process, AStopBeforeTheFirstServerListAnswersPendingSetups) {
   std::string text = config();
   const auto known = text.find(",\"known\"");
@@ -117,7 +118,8 @@
   EXPECT_TRUE(gateway.ended());
 }
 
-// Ready without discovery, which refuses, then hangs without a word, and with a list of which most is stale.
+// Serves while the coordinator first refuses connections and then does not answer, with a list of servers
+// most of which are gone.
 TEST_F(Process, ItServesWithoutTheCoordinatorAndWithAStaleServerList) {
   std::string text = config();
   const std::string hosts = "\"hosts\":[";
@@ -146,25 +148,27 @@
   }
 }
 
-// Idle callers hold every descriptor the process may have while discovery is down and its server's connection
-// breaks: both are reached again, a caller with work is served, and readiness answers.
+// Idle callers hold all descriptors of the process while the coordinator's stream ends and the server's
+// connection is reset: both connections are re-established, a caller with a set-up is served, and readyz
+// answers.
 TEST_F(Process, IdleCallersHoldingAllDescriptorsLockNobodyOut) {
   const sockaddr_in management = free_address();
   environment = {{"NODE_MANAGEMENT", address_text(management)}};
   start(config());
-  Peer server, watch;
+  Peer server, stream;
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-  wait_until([&] { return static_cast<bool>(watch = coordinator.accept()); }, "its watch");
+  wait_until([&] { return static_cast<bool>(stream = coordinator.accept()); }, "its stream");
   wait_until_serving();
-  const rlimit few{24, 1024};  // the hard one is the sanitizer's (sanitizer_pipe.cpp)
+  const rlimit few{24, 1024};  // the hard limit stays for the sanitizer (sanitizer_pipe.cpp)
   ASSERT_EQ(::prlimit(pid, RLIMIT_NOFILE, &few, nullptr), 0);
   std::vector<Peer> idle;
   for (int i = 0; i < 60; ++i) idle.push_back(Peer::connect(address));
-  wait_until([&] { return log().find("no descriptor left") != std::string::npos; }, "the want");
-  watch.close();
+  wait_until([&] { return log().find("no descriptor left") != std::string::npos; },
+             "the log line on missing descriptors");
+  stream.close();
   server.reset();
-  wait_until([&] { return static_cast<bool>(watch = coordinator.accept()); }, "the next watch");
-  wait_to_receive(watch, "Last-Event-ID: 1");
+  wait_until([&] { return static_cast<bool>(stream = coordinator.accept()); }, "the next stream");
+  wait_to_receive(stream, "Last-Event-ID: 1");
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   Peer gateway = Peer::connect(address), ready = Peer::connect(management);
   gateway.send(setup(0xaa, "d"));
@@ -177,27 +181,27 @@
 
 TEST_F(Process, AnInvalidConfigurationIsReportedInOneLine) {
   const std::string good = config();
-  const auto complains = [&](const std::string& text, const std::vector<std::string>& options,
-                             const char* about) {
+  const auto expect_error = [&](const std::string& text, const std::vector<std::string>& options,
+                                const char* about) {
     start(text, options);
     EXPECT_EQ(exit_code(), 2) << about;
     const std::string said = log();
     EXPECT_NE(said.find(about), std::string::npos) << said;
     EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
   };
-  complains("{", {}, "config.json");
-  complains(std::string(good).replace(good.find("\"deadline\":9000"), 15, "\"deadline\":0"), {},
-            "line 1: \"request_classes.voice.deadline\" is not over 0");
-  complains(std::string(good).replace(good.find("127."), 4, "somewhere"), {}, "\"listen\" is no address");
-  complains(good, {"--sip", directory + "/none"}, "none: cannot be opened");
+  expect_error("{", {}, "config.json");
+  expect_error(std::string(good).replace(good.find("\"deadline\":9000"), 15, "\"deadline\":0"), {},
+               "line 1: \"request_classes.voice.deadline\" is not over 0");
+  expect_error(std::string(good).replace(good.find("127."), 4, "somewhere"), {}, "\"listen\" is no address");
+  expect_error(good, {"--sip", directory + "/none"}, "none: cannot be opened");
   acme::replace_file(directory + "/sip",
                      "udp = \"" + address_text(free_address()) + "\"\ndefault_class = \"exam\"\n");
-  complains(good, {"--sip", directory + "/sip"}, "\"default_class\" is not a class of the settings: exam");
-  complains(good, {"--planner", "0"}, "usage:");
-  complains(good, {"--what"}, "usage:");
+  expect_error(good, {"--sip", directory + "/sip"}, "\"default_class\" is not a class of the settings: exam");
+  expect_error(good, {"--planner", "0"}, "usage:");
+  expect_error(good, {"--what"}, "usage:");
 }
 
-// A setting that means nothing here may be a misspelt one: it is named, once, and the rest serves.
+// An unknown setting may be a misspelt one: it is reported once, and the others apply.
 TEST_F(Process, UnknownSettingsAreReportedOnce) {
   std::string text = config();
   text.replace(text.find("\"cancelling\""), 12, "\"cancel\":true,\"cancelling\"");
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,4 +1,5 @@
-// Stories of the whole program over loopback sockets, one for each failure that it guards against.
+// Tests of the whole program over loopback sockets: calls, their end, the list of servers and the
+// configuration.
 #include "config.hpp"
 #include "loopback.hpp"
 #include "net/coordinator.hpp"
@@ -26,8 +27,8 @@
   EXPECT_EQ(gateway.received(), answer + over);
 }
 
-// A restarted server may break the connection after it took the set-up: one attempt at a time, and the next
-// only after the release guard.
+// A server that restarts may reset the connection after it accepted the set-up. Only one attempt is in flight
+// at a time, and the next starts after the release guard.
 TEST_F(Program, ASetupIsRetriedOnceAfterItsConnectionIsReset) {
   open_server();
   Peer gateway = connect_caller();
@@ -54,7 +55,7 @@
   EXPECT_EQ(gateway.received(), binary(16, 0xaa));
 }
 
-// The caller's deadline passes with a set-up out: the server hears of it and the caller has one failure.
+// The caller's deadline passes with a set-up in flight: the server gets a release and the caller one failure.
 TEST_F(Program, ACallFailsOnceAtItsDeadlineWhenTheServerDoesNotAnswer) {
   open_server();
   Peer gateway = connect_caller();
@@ -64,7 +65,7 @@
   wait_to_receive(server, "\"op\":\"end\"");
 }
 
-// A process that dies cannot say so: its connection is reset and the next is refused.
+// A process that dies cannot report it: its connection is reset and the next one refused.
 TEST_F(Program, EstablishedCallsAreReleasedWhenTheirServerDies) {
   open_server();
   Peer gateway = connect_caller();
@@ -74,7 +75,7 @@
   wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
 }
 
-// A connection that only broke takes no call with it.
+// The loss of a connection alone ends no call.
 TEST_F(Program, AnEstablishedCallSurvivesTheLossOfBothConnections) {
   open_server();
   Peer gateway = connect_caller();
@@ -86,14 +87,14 @@
   EXPECT_EQ(count(server.received(), "end"), 0u);
   server.send(line("end", kId, "\"why\":16"));
   run_passes();
-  Peer other = connect_caller();  // the release has waited for an open connection
+  Peer other = connect_caller();  // the release has waited for a connection
   wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
-  server.send(line("end", kId, "\"why\":16"));  // told on the next connection as well
+  server.send(line("end", kId, "\"why\":16"));  // a repeated release is forwarded once
   run_passes();
   EXPECT_EQ(other.received(), binary(12, 0xaa, {{208, "\x10"}}));
 }
 
-// Calls from before a restart are unknown here, and their callers must hear all the same that they are over.
+// Calls from before a restart are unknown to the process, but their callers must still get the release.
 TEST_F(Program, TheEndOfACallFromBeforeTheStartIsForwarded) {
   open_server();
   Peer gateway = connect_caller();
@@ -102,7 +103,7 @@
   wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
-// Both messages are read in one pass: the set-up must not leave after it was given up.
+// Both messages are read in one pass: the set-up must not be sent after its cancellation.
 TEST_F(Program, ASetupCancelledInTheSamePassIsNotSent) {
   open_server();
   Peer gateway = connect_caller();
@@ -133,7 +134,7 @@
   wait_to_receive(gateway, binary(53, 8, {{208, "\x01"}}));
 }
 
-// Nothing new goes to a server that drains, even if the news came in the pass of the call.
+// No new call goes to a draining server, even if the update arrives in the same pass as the call.
 TEST_F(Program, ADrainingServerGetsNoNewCallsAndAGoneOneLosesItsCalls) {
   open_server();
   Peer gateway = connect_caller();
@@ -141,14 +142,14 @@
   planner->news({2, false, {host(listener, 0, Availability::draining)}});
   gateway.take_received();
   gateway.send(setup(0xbb, "d", "60"));
-  // No server is left, so its caller is told to stay away for as long as callers heed.
+  // No server is left, so the caller gets the longest retry-after that callers honour.
   wait_to_receive(gateway, binary(12, 0xbb, {{208, std::string(1, 42)}, {192, "2000"}}));
   EXPECT_EQ(count(server.received(), "offer"), 0u);
   planner->news({3, false, {host(listener, 0, Availability::gone)}});
   wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
 }
 
-// A new machine may have the address of one that has gone, in one event and in either order.
+// A new host may have the address of one that has gone, in the same event and in either order.
 TEST_F(Program, ANewHostAtAnOldAddressIsAnotherServer) {
   Fleet fleet;
   Host old = host(listener, 0), fresh = old;
@@ -166,7 +167,7 @@
   }
 }
 
-// At the limit the connection that is idle makes room for the one that comes.
+// At the connection limit the idle connection is evicted for a new one.
 TEST_F(Program, IdleConnectionsAreEvictedAtTheConnectionLimit) {
   front = std::make_unique<BinaryFront>(loop, log, *planner, any_port(), 2, 1 << 20);
   open_server();
@@ -182,9 +183,9 @@
 
 TEST_F(Program, TheCoordinatorStreamResumesAfterTheLastEvent) {
   Listener at;
-  std::vector<std::uint64_t> told;
+  std::vector<std::uint64_t> delivered;
   const CoordinatorClient coordinator(loop, log, at.address(), 4,
-                                      [&](const FleetNews& news) { told.push_back(news.index); });
+                                      [&](const FleetNews& news) { delivered.push_back(news.index); });
   const std::string event =
       R"(data: {"index":5,"endpoints":{"hosts":[{"host":"a","dial":"127.0.0.1:9","health":"in_service"}]}})";
   run_passes(3);
@@ -192,19 +193,19 @@
   wait_to_receive(first, "Last-Event-ID: 4\r\n");
   first.send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hi\n\nid: 5\n" + event + "\n\n" +
              "data: {\"ind");
-  wait_until([&] { return told.size() == 1; }, "event 5");
+  wait_until([&] { return delivered.size() == 1; }, "event 5");
   first.close();
   Peer second;
   wait_until([&] { return static_cast<bool>(second = at.accept()); }, "the next stream");
   wait_to_receive(second, "Last-Event-ID: 5\r\n");
-  // The same event again, in chunks, is not told twice.
+  // The same event in a chunked response is not delivered a second time.
   const std::string again = event + "\n\n";
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", again.size());
   second.send("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + std::string(size) + again +
               "\r\n3\r\n: x\r\n");
   run_passes();
-  EXPECT_EQ(told, std::vector<std::uint64_t>{5});
+  EXPECT_EQ(delivered, std::vector<std::uint64_t>{5});
 }
 
 TEST(Configuration, IsParsedAndAnInvalidOneIsRejected) {
@@ -228,7 +229,7 @@
   }
 }
 
-// Settings that cannot be served by are named by line and key; nothing is put in their place.
+// Invalid settings are reported with line and key; no default replaces them.
 TEST(Configuration, InvalidSettingsAreReportedWithLineAndKey) {
   const std::string good = R"({"listen":"127.0.0.1:5070","coordinator":"127.0.0.2:2379",
     "limits":{"sockets":512,
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -1,4 +1,4 @@
-// Stories of bad callers and bad peers, one for each failure that was met on the days that are not calm.
+// Tests with misbehaving callers and setup servers, one for each failure that occurred under load.
 #include <sys/resource.h>
 
 #include "loopback.hpp"
@@ -10,10 +10,10 @@
 
 std::string failed(CallId call) { return binary(12, call, {{208, std::string(1, 41)}}); }
 
-// ---- Bad callers
+// ---- Misbehaving callers
 
-// Neither the body of what no caller sends nor the rest of half a message is awaited, and who says nothing is
-// not kept.
+// A connection is closed for a message type that callers do not send, without waiting for the body; for a
+// message that stays incomplete; and for sending nothing.
 TEST_F(Program, ConnectionsWithoutACompleteMessageAreClosed) {
   Peer strange = connect_caller(), half = connect_caller(), silent = connect_caller();
   strange.send(std::string("\x3f\xff\x7b", 3));
@@ -22,11 +22,11 @@
   wait_until([&] { return half.ended() && silent.ended(); }, "the close of both");
 }
 
-// What is not sound fails at the front: the setup server would close the connection that all calls share.
+// Invalid set-ups fail at the front: a setup server would close the connection that all calls share.
 TEST_F(Program, InvalidSetupsFailAndReachNoServer) {
   open_server();
   Peer bad = connect_caller();
-  const std::string far(15900, '\x01');  // six bytes each in a server's line
+  const std::string far(15900, '\x01');  // each byte takes six in the line to the server
   const std::vector<std::pair<int, std::string>> sound{
       {180, "voice"}, {182, "5000"}, {190, "dest:0;width:1"}};
   const auto with = [&](std::vector<std::pair<int, std::string>> more) {
@@ -44,7 +44,7 @@
   EXPECT_EQ(server.received(), "");
 }
 
-// An id in use fails for who uses it again, and nobody takes back what another has asked for.
+// A set-up with a call id in use fails, and its caller cannot cancel the set-up of the other caller.
 TEST_F(Program, ADuplicateCallIdDoesNotAffectTheOtherCaller) {
   open_server();
   Peer good = connect_caller(), bad = connect_caller();
@@ -54,7 +54,7 @@
   wait_to_receive(bad, failed(0xaa) + binary(16, 0xaa));
   server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
   wait_to_receive(good, binary(9, 0xaa, {{210, "s"}}));
-  // On one connection nobody can tell the two apart: one failure, and nothing is left at the server.
+  // On one connection the answers cannot be told apart: both set-ups fail and the server gets a release.
   server.take_received();
   bad.take_received();
   bad.send(setup(0xbb, "d"));
@@ -65,7 +65,7 @@
   EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
-// What ends a call whose caller is gone goes to a caller that has shown itself to be one.
+// The release of a call whose caller has disconnected goes to a connection that has been served a call.
 TEST_F(Program, AReleaseWhoseConnectionIsGoneGoesToAnotherActiveCaller) {
   open_server();
   Peer silent = connect_caller(), gateway = connect_caller(), other = connect_caller();
@@ -82,8 +82,8 @@
   EXPECT_EQ(silent.received(), "");
 }
 
-// Set-ups that wait hold what their callers sent: more than the memory is meant for is refused unseen, until
-// some have their answer.
+// Waiting set-ups keep their descriptions in memory: beyond the limit new ones are refused until some are
+// answered.
 TEST_F(Program, WaitingSetupsAreBoundedByTheMemoryLimit) {
   planner->limit({10, 100});
   open_server();
@@ -98,7 +98,8 @@
   wait_to_receive(server, "00000000000000cc");
 }
 
-// A peer that asks on and takes no answers is not read any further, and what it sent is not kept.
+// A peer that keeps sending requests without reading the answers is not read from, so that its input does not
+// pile up.
 TEST_F(Program, APeerThatDoesNotReadAnswersIsNotReadFrom) {
   struct Idle : Stream::Owner {
     void on_data(Stream& stream) override { stream.consume(stream.input().size()); }
@@ -115,10 +116,11 @@
   run_passes(3);
   EXPECT_FALSE(stream.interest() & POLLIN);
   const auto taken = [&] { return other.take_received(), (stream.interest() & POLLIN) != 0; };
-  wait_until(taken, "room for more");
+  wait_until(taken, "reading resumed");
 }
 
-// Out of descriptors the listening socket rests: what is in line would wake the loop without end.
+// Without file descriptors accepting is paused: the listen backlog would otherwise wake the loop
+// continuously.
 TEST_F(Program, AcceptingPausesWithoutFileDescriptors) {
   Acceptor acceptor(loop, listen_on(any_port()));
   Peer peer = Peer::connect(bound_address(acceptor.fd()));
@@ -129,31 +131,31 @@
   EXPECT_FALSE(acceptor.accept());
   ::setrlimit(RLIMIT_NOFILE, &before);
   EXPECT_TRUE(acceptor.paused());
-  wait_until([&] { return !acceptor.paused(); }, "the end of its rest");
+  wait_until([&] { return !acceptor.paused(); }, "the end of the pause");
   EXPECT_TRUE(acceptor.accept());
 }
 
-// ---- Bad peers
+// ---- Misbehaving setup servers
 
-// Whatever cannot be an answer ends its connection and that alone: the set-up on it is sent again, elsewhere
-// or on a new one, and has one answer.
+// A malformed answer closes its connection only: the set-up on it is sent again on another connection and
+// answered once.
 TEST_F(Program, AMalformedAnswerClosesItsConnectionAndLosesNoCall) {
   open_server();
   Peer gateway = connect_caller();
   const std::string good = line("accept", kId, "\"desc\":\"s\"");
-  const std::vector<std::string> spoilt{
+  const std::vector<std::string> malformed{
       std::string(good).replace(3, 3, "\x01\xfe"),  // noise
-      good.substr(0, good.size() - 6),              // cut, and the connection stays open
+      good.substr(0, good.size() - 6),              // truncated, and the connection stays open
       std::string(good).insert(40, 20000, 'x'),     // endless
-      line("accept", kId, "\"why\":4x"),            // no number
+      line("accept", kId, "\"why\":4x"),            // not a number
       line("accept", kId, "\"why\":4"),             // no description
       std::string(good).replace(good.size() - 4, 1, "\x02"),
   };
-  for (std::size_t i = 0; i < spoilt.size(); ++i) {
+  for (std::size_t i = 0; i < malformed.size(); ++i) {
     gateway.send(setup(0xaa + i, "d"));
     wait_to_receive(server, "offer");
-    server.send(std::string(spoilt[i]).replace(spoilt[i].find(kId), 16, call_text(0xaa + i)));
-    wait_until([&] { return server.ended(); }, "the close of the spoilt connection");
+    server.send(std::string(malformed[i]).replace(malformed[i].find(kId), 16, call_text(0xaa + i)));
+    wait_until([&] { return server.ended(); }, "the close of the connection with the malformed answer");
     wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
     wait_to_receive(server, "offer");
     server.take_received();
@@ -164,7 +166,7 @@
   }
 }
 
-// Set-ups do not share one fate: those on another connection to the same server go on.
+// Set-ups on another connection to the same server continue.
 TEST_F(Program, ALostConnectionAffectsOnlyItsOwnSetups) {
   open_server();
   Peer gateway = connect_caller(), other;
@@ -179,14 +181,14 @@
   server.reset();
   other.send(line("accept", "00000000000000cc", "\"desc\":\"s\""));
   wait_to_receive(gateway, binary(9, 0xcc, {{210, "s"}}));
-  // After the release guard the other one goes out again, on whichever connection is up.
+  // After the release guard the set-up of the lost connection is sent again, on whichever connection is up.
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   const auto again = [&] { return count(server.received() + other.received(), "00000000000000bb") > 0; };
-  wait_until(again, "the set-up that broke");
+  wait_until(again, "the set-up of the lost connection, sent again");
 }
 
-// A connection can stay open and bring nothing any more. Others show that the server is well: it is closed,
-// and what was out on it goes again.
+// A connection may stay open without bringing any answer. When others show that the server is healthy, it is
+// closed and its set-ups are sent again.
 TEST_F(Program, ASilentConnectionIsClosedWhenOthersToTheServerAnswer) {
   open_server();
   Peer gateway = connect_caller(), other;
@@ -204,14 +206,14 @@
     if (!said.empty() || next == 0x100) gateway.send(setup(++next, "d"));
     return server.ended();
   };
-  wait_until(answers_elsewhere, "the close of the silent one");
+  wait_until(answers_elsewhere, "the close of the silent connection");
   wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the next connection");
   const auto again = [&] { return count(server.received() + other.received(), kId) > 0; };
   wait_until(again, "the set-up that got no answer");
 }
 
-// What a server had on its way when a connection was closed from here is said again on the next one that
-// opens: one has to open after the server knew.
+// Messages that were in flight when the program closed a connection are repeated by the server on the next
+// connection, so one has to open after the server has noticed the close.
 TEST_F(Program, AfterALocalCloseANewConnectionOpensOnceTheServerKnows) {
   open_server();
   Peer gateway = connect_caller(), other, fresh;
@@ -220,18 +222,18 @@
   gateway.send(setup(0xbb, "d"));
   wait_until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
   other.send("{\"noise\n");
-  wait_until([&] { return other.ended(); }, "the close of the spoilt one");
+  wait_until([&] { return other.ended(); }, "the close of the connection with malformed input");
   const Time closed = loop.now();
-  wait_until([&] { return static_cast<bool>(fresh = listener.accept()); }, "the new one");
+  wait_until([&] { return static_cast<bool>(fresh = listener.accept()); }, "the new connection");
   EXPECT_GE(loop.now() - closed, milliseconds(200)) << "before the server can have known";
-  // And a withdrawal is no silence: the connection that owes nothing any more stays.
+  // A cancelled set-up does not count as unanswered: the connection with nothing in flight stays open.
   gateway.send(binary(12, 0xbb, {{208, "\x10"}}) + binary(12, 0xaa, {{208, "\x10"}}));
   wait_to_receive(server, line("end", "00000000000000aa", "\"why\":16"));
   run_passes(300);
   EXPECT_FALSE(server.ended());
 }
 
-// What was released must not stay standing because the connection broke before it was read.
+// A released call must not stay established because the connection broke before the server read the release.
 TEST_F(Program, AReleaseIsSentAgainAfterItsConnectionIsReset) {
   open_server();
   Peer gateway = connect_caller();
@@ -244,10 +246,11 @@
   wait_to_receive(server, line("end", kId, "\"why\":16"));
 }
 
-// A call that was given up at a server may stand there by a later attempt when the connection of the first
-// breaks: the release of the first, said again, would cut it behind its caller's back.
+// A call released at a server may be established there by a later attempt when the connection of the first
+// one breaks. The release of the first attempt, sent again, would end that call without its caller's
+// knowledge.
 TEST_F(Program, AReleaseOfAnEarlierAttemptDoesNotEndALaterOne) {
-  struct Ignores : Servers::Owner {
+  struct IgnoringOwner : Servers::Owner {
     SetUpOutcome told_of_call(const ServerId&, ServerLine, MessageOrigin) override {
       return SetUpOutcome::settled;
     }
