--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -11,6 +11,7 @@
 namespace quartzarch {
 namespace {
 
+// Types of messages, as on the wire.
 enum class Type : std::uint8_t {
   setup = 1,
   progress = 6,
@@ -18,13 +19,14 @@
   release = 12,
   release_ack = 16,
   test = 52,
-  tested = 53
+  test_result = 53
 };
 
+// Codes of a message's parameters, as on the wire.
 enum class Code : std::uint8_t {
   call_class = 180,
   deadline = 182,
-  retry = 186,
+  retry = 186,  // "1": the caller marks the set-up as a further try
   number = 188,
   routing_hints = 190,
   retry_after = 192,
@@ -48,13 +50,16 @@
 // Unanswered set-ups per connection, so that a flood on one connection leaves capacity for the others.
 constexpr std::size_t kMaxOpenSetups = 400;
 constexpr Duration kRetryAfterAtMaxOpenSetups = std::chrono::seconds(1);
+// Largest value of a routing hint that is accepted.
 constexpr double kMaxHint = 1e6;
 
+// Reads two bytes, most significant first.
 std::uint16_t big_endian(std::string_view bytes) {
   return static_cast<std::uint16_t>(static_cast<std::uint8_t>(bytes[0]) << 8 |
                                     static_cast<std::uint8_t>(bytes[1]));
 }
 
+// Reads a call id of eight bytes, most significant first.
 CallId call_of(std::string_view bytes) {
   CallId call = 0;
   for (std::size_t i = 0; i < 8; ++i) call = call << 8 | static_cast<std::uint8_t>(bytes[i]);
@@ -185,11 +190,11 @@
   loop_.unwatch(static_cast<IoHandler&>(*this));
   // Accepts the listen backlog, which the kernel would reset with the socket; at the connection limit the
   // rest of it is reset anyway.
-  std::size_t taken = connections_.size();
+  std::size_t count = connections_.size();
   on_ready(POLLIN);
-  taken = connections_.size() - std::min(taken, connections_.size());
+  count = connections_.size() - std::min(count, connections_.size());
   acceptor_.close();
-  log_.line("caller: stopped listening, %zu connections accepted from the listen backlog", taken);
+  log_.line("caller: stopped listening, %zu connections accepted from the listen backlog", count);
 }
 
 bool BinaryFront::idle() const {
@@ -271,8 +276,8 @@
 bool BinaryFront::close_if_idle(Connections::const_iterator connection, const char* why) {
   const Stream* const stream = connection->first;
   const Time before = stream->last_used();
-  const auto kept = connection->second.stream;
-  kept->read_now();
+  const auto keep_alive = connection->second.stream;
+  keep_alive->read_now();
   const auto found = connections_.find(stream);
   if (found == connections_.end()) return false;  // the peer had closed it
   if (!found->second.idle() || found->second.stream->last_used() != before) return true;
@@ -420,7 +425,7 @@
       // address answers, so a drained process must fail it.
       const bool passed = core_.ready() && (!drain_ || drain_->passes_tests());
       from.activity = std::max(from.activity, CallerActivity::tested);
-      from.stream->send(Message(Type::tested, call).put_cause(passed ? 1 : 0).finish(tag(Kind::other)));
+      from.stream->send(Message(Type::test_result, call).put_cause(passed ? 1 : 0).finish(tag(Kind::other)));
       return true;
     }
     default:
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -29,6 +29,7 @@
   virtual void on_ready(short events) = 0;
 };
 
+// The event loop. Not thread-safe: other threads pass callbacks to it by a Mailbox.
 class Loop {
  public:
   using Callback = std::function<void()>;
@@ -37,9 +38,11 @@
 
   explicit Loop(Clock clock = unix_time) : clock_(clock), now_(clock()) {}
 
+  // Polls the handler's descriptor in every pass until it is removed with unwatch.
   void watch(IoHandler& handler, Priority priority);
   void unwatch(IoHandler& handler);
 
+  // Runs the callback once, in the first pass whose now() is `when` or later.
   TimerId at(Time when, Callback callback);
   void cancel(TimerId timer);
 
@@ -48,7 +51,8 @@
   // Runs the callback at the end of every pass, before the deferred ones, and again until none does anything
   // more; it returns true if it did something.
   void after_each_pass(std::function<bool()> callback) { after_each_pass_.push_back(std::move(callback)); }
-  // Asked to free a file descriptor when no socket can be created for lack of them; returns whether it did.
+  // Frees file descriptors on request. reclaim_descriptor() is called when no socket can be created for lack
+  // of them; it returns true if it has closed one.
   class DescriptorReclaimer {
    public:
     virtual ~DescriptorReclaimer() = default;
@@ -63,6 +67,7 @@
   // The time at which the current pass began to handle events; never goes backwards.
   Time now() const { return now_; }
 
+  // Runs one pass; waits for events for at most `longest_wait`.
   void pass(Duration longest_wait = std::chrono::seconds(1));
 
  private:
