--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -205,7 +205,8 @@
   // Lists the one server and waits for the program's connection to it.
   void open_server() {
     planner->news({1, true, {host(listener, 0)}});
-    wait_until([this] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+    wait_until([this] { return static_cast<bool>(server = listener.accept()); },
+               "the connection to the server");
     run_passes(3);
   }
   Peer connect_caller() { return Peer::connect(front->address()); }
@@ -214,7 +215,7 @@
   Peer caller_ahead_of_the_connection(const std::string& ms = "5000") {
     Peer gateway = connect_caller();
     gateway.send(setup(0xaa, "d", ms));
-    wait_until([this] { return planner->owed() == 1; }, "the set-up, held");
+    wait_until([this] { return planner->owed() == 1; }, "the set-up to wait");
     loop.defer([this] { planner->news({1, true, {host(listener, 0)}}); });
     loop.pass(Duration{0});
     return gateway;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -30,7 +30,7 @@
   wait_to_receive(second, binary(9, 0xbb, {{210, "s"}}));
   EXPECT_EQ(exit_code(), 0);
   EXPECT_EQ(server.received().find("\"op\":\"end\""), std::string::npos)
-      << "a call that stands was cut by the stop";
+      << "an established call was ended by the stop";
 }
 
 // An established call ends after its caller has disconnected: no caller is left that the release could go to.
@@ -211,7 +211,7 @@
 }
 
 TEST_F(Process, AnAddressInUseIsFatal) {
-  const Fd taken = listen_on(address);
+  const Fd in_use = listen_on(address);
   start(config());
   EXPECT_EQ(exit_code(), 1);
   EXPECT_NE(log().find("cannot listen on " + address_text(address)), std::string::npos);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -271,7 +271,7 @@
     bad.replace(bad.find(from), from.size(), to);
     try {
       parse_config(bad);
-      ADD_FAILURE() << "taken: " << to;
+      ADD_FAILURE() << "accepted: " << to;
     } catch (const ConfigError& error) {
       EXPECT_NE(std::string(error.what()).find(said), std::string::npos) << to << ": " << error.what();
       EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos);
--- a/tests/rough_test.cpp
+++ b/tests/rough_test.cpp
@@ -115,8 +115,8 @@
   stream.send({std::string(3 << 20, 'x'), {}, 0});
   run_passes(3);
   EXPECT_FALSE(stream.interest() & POLLIN);
-  const auto taken = [&] { return other.take_received(), (stream.interest() & POLLIN) != 0; };
-  wait_until(taken, "reading resumed");
+  const auto reads_again = [&] { return other.take_received(), (stream.interest() & POLLIN) != 0; };
+  wait_until(reads_again, "reading resumed");
 }
 
 // Without file descriptors accepting is paused: the listen backlog would otherwise wake the loop
