--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -82,7 +82,7 @@
     case 1:
       return Cause::no_circuit;
     case 2:
-      return Cause::turned_back;
+      return Cause::rejected;
     case 3:
       return Cause::processor_full;
     case 4:
@@ -111,7 +111,7 @@
     begin(ActionCode::ask_load);
     server(a.server);
   }
-  void operator()(const TellPeer& a) {
+  void operator()(const SendPeerMessage& a) {
     begin(ActionCode::write_peer).put(a.to ? static_cast<std::uint16_t>(*a.to) : kAllPeers).text(a.body);
   }
   void operator()(const Log& a) { begin(ActionCode::trace).text(a.text); }
@@ -178,7 +178,7 @@
     case EventCode::request:
       return deliver(number, arrived(in));
     case EventCode::started: {
-      SetupStood event{in.get<std::uint64_t>(), in.get<std::uint16_t>(), {}, {}};
+      CallEstablished event{in.get<std::uint64_t>(), in.get<std::uint16_t>(), {}, {}};
       event.server = server_id(in);
       event.delay = from_ms(in.get<double>());
       return deliver(number, event);
@@ -242,7 +242,7 @@
   const auto scope = in.get<std::uint8_t>();
   in.get<std::uint32_t>();  // version: the simulator delivers in order
   const auto id = in.get<std::uint32_t>();
-  if (scope == 3) return ListFailed{};
+  if (scope == 3) return DiscoveryFailed{};
   const auto found = pages_.find(id);
   if (scope > 3) throw WireError("unknown scope " + std::to_string(scope) + " of an update");
   if (found == pages_.end()) throw WireError("an update names list " + std::to_string(id) + ", never sent");
@@ -254,16 +254,16 @@
   event.call = in.get<std::uint64_t>();
   event.call_class = in.get<std::uint8_t>();
   event.tenant = in.get<std::uint32_t>();
-  event.key = in.get<std::uint64_t>();
-  event.patience = from_ms(in.get<double>());
+  event.number_key = in.get<std::uint64_t>();
+  event.caller_timeout = from_ms(in.get<double>());
   in.take(8);  // a guess of the cost
   event.first_choice = number_of(in.get<float>());
   in.take(4);  // circuits
   event.advised = number_of(in.get<float>());
   const auto options = in.get<std::uint8_t>();
   event.retry = (options & 2) != 0;
-  event.in_transit = (options & 8) != 0;
-  event.cut = (options & 16) != 0;
+  event.forwarded = (options & 8) != 0;
+  event.reconnect = (options & 16) != 0;
   return event;
 }
 
@@ -279,7 +279,7 @@
   if (front && front->waits_hinted && event.cause == Cause::processor_full && why >= 16) {
     event.retry_after = from_ms(why / 16);
   }
-  event.settled = in.get<std::uint8_t>() != 0;
+  event.call_finished = in.get<std::uint8_t>() != 0;
   event.report = load_report(in, front ? front->report_fields : std::vector<std::string>{});
   return event;
 }
