--- a/src/register/client_protocol.hpp
+++ b/src/register/client_protocol.hpp
@@ -16,6 +16,7 @@
 
 namespace quartzarch::reg {
 
+// The protocol state of one client.
 class ClientProtocol {
  public:
   // No reply: no answer came in time, or leadership was lost meanwhile; the command may or may not have been
@@ -58,6 +59,8 @@
     // Set when it was refused without being applied: it may be sent to another voter from then on.
     Time resend_at{};
   };
+  // A watch first lists its prefix (`list`: to be requested, `listing`: in flight), then follows its changes
+  // (`watch`: to be requested, `watching`: in progress).
   enum class Step { list, listing, watch, watching };
   struct Watch {
     OnChanges on_changes{};
--- a/src/register/state.hpp
+++ b/src/register/state.hpp
@@ -75,6 +75,7 @@
   std::optional<Fence> fence{};
 };
 
+// Result of a command. The numbers are sent and stored, too.
 enum class Code : std::uint8_t {
   ok = 0,
   held = 1,        // another session holds the duty
@@ -98,6 +99,7 @@
   Revision revision = 0;  // of its last change
 };
 
+// The answer to a command.
 struct Reply {
   Code code = Code::ok;
   Revision revision = 0;      // of the register, after the command
