--- a/src/core/fleet.cpp
+++ b/src/core/server_inventory.cpp
@@ -1,11 +1,11 @@
-#include "core/fleet.hpp"
+#include "core/server_inventory.hpp"
 
 #include <set>
 #include <utility>
 
 namespace quartzarch {
 
-const Host* Fleet::at(const ServerId& address) const {
+const Host* ServerInventory::at(const ServerId& address) const {
   const Host* found = nullptr;
   const auto rank = [](const Host& host) {
     return std::pair(host.entry.availability != Availability::gone, host.entry.started.value_or(Time{0}));
@@ -16,23 +16,23 @@
   return found;
 }
 
-Fleet::Change Fleet::apply(const FleetNews& news) {
+ServerInventory::Change ServerInventory::apply(const ServerListUpdate& update) {
   std::map<ServerId, Host> before;
   std::set<ServerId> touched;
   const auto touch = [&](const ServerId& address) {
     if (!touched.insert(address).second) return;
     if (const Host* const host = at(address)) before[address] = *host;
   };
-  for (const Host& host : news.hosts) {
+  for (const Host& host : update.hosts) {
     touch(host.entry.id);
-    // A host may come back at another address.
+    // A host may have moved: its former address is affected too.
     if (const auto known = hosts_.find(host.name); known != hosts_.end()) touch(known->second.entry.id);
   }
-  if (news.whole) {
+  if (update.full) {
     for (const auto& [name, host] : hosts_) touch(host.entry.id);
     hosts_.clear();
   }
-  for (const Host& host : news.hosts) hosts_[host.name] = host;
+  for (const Host& host : update.hosts) hosts_[host.name] = host;
 
   Change change;
   for (const ServerId& address : touched) {
@@ -48,7 +48,7 @@
     if (gone) entry.availability = Availability::gone;
     change.list.entries.push_back(entry);
   }
-  // What is told as gone needs no keeping.
+  // Hosts that are gone have been reported in `change` and need not be kept.
   std::erase_if(hosts_,
                 [](const auto& item) { return item.second.entry.availability == Availability::gone; });
   return change;
--- a/src/duty/runner.cpp
+++ b/src/duty/runner.cpp
@@ -86,7 +86,7 @@
   int ends[2];
   if (::pipe2(ends, O_CLOEXEC) != 0) {
     log_.line("duty=%s event=error what=\"cannot create a pipe: %s\"", duty_.c_str(), std::strerror(errno));
-    loop_.at_end([this, token] { member_.ended(duty_, token, true); });
+    loop_.defer([this, token] { member_.ended(duty_, token, true); });
     return;
   }
   Fd read_end(ends[0]);
@@ -109,7 +109,7 @@
   }
   if (supervisor_ < 0) {
     log_.line("duty=%s event=error what=\"cannot start a process: %s\"", duty_.c_str(), std::strerror(errno));
-    loop_.at_end([this, token] { member_.ended(duty_, token, true); });
+    loop_.defer([this, token] { member_.ended(duty_, token, true); });
     return;
   }
   poll_exit();
--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-SipFront::SipFront(Loop& loop, Logger& log, Core& core, FrontConfig config, std::uint64_t seed)
+SipFront::SipFront(Loop& loop, Logger& log, CallService& core, FrontConfig config, std::uint64_t seed)
     : loop_(loop),
       log_(log),
       core_(core),
@@ -124,9 +124,9 @@
   do {
     request.call = random_();
   } while (dialogs_.count(request.call) > 0);
-  request.way = Way::sip;
+  request.protocol = FrontProtocol::sip;
   request.caller = ntohl(received.source.sin_addr.s_addr);
-  request.came = loop_.now();
+  request.received_at = loop_.now();
   request.number = uri->user;
   request.description = message.body();
   request.call_class = message.header("X-Call-Class");
@@ -134,7 +134,7 @@
   request.first_choice = number_in<int>(message.header("X-First-Choice")).value_or(-1);
   request.retry = message.header("X-Repeat") == "1";
   if (const auto seconds = number_in<unsigned>(message.header("Expires"))) {
-    request.patience = std::chrono::seconds(std::min(*seconds, 86400u));
+    request.caller_timeout = std::chrono::seconds(std::min(*seconds, 86400u));
   }
   transaction.subject = request.call;
   open_dialog(message, transaction, request.call);
@@ -299,7 +299,7 @@
 
 void SipFront::fail(CallId call, Failure why) { fail_invite(call, why == Failure::timed_out ? 504 : 500); }
 
-void SipFront::over(CallId call, int cause) {
+void SipFront::call_ended(CallId call, int cause) {
   Dialog* const dialog = find(call);
   if (!dialog) return;
   dialog->over = cause;
--- a/src/gap/gate.cpp
+++ b/src/gap/gate.cpp
@@ -5,23 +5,23 @@
 
 Call call_of(const Request& request) {
   return {request.number, request.call_class, boost::asio::ip::address_v4(request.caller),
-          request.way == Way::sip ? Entrance::sip : Entrance::binary, request.retry};
+          request.protocol == FrontProtocol::sip ? FrontKind::sip : FrontKind::binary, request.retry};
 }
 
 }  // namespace
 
-std::optional<Duration> GapGate::turns_away(const Request& request, Time now) {
-  hitters_.offered(now, request.number);
+std::optional<Duration> GapGate::rejected_for(const Request& request, Time now) {
+  heavy_hitters_.offered(now, request.number);
   const Verdict verdict = table_.offer(now, call_of(request));
   if (verdict.pass) return std::nullopt;
-  hitters_.refused(now, request.number);
+  heavy_hitters_.refused(now, request.number);
   return verdict.wait;
 }
 
-std::optional<Duration> GapGate::turned_away_by(const std::string& id, const Request& request, Time now) {
-  const Verdict verdict = table_.offer_to(id, now, call_of(request));
+std::optional<Duration> GapGate::offer_to_rule(const std::string& id, const Request& request, Time now) {
+  const Verdict verdict = table_.offer_to_rule(id, now, call_of(request));
   if (verdict.pass) return std::nullopt;
-  hitters_.refused(now, request.number);
+  heavy_hitters_.refused(now, request.number);
   return verdict.wait;
 }
 
--- a/src/gap/rule.cpp
+++ b/src/gap/rule.cpp
@@ -20,7 +20,7 @@
 
 constexpr Duration kDay = std::chrono::hours(24);
 constexpr std::array<std::string_view, 7> kDays{"mon", "tue", "wed", "thu", "fri", "sat", "sun"};
-constexpr std::size_t kLongestId = 64, kMostListed = 1000, kLongestWords = 400;
+constexpr std::size_t kMaxIdLength = 64, kMaxListItems = 1000, kMaxTextLength = 400;
 
 [[noreturn]] void fail(const std::string& key, const std::string& what) {
   throw RuleError("\"" + key + "\" " + what);
@@ -28,14 +28,14 @@
 
 std::string text(element from, const std::string& key) {
   std::string_view value;
-  if (from.get(value) != simdjson::SUCCESS) fail(key, "is no text");
-  if (value.size() > kLongestWords * 10) fail(key, "is too long");
+  if (from.get(value) != simdjson::SUCCESS) fail(key, "is not a string");
+  if (value.size() > kMaxTextLength * 10) fail(key, "is too long");
   return std::string(value);
 }
 
 double number(element from, const std::string& key, double least, double most) {
   double value = 0;
-  if (from.get(value) != simdjson::SUCCESS) fail(key, "is no number");
+  if (from.get(value) != simdjson::SUCCESS) fail(key, "is not a number");
   if (!(value >= least && value <= most)) {
     fail(key, "is not within " + std::to_string(least) + " and " + std::to_string(most));
   }
@@ -44,10 +44,10 @@
 
 std::vector<std::string> texts(element from, const std::string& key) {
   simdjson::dom::array list;
-  if (from.get(list) != simdjson::SUCCESS) fail(key, "is no list");
+  if (from.get(list) != simdjson::SUCCESS) fail(key, "is not a list");
   std::vector<std::string> values;
   for (const element each : list) values.push_back(text(each, key));
-  if (values.size() > kMostListed) fail(key, "lists too many");
+  if (values.size() > kMaxListItems) fail(key, "has more than 1000 entries");
   return values;
 }
 
@@ -55,7 +55,7 @@
   std::vector<Network> values;
   for (const std::string& each : texts(from, key)) {
     const auto parsed = Network::parse(each);
-    if (!parsed) fail(key, "holds no network: " + each);
+    if (!parsed) fail(key, "contains an invalid network: " + each);
     values.push_back(*parsed);
   }
   return values;
@@ -71,12 +71,12 @@
     if (first.ptr != given.data() + colon || second.ptr != end) hours = -1;
   }
   if (hours < 0 || hours > 24 || minutes < 0 || minutes > 59 || (hours == 24 && minutes > 0)) {
-    fail(key, "holds no time of day: " + given);
+    fail(key, "contains an invalid time of day: " + given);
   }
   return std::chrono::hours(hours) + std::chrono::minutes(minutes);
 }
 
-// "mon,tue 08:30-10:00", or without days.
+// Parses "mon,tue 08:30-10:00"; without days, "08:30-10:00", it is every day.
 Weekly weekly(const std::string& given, const std::string& key) {
   Weekly window;
   std::string times = given;
@@ -86,12 +86,13 @@
     std::string days = given.substr(0, space) + ",";
     for (std::size_t at = 0, comma; (comma = days.find(',', at)) != std::string::npos; at = comma + 1) {
       const auto found = std::find(kDays.begin(), kDays.end(), days.substr(at, comma - at));
-      if (found == kDays.end()) fail(key, "holds no day: " + days.substr(at, comma - at));
+      if (found == kDays.end()) fail(key, "contains an unknown day: " + days.substr(at, comma - at));
       window.days |= 1u << (found - kDays.begin());
     }
   }
   const auto dash = times.find('-');
-  if (dash == std::string::npos) fail(key, "holds no window like \"mon,tue 08:30-10:00\": " + given);
+  if (dash == std::string::npos)
+    fail(key, "contains a window that is not like \"mon,tue 08:30-10:00\": " + given);
   window.from = time_of_day(times.substr(0, dash), key);
   window.to = time_of_day(times.substr(dash + 1), key);
   return window;
@@ -115,28 +116,29 @@
 Control control(element from) {
   Control made;
   simdjson::dom::object object;
-  if (from.get(object) != simdjson::SUCCESS || object.size() == 0) fail("control", "is no object");
+  if (from.get(object) != simdjson::SUCCESS || object.size() == 0)
+    fail("control", "is not an object with members");
   bool kind = false;
   for (const auto [name, value] : object) {
     const std::string key = "control." + std::string(name);
-    const auto is = [&](Control::Kind it) {
-      if (std::exchange(kind, true)) fail(key, "is a second control");
+    const auto set_kind = [&](Control::Kind it) {
+      if (std::exchange(kind, true)) fail(key, "is a second control; only one is allowed");
       made.kind = it;
     };
     if (name == "interval_ms") {
-      is(Control::Kind::interval);
+      set_kind(Control::Kind::interval);
       made.interval =
           duration_cast<Duration>(std::chrono::duration<double, std::milli>(number(value, key, 0.1, 3.6e6)));
     } else if (name == "per_s") {
-      is(Control::Kind::bucket);
+      set_kind(Control::Kind::bucket);
       made.rate = number(value, key, 1e-4, 1e6);
     } else if (name == "percentage") {
-      is(Control::Kind::percentage);
+      set_kind(Control::Kind::percentage);
       made.percentage = number(value, key, 0, 100);
     } else if (name == "block") {
       bool block = false;
-      if (value.get(block) != simdjson::SUCCESS || !block) fail(key, "is not true");
-      is(Control::Kind::block);
+      if (value.get(block) != simdjson::SUCCESS || !block) fail(key, "must be true");
+      set_kind(Control::Kind::block);
     } else if (name == "burst") {
       made.burst = number(value, key, 1, 1e6);
     } else {
@@ -144,25 +146,26 @@
     }
   }
   if (!kind) fail("control", "names none of interval_ms, per_s, percentage, block");
-  if (made.burst > 1 && made.kind != Control::Kind::bucket) fail("control.burst", "goes with per_s only");
+  if (made.burst > 1 && made.kind != Control::Kind::bucket)
+    fail("control.burst", "is allowed only with per_s");
   return made;
 }
 
 template <typename List, typename To>
-std::string listed(const List& list, To to) {
+std::string json_array(const List& list, To to) {
   std::string out;
   for (const auto& each : list) out += (out.empty() ? "" : ",") + in_quotes(to(each));
   return "[" + out + "]";
 }
 
-std::string figure(double value) {
+std::string number_text(double value) {
   char out[32];
   std::snprintf(out, sizeof out, "%.10g", value);
   return out;
 }
 
-// How narrow a network is that the caller is in; 0 if the rule names none.
-unsigned nearest(const Rule& rule, const Call& call) {
+// One more than the longest prefix among the rule's networks that contain the caller; 0 if none does.
+unsigned longest_prefix(const Rule& rule, const Call& call) {
   unsigned longest = 0;
   for (const Network& each : rule.callers) {
     if (each.contains(call.caller)) longest = std::max(longest, each.prefix_length() + 1);
@@ -170,6 +173,7 @@
   return longest;
 }
 
+// Rank of the rule's most specific pattern that matches the number.
 std::uint64_t rank(const Rule& rule, std::string_view number) {
   std::uint64_t best = 0;
   for (const Pattern& each : rule.patterns) {
@@ -180,7 +184,7 @@
 
 }  // namespace
 
-const char* name_of(Entrance entrance) { return entrance == Entrance::binary ? "binary" : "sip"; }
+const char* name_of(FrontKind front) { return front == FrontKind::binary ? "binary" : "sip"; }
 
 const char* name_of(Try tries) {
   return tries == Try::any ? "any" : tries == Try::first ? "first" : "repeat";
@@ -189,11 +193,11 @@
 std::string Control::str() const {
   switch (kind) {
     case Kind::interval:
-      return "one every " + figure(static_cast<double>(interval.count()) / 1000) + " ms";
+      return "one every " + number_text(static_cast<double>(interval.count()) / 1000) + " ms";
     case Kind::bucket:
-      return figure(rate) + " a second, " + figure(burst) + " at once";
+      return number_text(rate) + " a second, " + number_text(burst) + " at once";
     case Kind::percentage:
-      return figure(percentage) + "% pass";
+      return number_text(percentage) + "% pass";
     case Kind::block:
       break;
   }
@@ -206,23 +210,23 @@
   simdjson::dom::object object;
   if (parser.parse(json.data(), json.size()).get(root) != simdjson::SUCCESS ||
       root.get(object) != simdjson::SUCCESS) {
-    throw RuleError("no JSON object");
+    throw RuleError("not a JSON object");
   }
   Rule rule;
   bool controlled = false;
   std::set<std::string> keys;
   for (const auto [name, value] : object) {
     const std::string key(name);
-    if (!keys.insert(key).second) fail(key, "is there twice");
+    if (!keys.insert(key).second) fail(key, "appears twice");
     if (key == "id") {
       rule.id = text(value, key);
-      const bool sound = !rule.id.empty() && rule.id.size() <= kLongestId &&
+      const bool valid = !rule.id.empty() && rule.id.size() <= kMaxIdLength &&
                          std::all_of(rule.id.begin(), rule.id.end(), [](unsigned char c) {
                            return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
                          });
-      if (!sound) fail(key, "may have letters, digits, -, _ and . only, 64 at most");
+      if (!valid) fail(key, "may have letters, digits, -, _ and . only, 64 at most");
     } else if (key == "revision") {
-      if (value.get(rule.revision) != simdjson::SUCCESS) fail(key, "is no whole number");
+      if (value.get(rule.revision) != simdjson::SUCCESS) fail(key, "is not a whole number");
     } else if (key == "number") {
       rule.number = text(value, key);
       try {
@@ -230,7 +234,7 @@
       } catch (const PatternError& error) {
         fail(key, error.what());
       }
-      if (rule.patterns.size() > kMostListed) fail(key, "lists too many");
+      if (rule.patterns.size() > kMaxListItems) fail(key, "has more than 1000 entries");
     } else if (key == "class") {
       rule.classes = texts(value, key);
     } else if (key == "caller") {
@@ -238,9 +242,9 @@
     } else if (key == "front") {
       const std::string front = text(value, key);
       if (front == "binary") {
-        rule.front = Entrance::binary;
+        rule.front = FrontKind::binary;
       } else if (front == "sip") {
-        rule.front = Entrance::sip;
+        rule.front = FrontKind::sip;
       } else {
         fail(key, "is neither binary nor sip");
       }
@@ -266,7 +270,7 @@
     } else if (key == "weekly") {
       for (const std::string& each : texts(value, key)) rule.weekly.push_back(weekly(each, key));
     } else if (key == "who" || key == "why") {
-      (key == "who" ? rule.who : rule.why) = text(value, key).substr(0, kLongestWords);
+      (key == "who" ? rule.who : rule.why) = text(value, key).substr(0, kMaxTextLength);
     } else {
       fail(key, "is unknown");
     }
@@ -282,22 +286,22 @@
   const auto name = [](const Network& each) { return each.str(); };
   std::string out = "{\"id\":" + in_quotes(rule.id) + ",\"revision\":" + std::to_string(rule.revision) +
                     ",\"number\":" + in_quotes(rule.number);
-  if (!rule.classes.empty()) out += ",\"class\":" + listed(rule.classes, same);
-  if (!rule.callers.empty()) out += ",\"caller\":" + listed(rule.callers, name);
+  if (!rule.classes.empty()) out += ",\"class\":" + json_array(rule.classes, same);
+  if (!rule.callers.empty()) out += ",\"caller\":" + json_array(rule.callers, name);
   if (rule.front) out += ",\"front\":" + in_quotes(name_of(*rule.front));
   if (rule.tries != Try::any) out += ",\"try\":" + in_quotes(name_of(rule.tries));
-  if (!rule.exempt_classes.empty()) out += ",\"exempt_class\":" + listed(rule.exempt_classes, same);
-  if (!rule.exempt_callers.empty()) out += ",\"exempt_caller\":" + listed(rule.exempt_callers, name);
+  if (!rule.exempt_classes.empty()) out += ",\"exempt_class\":" + json_array(rule.exempt_classes, same);
+  if (!rule.exempt_callers.empty()) out += ",\"exempt_caller\":" + json_array(rule.exempt_callers, name);
   out += ",\"control\":{";
   switch (rule.control.kind) {
     case Control::Kind::interval:
-      out += "\"interval_ms\":" + figure(static_cast<double>(rule.control.interval.count()) / 1000);
+      out += "\"interval_ms\":" + number_text(static_cast<double>(rule.control.interval.count()) / 1000);
       break;
     case Control::Kind::bucket:
-      out += "\"per_s\":" + figure(rule.control.rate) + ",\"burst\":" + figure(rule.control.burst);
+      out += "\"per_s\":" + number_text(rule.control.rate) + ",\"burst\":" + number_text(rule.control.burst);
       break;
     case Control::Kind::percentage:
-      out += "\"percentage\":" + figure(rule.control.percentage);
+      out += "\"percentage\":" + number_text(rule.control.percentage);
       break;
     case Control::Kind::block:
       out += "\"block\":true";
@@ -312,7 +316,7 @@
   if (rule.start) out += ",\"start_s\":" + seconds(*rule.start);
   if (rule.end) out += ",\"end_s\":" + seconds(*rule.end);
   if (!rule.weekly.empty())
-    out += ",\"weekly\":" + listed(rule.weekly, [](const Weekly& each) { return str(each); });
+    out += ",\"weekly\":" + json_array(rule.weekly, [](const Weekly& each) { return str(each); });
   if (!rule.who.empty()) out += ",\"who\":" + in_quotes(rule.who);
   if (!rule.why.empty()) out += ",\"why\":" + in_quotes(rule.why);
   return out + "}";
@@ -321,7 +325,7 @@
 bool in_force(const Rule& rule, Time now) {
   if ((rule.start && now < *rule.start) || (rule.end && now >= *rule.end)) return false;
   if (rule.weekly.empty()) return true;
-  const auto day = now / kDay;  // since a Thursday
+  const auto day = now / kDay;  // day 0 of Unix time is a Thursday
   const Duration at = now - day * kDay;
   const auto weekday = static_cast<unsigned>((day + 3) % 7);  // 0 is Monday
   return std::any_of(rule.weekly.begin(), rule.weekly.end(), [&](const Weekly& each) {
@@ -338,7 +342,7 @@
       std::find(rule.classes.begin(), rule.classes.end(), call.call_class) == rule.classes.end()) {
     return false;
   }
-  if (!rule.callers.empty() && nearest(rule, call) == 0) return false;
+  if (!rule.callers.empty() && longest_prefix(rule, call) == 0) return false;
   return std::any_of(rule.patterns.begin(), rule.patterns.end(),
                      [&](const Pattern& each) { return each.matches(call.number); });
 }
@@ -350,9 +354,9 @@
                      [&](const Network& each) { return each.contains(call.caller); });
 }
 
-bool goes_before(const Rule& a, const Rule& b, const Call& call) {
+bool takes_precedence(const Rule& a, const Rule& b, const Call& call) {
   const auto key = [&](const Rule& rule) {
-    return std::make_tuple(rank(rule, call.number), !rule.classes.empty(), nearest(rule, call),
+    return std::make_tuple(rank(rule, call.number), !rule.classes.empty(), longest_prefix(rule, call),
                            rule.front.has_value(), rule.tries != Try::any);
   };
   const auto ours = key(a), theirs = key(b);
--- a/src/link/planners.cpp
+++ b/src/link/planners.cpp
@@ -50,7 +50,7 @@
 
 void Planners::connect(std::size_t planner) {
   planners_[planner].stream = std::make_shared<Stream>(loop_, planners_[planner].address, kConnectTimeout,
-                                                       static_cast<Stream::Owner&>(*this), Rank::servers);
+                                                       static_cast<Stream::Owner&>(*this), Priority::servers);
 }
 
 std::size_t Planners::of(const Stream& stream) const {
@@ -75,7 +75,7 @@
 void Planners::request(Request request, Front& front) {
   const CallId call = request.call;
   if (calls_.count(call) > 0) return;  // a second set-up with the id of a call
-  if (const auto away = drain_ ? drain_->refuses(loop_.now()) : std::nullopt)
+  if (const auto away = drain_ ? drain_->refusal_retry_after(loop_.now()) : std::nullopt)
     return front.refuse(call, *away);
   const auto planner = choose(call);
   // With no planner there is nobody to decide: the caller is told at once.
@@ -144,9 +144,9 @@
 
 // ---- From the planners
 
-void Planners::connected(Stream&) {}
+void Planners::on_connected(Stream&) {}
 
-void Planners::arrived(Stream& stream) {
+void Planners::on_data(Stream& stream) {
   while (stream.alive()) {
     LinkMessage message;
     std::size_t length = 0;
@@ -157,7 +157,7 @@
     if (taken == Taken::malformed || !take(planner, message)) {
       log_.line("link: malformed message from planner %zu, connection closed", planner);
       stream.close();
-      return lost(stream, Lost::closed);
+      return on_disconnected(stream, DisconnectReason::closed);
     }
     stream.consume(length);
   }
@@ -182,7 +182,7 @@
     Front* const front = known ? found->second.front : strays_;
     if (known && found->second.open) return false;
     if (known) calls_.erase(found);
-    if (front) front->over(message.call, static_cast<int>(message.number(0)));
+    if (front) front->call_ended(message.call, static_cast<int>(message.number(0)));
     return true;
   }
   if (message.type != Type::answer && message.type != Type::refuse && message.type != Type::fail)
@@ -207,11 +207,11 @@
 
 // What was open there has no planner any more: its attempts are given up with the planner, and each call gets
 // its one final answer now. Calls that stand go on; their releases wait for the planner to come back.
-void Planners::lost(Stream& stream, Lost) {
+void Planners::on_disconnected(Stream& stream, DisconnectReason) {
   const std::size_t at = of(stream);
   if (at == planners_.size()) return;
   Planner& planner = planners_[at];
-  loop_.bury(std::exchange(planner.stream, nullptr));
+  loop_.keep_until_pass_end(std::exchange(planner.stream, nullptr));
   if (std::exchange(planner.ready, false)) log_.line("link: planner %zu lost", at);
   for (const Segment& segment : stream.unsent()) {
     if (decode_head(segment).type == Type::release && planner.waiting.size() < kMostWaiting) {
--- a/src/link/port.hpp
+++ b/src/link/port.hpp
@@ -13,10 +13,10 @@
 
 namespace quartzarch::link {
 
-class Port : public Front, private Watched, private Stream::Owner {
+class Port : public Front, private IoHandler, private Stream::Owner {
  public:
   // Throws std::system_error if the address cannot be listened on.
-  Port(Loop& loop, Logger& log, Core& core, const sockaddr_in& listen);
+  Port(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen);
   ~Port() override;
 
   sockaddr_in address() const { return bound_address(acceptor_.fd()); }
@@ -29,7 +29,7 @@
   void answer(CallId call, std::string description) override;
   void refuse(CallId call, std::optional<Duration> retry_after) override;
   void fail(CallId call, Failure why) override;
-  void over(CallId call, int cause) override;
+  void call_ended(CallId call, int cause) override;
 
  private:
   struct Forwarder {
@@ -38,10 +38,10 @@
   };
 
   int descriptor() const override { return acceptor_.fd().get(); }
-  short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
-  void ready(short events) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  short interest() const override { return acceptor_.paused() ? 0 : POLLIN; }
+  void on_ready(short events) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   bool take(Forwarder& from, const LinkMessage& message);
   Forwarder* owner_of(CallId call);
@@ -51,7 +51,7 @@
 
   Loop& loop_;
   Logger& log_;
-  Core& core_;
+  CallService& core_;
   Acceptor acceptor_;
   std::map<const Stream*, Forwarder> forwarders_;
   std::unordered_map<CallId, const Stream*> calls_;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -5,15 +5,15 @@
 
 namespace quartzarch {
 
-void Loop::watch(Watched& watched, Rank rank) { watched_[rank].push_back(&watched); }
+void Loop::watch(IoHandler& handler, Priority priority) { handlers_[priority].push_back(&handler); }
 
-void Loop::forget(Watched& watched) {
-  for (auto& [rank, list] : watched_) std::erase(list, &watched);
+void Loop::unwatch(IoHandler& handler) {
+  for (auto& [priority, list] : handlers_) std::erase(list, &handler);
 }
 
-Loop::TimerId Loop::at(Time when, Step step) {
+Loop::TimerId Loop::at(Time when, Callback callback) {
   const TimerId id = ++last_timer_;
-  timer_of_[id] = timers_.emplace(when, Timer{id, std::move(step)});
+  timer_of_[id] = timers_.emplace(when, Timer{id, std::move(callback)});
   return id;
 }
 
@@ -24,15 +24,16 @@
   timer_of_.erase(found);
 }
 
-bool Loop::spare_descriptor() {
-  return std::any_of(spares_.begin(), spares_.end(), [](Spares* each) { return each->spare_descriptor(); });
+bool Loop::reclaim_descriptor() {
+  return std::any_of(reclaimers_.begin(), reclaimers_.end(),
+                     [](DescriptorReclaimer* each) { return each->reclaim_descriptor(); });
 }
 
-// The clock may be set back; the decisions must not see it.
+// The system clock may be set back; now() must not follow it.
 void Loop::read_clock() { now_ = std::max(now_, clock_()); }
 
 int Loop::wait_ms(Duration longest_wait) const {
-  if (!ending_.empty()) return 0;
+  if (!deferred_.empty()) return 0;
   Duration wait = longest_wait;
   if (!timers_.empty()) wait = std::min(wait, timers_.begin()->first - std::max(now_, clock_()));
   if (wait <= Duration{0}) return 0;
@@ -41,45 +42,45 @@
 
 void Loop::pass(Duration longest_wait) {
   std::vector<pollfd> polled;
-  std::vector<std::pair<Rank, Watched*>> order;
-  for (const auto& [rank, list] : watched_) {
-    for (Watched* const each : list) {
+  std::vector<std::pair<Priority, IoHandler*>> order;
+  for (const auto& [priority, list] : handlers_) {
+    for (IoHandler* const each : list) {
       polled.push_back({each->descriptor(), each->interest(), 0});
-      order.emplace_back(rank, each);
+      order.emplace_back(priority, each);
     }
   }
   const int count = ::poll(polled.data(), polled.size(), wait_ms(longest_wait));
   read_clock();
   for (std::size_t i = 0; i < polled.size() && count > 0; ++i) {
     if (polled[i].revents == 0) continue;
-    const auto& list = watched_[order[i].first];
-    // One that an earlier step of this pass took away is gone.
+    const auto& list = handlers_[order[i].first];
+    // An earlier callback of this pass may have removed the handler.
     if (std::find(list.begin(), list.end(), order[i].second) == list.end()) continue;
-    order[i].second->ready(polled[i].revents);
+    order[i].second->on_ready(polled[i].revents);
   }
-  fire_timers();
-  finish();
+  run_due_timers();
+  run_deferred();
 }
 
-void Loop::fire_timers() {
+void Loop::run_due_timers() {
   while (!timers_.empty() && timers_.begin()->first <= now_) {
-    Step step = std::move(timers_.begin()->second.step);
+    Callback callback = std::move(timers_.begin()->second.callback);
     timer_of_.erase(timers_.begin()->second.id);
     timers_.erase(timers_.begin());
-    step();
+    callback();
   }
 }
 
-void Loop::finish() {
+void Loop::run_deferred() {
   for (bool more = true; more;) {
     more = false;
-    for (const auto& step : each_end_) more |= step();
-    for (const Step& step : std::exchange(ending_, {})) {
-      step();
+    for (const auto& callback : after_each_pass_) more |= callback();
+    for (const Callback& callback : std::exchange(deferred_, {})) {
+      callback();
       more = true;
     }
   }
-  graves_.clear();
+  kept_alive_.clear();
 }
 
 }  // namespace quartzarch
--- a/src/net/signals.hpp
+++ b/src/net/signals.hpp
@@ -1,4 +1,4 @@
-// SIGTERM and SIGINT (stop) and SIGHUP (read the configuration again) as events of a loop.
+// SIGTERM and SIGINT (stop) and SIGHUP (reload the configuration) as events of the loop, by signalfd.
 #pragma once
 
 #include <sys/signalfd.h>
@@ -12,8 +12,8 @@
 
 namespace quartzarch {
 
-// Blocked from its making on: a signal that comes while the process starts must not end it.
-class Signals : public Watched {
+// The constructor blocks the signals: one that arrives while the process starts must not terminate it.
+class Signals : public IoHandler {
  public:
   explicit Signals(Loop& loop) : loop_(loop) {
     sigset_t set;
@@ -21,23 +21,24 @@
     for (const int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&set, signal);
     sigprocmask(SIG_BLOCK, &set, nullptr);
     fd_ = Fd(::signalfd(-1, &set, SFD_CLOEXEC | SFD_NONBLOCK));
-    loop_.watch(*this, Rank::news);
+    loop_.watch(*this, Priority::control);
   }
-  ~Signals() override { loop_.forget(*this); }
+  ~Signals() override { loop_.unwatch(*this); }
 
-  std::optional<Time> stop_came() const { return stop_came_; }
-  // True once for all the SIGHUPs that came since it was asked last.
-  bool take_reload() { return std::exchange(reload_came_, false); }
+  // When the first SIGTERM or SIGINT arrived.
+  std::optional<Time> stop_requested_at() const { return stop_requested_at_; }
+  // True if SIGHUP arrived since the last call; several count as one.
+  bool take_reload_request() { return std::exchange(reload_requested_, false); }
 
   int descriptor() const override { return fd_.get(); }
   short interest() const override { return POLLIN; }
-  void ready(short) override {
+  void on_ready(short) override {
     signalfd_siginfo info;
     while (::read(fd_.get(), &info, sizeof info) == sizeof info) {
       if (info.ssi_signo == SIGHUP) {
-        reload_came_ = true;
-      } else if (!stop_came_) {
-        stop_came_ = loop_.now();
+        reload_requested_ = true;
+      } else if (!stop_requested_at_) {
+        stop_requested_at_ = loop_.now();
       }
     }
   }
@@ -45,8 +46,8 @@
  private:
   Loop& loop_;
   Fd fd_;
-  std::optional<Time> stop_came_{};
-  bool reload_came_ = false;
+  std::optional<Time> stop_requested_at_{};
+  bool reload_requested_ = false;
 };
 
 }  // namespace quartzarch
--- a/src/register/client.cpp
+++ b/src/register/client.cpp
@@ -30,7 +30,7 @@
     if (!stream_) {
       connected_to_ = protocol_.voter();
       stream_ = std::make_shared<Stream>(loop_, voters_.at(connected_to_), kConnectTimeout,
-                                         static_cast<Stream::Owner&>(*this), Rank::servers);
+                                         static_cast<Stream::Owner&>(*this), Priority::servers);
     }
     for (std::string& bytes : frames) stream_->send({std::move(bytes), {}, 0});
   }
@@ -43,10 +43,10 @@
 
 void Client::close_connection() {
   stream_->close();
-  loop_.bury(std::exchange(stream_, nullptr));
+  loop_.keep_until_pass_end(std::exchange(stream_, nullptr));
 }
 
-void Client::arrived(Stream& stream) {
+void Client::on_data(Stream& stream) {
   while (stream.alive() && stream_.get() == &stream) {
     link::LinkMessage message;
     std::size_t length = 0;
@@ -62,9 +62,9 @@
   pump();
 }
 
-void Client::lost(Stream& stream, Lost) {
+void Client::on_disconnected(Stream& stream, DisconnectReason) {
   if (stream_.get() != &stream) return;
-  loop_.bury(std::exchange(stream_, nullptr));
+  loop_.keep_until_pass_end(std::exchange(stream_, nullptr));
   protocol_.disconnected(loop_.now());
   pump();
 }
--- a/src/register/client.hpp
+++ b/src/register/client.hpp
@@ -29,8 +29,8 @@
   const std::string& voter() const { return protocol_.voter(); }
 
  private:
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost how) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
   void close_connection();
 
   Loop& loop_;
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -66,12 +66,12 @@
   node_ = std::make_unique<Node>(node, disk_, static_cast<Transport&>(*this), seed ^ id_, loop_.now());
   service_ = std::make_unique<Service>(
       *node_, [this](std::uint64_t client, std::string frame) { send_to_client(client, std::move(frame)); });
-  loop_.watch(*this, Rank::servers);
+  loop_.watch(*this, Priority::servers);
   tick();
 }
 
 VoterServer::~VoterServer() {
-  loop_.forget(*this);
+  loop_.unwatch(*this);
   loop_.cancel(timer_);
   service_.reset();
   for (auto& [stream, connection] : connections_) connection.stream->close();
@@ -113,7 +113,7 @@
   if (!out.stream) {
     if (loop_.now() < out.retry_at) return;
     out.stream = std::make_shared<Stream>(loop_, address->second, kConnectTimeout,
-                                          static_cast<Stream::Owner&>(*this), Rank::servers);
+                                          static_cast<Stream::Owner&>(*this), Priority::servers);
     out.stream->limit_output(kMaxOutputBytes);
     out.stream->send({frame(FrameType::hello, id_, {settings_.name}), {}, 0});
   }
@@ -123,13 +123,13 @@
 
 // ---- Incoming connections
 
-void VoterServer::ready(short) {
+void VoterServer::on_ready(short) {
   while (true) {
-    Fd fd = acceptor_.next();
+    Fd fd = acceptor_.accept();
     if (!fd) return;
     if (connections_.size() >= kMaxConnections) continue;
     auto stream =
-        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::servers);
+        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::servers);
     Stream& accepted = *stream;
     accepted.limit_output(kMaxOutputBytes);
     Connection& connection = connections_[&accepted];
@@ -139,7 +139,7 @@
   }
 }
 
-void VoterServer::arrived(Stream& stream) {
+void VoterServer::on_data(Stream& stream) {
   while (stream.alive()) {
     const auto found = connections_.find(&stream);
     if (found == connections_.end()) return;  // a connection to another voter: nothing is received on it
@@ -153,7 +153,7 @@
       log_.line("register: malformed message from %s, connection closed",
                 from.name.empty() ? "a client" : from.name.c_str());
       stream.close();
-      return lost(stream, Lost::closed);
+      return on_disconnected(stream, DisconnectReason::closed);
     }
     if (stream.alive()) stream.consume(length);
   }
@@ -263,18 +263,18 @@
   return resigning_;
 }
 
-void VoterServer::lost(Stream& stream, Lost) {
+void VoterServer::on_disconnected(Stream& stream, DisconnectReason) {
   if (const auto found = connections_.find(&stream); found != connections_.end()) {
     const Connection gone = std::move(found->second);
     connections_.erase(found);
     clients_.erase(gone.client);
-    loop_.bury(gone.stream);
+    loop_.keep_until_pass_end(gone.stream);
     service_->client_disconnected(gone.client);
     return;
   }
   for (auto& [name, out] : outgoing_) {
     if (out.stream.get() != &stream) continue;
-    loop_.bury(std::exchange(out.stream, nullptr));
+    loop_.keep_until_pass_end(std::exchange(out.stream, nullptr));
     out.retry_at = loop_.now() + kReconnectDelay;
   }
 }
--- a/standin/setup_server/setup_server.hpp
+++ b/standin/setup_server/setup_server.hpp
@@ -16,7 +16,7 @@
 
 namespace quartzarch::standin {
 
-class SetupServer : private Watched, private Stream::Owner {
+class SetupServer : private IoHandler, private Stream::Owner {
  public:
   struct Options {
     sockaddr_in listen{};  // port 0: any
@@ -48,9 +48,9 @@
 
   int descriptor() const override { return acceptor_.fd().get(); }
   short interest() const override { return POLLIN; }
-  void ready(short) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost) override;
+  void on_ready(short) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason) override;
 
   void take(Stream& stream, std::string_view line);
   void offer(Stream& stream, const std::string& call);
--- a/tests/duty_clocks_test.cpp
+++ b/tests/duty_clocks_test.cpp
@@ -28,7 +28,7 @@
       use_clock(voter(i));
       start_voter(i);
     }
-    until([&] { return !leader().empty(); }, "a leader");
+    wait_until([&] { return !leader().empty(); }, "a leader");
     for (const char* const who : {"h1", "h2"}) {
       use_clock(who);
       start_holder(who);
@@ -56,7 +56,7 @@
   wait_for_holder("h2", token);
   use_clock("h1", -2 * kHour);  // earlier than in its previous run
   start_holder("h1");
-  until(
+  wait_until(
       [&] {
         return run_command({"fleet", "sessions", "--json"}).find("\"controller\":\"h1\"") !=
                std::string::npos;
@@ -86,8 +86,8 @@
   wait_for_effects(50);
   cut_off("h1", true);
   EXPECT_EQ(wait_for_successor("h1"), "h2");
-  until([&] { return !find_interleaving(read_effects()).empty(); },
-        "an effect of the old holder after its successor's");
+  wait_until([&] { return !find_interleaving(read_effects()).empty(); },
+             "an effect of the old holder after its successor's");
 }
 
 }  // namespace
--- a/tests/duty_history_test.cpp
+++ b/tests/duty_history_test.cpp
@@ -39,7 +39,7 @@
   // Runs the clients until that many more operations have begun, whether or not they were answered.
   void record(std::size_t operations) {
     const std::size_t before = history_.operations().size();
-    until(
+    wait_until(
         [&] {
           for (Client& client : clients_) client.recorder->step([] { return steady_time(); });
           loop_.pass(milliseconds(2));
@@ -52,7 +52,7 @@
     Client& client = clients_[0];
     for (unsigned key = 0; key < faults::Recorder::kKeys; ++key) {
       const std::size_t answered = history_.answered();
-      until(
+      wait_until(
           [&] {
             if (!client.recorder->busy()) {
               if (history_.answered() > answered) return true;
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -220,7 +220,7 @@
   signal("h1", SIGSTOP);
   EXPECT_EQ(wait_for_successor("h1"), "h2");
   signal("h1", SIGCONT);
-  until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its own end in the log");
+  wait_until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its own end in the log");
   signal("h2", SIGTERM);
   wait_for_holder("h1", read_effects().back().token);
   EXPECT_EQ(find_interleaving(read_effects()), "");
@@ -231,7 +231,7 @@
   cut_off("h1", true);
   EXPECT_EQ(wait_for_successor("h1"), "h2");
   cut_off("h1", false);  // held-back renewals arrive late, for a session that has ended
-  until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its end");
+  wait_until([&] { return log_of("h1").find("event=end") != std::string::npos; }, "its end");
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
@@ -257,10 +257,10 @@
   start_with_two_holders();
   const std::string first = leader();
   kill(first);
-  until([&] { return leader() != first && !leader().empty(); }, "another leader");
+  wait_until([&] { return leader() != first && !leader().empty(); }, "another leader");
   const auto token = read_effects().back().token;
   const std::size_t before = read_effects().size();
-  until([&] { return read_effects().size() > before + 100; }, "the work going on");
+  wait_until([&] { return read_effects().size() > before + 100; }, "the work going on");
   EXPECT_EQ(read_effects().back().token, token) << "the duty changed hands although its holder lived";
 }
 
@@ -270,21 +270,22 @@
   start_with_two_holders();
   kill(voter(0));
   kill(voter(1));
-  until([&] { return log_of("h1").find("event=ended") != std::string::npos; }, "the holder's end");
+  wait_until([&] { return log_of("h1").find("event=ended") != std::string::npos; }, "the holder's end");
   const auto token = read_effects().back().token;
   wait_until_serving("c");
   Peer server;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "a connection to the setup server");
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); },
+             "a connection to the setup server");
   Peer gateway = Peer::connect(caller_address(2));
-  gateway.say(binary(52, 7, {{208, std::string(1, 0)}}));
-  hears(gateway, binary(53, 7, {{208, "\x01"}}));
+  gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
+  wait_to_receive(gateway, binary(53, 7, {{208, "\x01"}}));
   int code = 0;
   run_command({"duty", "list"}, &code);
   EXPECT_EQ(code, 1);
   EXPECT_EQ(read_effects().back().token, token);
   start_voter(0);
   start_voter(1);
-  until([&] { return read_effects().back().token > token; }, "the duty held again");
+  wait_until([&] { return read_effects().back().token > token; }, "the duty held again");
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
 
@@ -309,7 +310,7 @@
   std::filesystem::remove_all(path);
   std::filesystem::create_directory(path);
   start_voter(2);
-  until(
+  wait_until(
       [&] {
         return run_command({"fleet", "status", "--json"}).find("\"voter\":\"c\",\"state\":\"follower\"") !=
                std::string::npos;
@@ -335,11 +336,11 @@
   run_command({"duty", "move", "work", "h2"});
   wait_for_holder("h2");
   run_command({"duty", "pause", "work"});
-  until([&] { return log_of("h2").find("paused by an operator") != std::string::npos; }, "the pause");
-  until([&] { return run_command({"duty", "list"}).find("paused") != std::string::npos; }, "the list");
+  wait_until([&] { return log_of("h2").find("paused by an operator") != std::string::npos; }, "the pause");
+  wait_until([&] { return run_command({"duty", "list"}).find("paused") != std::string::npos; }, "the list");
   const auto token = read_effects().back().token;
   run_command({"duty", "resume", "work"});
-  until([&] { return read_effects().back().token > token; }, "the duty held again");
+  wait_until([&] { return read_effects().back().token > token; }, "the duty held again");
   EXPECT_EQ(find_interleaving(read_effects()), "");
   int code = 0;
   EXPECT_NE(run_command({"duty", "move", "other", "h2"}, &code).find("no duty of that name"),
--- a/tests/fleet_process.hpp
+++ b/tests/fleet_process.hpp
@@ -92,7 +92,7 @@
   // Further options of a serving process.
   virtual std::vector<std::string> extra_options(const std::string&) { return {}; }
   void wait_until_serving(const std::string& name) {
-    until([&] { return log_of(name).find("serving at") != std::string::npos; }, "the start");
+    wait_until([&] { return log_of(name).find("serving at") != std::string::npos; }, "the start");
   }
   sockaddr_in caller_address(int number) {
     if (callers_.count(number) == 0) callers_[number] = free_address();
@@ -101,7 +101,7 @@
   void start_fleet() {
     for (int i = 0; i < kVoters; ++i) init(i);
     for (int i = 0; i < kVoters; ++i) start_voter(i);
-    until([&] { return !leader().empty(); }, "a leader");
+    wait_until([&] { return !leader().empty(); }, "a leader");
   }
   // Starts a process that holds the duty "work" and repeatedly writes its token into a file shared by all.
   void start_holder(const std::string& name) {
@@ -137,8 +137,8 @@
                .find("\"voter\":\"" + name + "\",\"state\":\"" + state) != std::string::npos;
   }
   void wait_for_vote(const std::string& name) {
-    until([&] { return has_state(name, "follower") || has_state(name, "leader"); },
-          ("the vote of " + name).c_str());
+    wait_until([&] { return has_state(name, "follower") || has_state(name, "leader"); },
+               ("the vote of " + name).c_str());
   }
   std::string log_of(const std::string& name) const { return read_file(directory + "/" + name + ".log"); }
 
@@ -165,7 +165,7 @@
     return {};
   }
   void wait_for_holder(const std::string& who, unsigned long long token_over = 0) {
-    until(
+    wait_until(
         [&] {
           const auto all = read_effects();
           return !all.empty() && all.back().who == who && all.back().token > token_over;
@@ -177,13 +177,13 @@
   }
   void wait_for_effects(std::size_t effects) {
     const std::size_t before = read_effects().size();
-    until([&] { return read_effects().size() > before + effects; }, "the work going on");
+    wait_until([&] { return read_effects().size() > before + effects; }, "the work going on");
   }
   // Waits until another controller than `who` holds the duty, under a newer token, and returns it.
   std::string wait_for_successor(const std::string& who) {
     std::string now;
     const auto before = read_effects().back().token;
-    until(
+    wait_until(
         [&] {
           const auto all = read_effects();
           if (all.back().who == who || all.back().token <= before) return false;
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -11,14 +11,14 @@
 class Operations : public Program {
  protected:
   Operations() : managed(loop, *planner, drain), management(loop, log, managed, any_port()) {
-    front->drain_by(drain);
+    front->follow_drain(drain);
   }
   // One call of HTTP/1.1: what came back until the program closed the connection.
   std::string call(const std::string& request) {
     Peer peer = Peer::connect(management.address());
-    peer.say(request);
-    until([&] { return peer.ended(); }, "the end of the answer");
-    return peer.heard();
+    peer.send(request);
+    wait_until([&] { return peer.ended(); }, "the end of the answer");
+    return peer.received();
   }
   std::string get(const std::string& path) { return call("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"); }
   std::string post(const std::string& path) {
@@ -27,14 +27,14 @@
   static std::string status(const std::string& answer) { return answer.substr(9, 3); }
 
   Drain drain;
-  Managed managed;
+  ManagedController managed;
   ManagementFront management;
 };
 
 TEST_F(Operations, TheFiguresCountWhatWasServedAndSent) {
   open_server();
-  Peer gateway = caller();
-  stand(gateway);
+  Peer gateway = connect_caller();
+  establish_call(gateway);
   const std::string figures = get("/v1/metrics");
   EXPECT_EQ(status(figures), "200");
   const std::string body = figures.substr(figures.find("\r\n\r\n") + 4);
@@ -51,21 +51,21 @@
   EXPECT_EQ(status(get("/v1/readyz")), "503");  // no list of servers yet
   open_server();
   EXPECT_EQ(status(get("/v1/readyz")), "200");
-  Peer idle = caller();
-  Peer busy = caller();
-  busy.say(setup(0xaa, "d"));
-  hears(server, "offer");
+  Peer idle = connect_caller();
+  Peer busy = connect_caller();
+  busy.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
   EXPECT_EQ(status(post("/v1/call-controller/drain")), "200");
   EXPECT_EQ(status(get("/v1/readyz")), "503");
-  until([&] { return idle.ended(); }, "the idle connection closed");
+  wait_until([&] { return idle.ended(); }, "the idle connection closed");
   EXPECT_FALSE(busy.ended());  // its request is answered first
-  server.say(line("accept", "00000000000000aa", "\"desc\":\"s\""));
-  hears(busy, binary(9, 0xaa, {{210, "s"}}));
-  settle(30);
+  server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
+  wait_to_receive(busy, binary(9, 0xaa, {{210, "s"}}));
+  run_passes(30);
   EXPECT_FALSE(busy.ended());  // its call stands, and its end is to be told on it
-  server.say(line("end", "00000000000000aa", "\"why\":16"));
-  hears(busy, binary(12, 0xaa, {{208, "\x10"}}));
-  until([&] { return busy.ended(); }, "the emptied connection closed");
+  server.send(line("end", "00000000000000aa", "\"why\":16"));
+  wait_to_receive(busy, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_until([&] { return busy.ended(); }, "the emptied connection closed");
   EXPECT_EQ(status(post("/v1/call-controller/activate")), "200");
   EXPECT_EQ(status(get("/v1/readyz")), "200");
 }
@@ -75,10 +75,10 @@
 TEST_F(Operations, ADrainedProcessFailsTheFrontsTestOnTheCallersPortUntilActivate) {
   open_server();
   const auto test = [&] {
-    Peer front_end = caller();
-    front_end.say(binary(52, 7, {{208, std::string(1, 0)}}));
-    until([&] { return !front_end.heard().empty(); }, "the test's answer");
-    return front_end.take();
+    Peer front_end = connect_caller();
+    front_end.send(binary(52, 7, {{208, std::string(1, 0)}}));
+    wait_until([&] { return !front_end.received().empty(); }, "the test's answer");
+    return front_end.take_received();
   };
   const std::string passed = binary(53, 7, {{208, "\x01"}}), failed = binary(53, 7, {{208, {"\0", 1}}});
   EXPECT_EQ(test(), passed);
@@ -95,42 +95,43 @@
 // What is on each connection when the drain is looked at from outside is told, once.
 TEST_F(Operations, WhatADrainStillHoldsAfterFourSecondsIsLogged) {
   open_server();
-  Peer gateway = caller();
-  stand(gateway);
+  Peer gateway = connect_caller();
+  establish_call(gateway);
   std::FILE* const lines = std::tmpfile();
   Logger told(lines);
   BinaryFront drained(loop, told, *planner, any_port(), 8, 1 << 20);
-  drained.drain_by(drain);
+  drained.follow_drain(drain);
   Peer asking = Peer::connect(drained.address());
-  asking.say(setup(0xbb, "d"));
-  hears(server, "offer");
-  drain.drain(loop.now() - Drain::kLookedAt);
+  asking.send(setup(0xbb, "d"));
+  wait_to_receive(server, "offer");
+  drain.drain(loop.now() - Drain::kInspectableAfter);
   const auto text = [&] {
     std::rewind(lines);
     std::string all(1000, '\0');
     all.resize(std::fread(all.data(), 1, all.size(), lines));
     return all;
   };
-  until(
+  wait_until(
       [&] {
-        return text().find("a connection is held: 1 set-ups open, 0 calls standing") != std::string::npos;
+        return text().find("connection still open: 1 set-ups pending, 0 calls established") !=
+               std::string::npos;
       },
       "the line");
-  settle(100);
-  EXPECT_EQ(count(text(), "is held"), 1u);
+  run_passes(100);
+  EXPECT_EQ(count(text(), "still open"), 1u);
   asking.close();
-  settle(5);
+  run_passes(5);
 }
 
 TEST_F(Operations, CallersThatSayNothingNeitherBlockNorHoldIt) {
   open_server();
   std::vector<Peer> silent;
-  for (std::size_t i = 0; i < ManagementFront::kMostConnections + 8; ++i) {
+  for (std::size_t i = 0; i < ManagementFront::kMaxConnections + 8; ++i) {
     silent.push_back(Peer::connect(management.address()));
   }
   EXPECT_EQ(status(get("/v1/readyz")), "200");
-  until([&] { return std::all_of(silent.begin(), silent.end(), [](Peer& p) { return p.ended(); }); },
-        "the silent ones closed");
+  wait_until([&] { return std::all_of(silent.begin(), silent.end(), [](Peer& p) { return p.ended(); }); },
+             "the silent ones closed");
 }
 
 TEST_F(Operations, WrongCallsAreToldSoAndMalformedOnesClosed) {
@@ -148,11 +149,11 @@
   const std::string good = "GET /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n";
   for (std::size_t cut = 1; cut < good.size(); cut += 3) {
     Peer peer = Peer::connect(management.address());
-    peer.say(good.substr(0, cut));
-    settle(2);
-    peer.say(good.substr(cut));
-    until([&] { return peer.ended(); }, "the answer");
-    EXPECT_EQ(status(peer.heard()), "200");
+    peer.send(good.substr(0, cut));
+    run_passes(2);
+    peer.send(good.substr(cut));
+    wait_until([&] { return peer.ended(); }, "the answer");
+    EXPECT_EQ(status(peer.received()), "200");
   }
   for (const char* bad : {"\r\n\r\n", "GET  HTTP/1.1\r\n\r\n", "GET / HTTP/9\r\n\r\n", "\x01\x02\x03\r\n\r\n",
                           "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"}) {
@@ -165,15 +166,15 @@
   const Time at{std::chrono::seconds(10)};
   EXPECT_TRUE(drain.ready(true));
   EXPECT_FALSE(drain.ready(false));
-  EXPECT_FALSE(drain.quiet_allowed(at));
+  EXPECT_FALSE(drain.idle_timeout(at));
   drain.drain(at);
   drain.drain(at + std::chrono::seconds(1));  // the first one counts
   EXPECT_FALSE(drain.ready(true));
-  EXPECT_EQ(drain.quiet_allowed(at), Drain::kQuiet);
-  EXPECT_EQ(drain.quiet_allowed(at + Drain::kEmptyBy), Duration{0});
+  EXPECT_EQ(drain.idle_timeout(at), Drain::kIdleTimeout);
+  EXPECT_EQ(drain.idle_timeout(at + Drain::kCloseAllIdleAfter), Duration{0});
   drain.activate();
   EXPECT_TRUE(drain.ready(true));
-  EXPECT_FALSE(drain.quiet_allowed(at));
+  EXPECT_FALSE(drain.idle_timeout(at));
   drain.stop(at, StopSchedule(std::chrono::seconds(9), milliseconds(1500)));
   drain.activate();
   EXPECT_FALSE(drain.ready(true));
@@ -185,25 +186,30 @@
   const sockaddr_in old_management = free_address(), new_management = free_address();
   ::setenv("NODE_MANAGEMENT", address_text(old_management).c_str(), 1);
   start(config());
-  serves();
+  wait_until_serving();
   ::setenv("NODE_MANAGEMENT", address_text(new_management).c_str(), 1);
   const pid_t next = spawn({}, "next");
   ::unsetenv("NODE_MANAGEMENT");
   const auto ready = [&](const sockaddr_in& at) {
     Peer peer = Peer::connect(at);
-    peer.say("GET /v1/readyz HTTP/1.1\r\n\r\n");
-    until([&] { return peer.ended(); }, "an answer of readyz");
-    return peer.heard().rfind("HTTP/1.1 200", 0) == 0;
+    peer.send("GET /v1/readyz HTTP/1.1\r\n\r\n");
+    wait_until([&] { return peer.ended(); }, "an answer of readyz");
+    return peer.received().rfind("HTTP/1.1 200", 0) == 0;
   };
-  until([&] { return read_file(directory + "/next").find("serving at") != std::string::npos; }, "the second");
+  wait_until([&] { return read_file(directory + "/next").find("serving at") != std::string::npos; },
+             "the second");
   EXPECT_TRUE(ready(new_management));
   EXPECT_TRUE(ready(old_management));
   ::kill(pid, SIGTERM);
   EXPECT_EQ(exit_code(), 0);
   for (int i = 0; i < 8; ++i) {
     Peer gateway = Peer::connect(address);
-    gateway.say(binary(52, 7, {{208, std::string(1, 0)}}));
-    until([&] { return gateway.heard() == binary(53, 7, {{208, "\x01"}}); }, "a test passed by the new one");
+    gateway.send(binary(52, 7, {{208, std::string(1, 0)}}));
+    wait_until(
+        [&] {
+          return gateway.received() == binary(53, 7, {{208, "\x01"}});
+        },
+        "a test passed by the new one");
   }
   ::kill(next, SIGTERM);
   EXPECT_EQ(exit_code_of(next), 0);
@@ -217,13 +223,13 @@
   start(config());
   ::unsetenv("NODE_MANAGEMENT");
   Peer server;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-  serves();
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+  wait_until_serving();
   const auto figures = [&] {
     Peer peer = Peer::connect(management);
-    peer.say("GET /v1/metrics HTTP/1.1\r\n\r\n");
-    until([&] { return peer.ended(); }, "the figures");
-    return peer.heard();
+    peer.send("GET /v1/metrics HTTP/1.1\r\n\r\n");
+    wait_until([&] { return peer.ended(); }, "the figures");
+    return peer.received();
   };
   const std::string good = config(), file = directory + "/config.json";
   const auto with = [&](const std::string& from, const std::string& to) {
@@ -241,19 +247,19 @@
     acme::replace_file(file, broken[i]);
     ::kill(pid, SIGHUP);
     const std::string counted = "\"reload_failure\":" + std::to_string(i + 1) + "}";
-    until([&] { return figures().find(counted) != std::string::npos; }, "a broken file counted");
+    wait_until([&] { return figures().find(counted) != std::string::npos; }, "a broken file counted");
   }
   EXPECT_NE(figures().find("\"reload_success\":0"), std::string::npos);
   acme::replace_file(file, with(R"({"name":"voice","aim":1500,"deadline":9000})",
                                 R"({"name":"voice","aim":1500,"deadline":9000},)"
                                 R"({"name":"exam","aim":800,"deadline":6000})"));
   ::kill(pid, SIGHUP);
-  until([&] { return figures().find("\"reload_success\":1") != std::string::npos; }, "the good file");
+  wait_until([&] { return figures().find("\"reload_success\":1") != std::string::npos; }, "the good file");
   Peer gateway = Peer::connect(address);
-  gateway.say(binary(1, 0xaa, {{180, "exam"}, {182, "5000"}, {188, "7f3a"}, {210, "d"}}));
-  hears(server, "\"class\":\"exam\"");
-  server.say("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
-  hears(gateway, binary(9, 0xaa, {{210, "s"}}));
+  gateway.send(binary(1, 0xaa, {{180, "exam"}, {182, "5000"}, {188, "7f3a"}, {210, "d"}}));
+  wait_to_receive(server, "\"class\":\"exam\"");
+  server.send("{\"op\":\"accept\",\"call\":\"00000000000000aa\",\"with\":{},\"desc\":\"s\"}\n");
+  wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
   EXPECT_NE(figures().find("\"success\":{\"exam\":1,\"voice\":0}"), std::string::npos);
 }
 
--- a/tests/shared_certificates_test.cpp
+++ b/tests/shared_certificates_test.cpp
@@ -69,7 +69,7 @@
   }
   // Waits until all three have the same certificate, other than `before`.
   void wait_for_same_certificate(const std::string& before = "") {
-    until(
+    wait_until(
         [&] {
           const std::string a = certificate("a");
           return !a.empty() && a != before && a == certificate("b") && a == certificate("c");
@@ -85,7 +85,7 @@
   // is over by then, so that stopping the process does not block the port on which challenges are answered.
   std::string wait_for_stuck_order() {
     std::string who;
-    until(
+    wait_until(
         [&] {
           for (const char* const each : {"a", "b", "c"}) {
             std::ifstream file(directory + "/" + each + ".certs/sip.order.json");
@@ -133,7 +133,7 @@
   const std::string first = wait_for_stuck_order();
   kill(first);
   authority->clear();
-  until([&] { return !certificate(first == "a" ? "b" : "a").empty(); }, "a certificate");
+  wait_until([&] { return !certificate(first == "a" ? "b" : "a").empty(); }, "a certificate");
   EXPECT_EQ(authority->counts().orders, 1) << "a second order was made";
   start_voter(first[0] - 'a');
   wait_for_same_certificate();
@@ -145,12 +145,12 @@
   const std::string first = wait_for_stuck_order();
   signal(first, SIGSTOP);
   const std::string other = first == "a" ? "b" : "a";
-  until([&] { return !holder().empty() && holder() != first; }, "another holder");
+  wait_until([&] { return !holder().empty() && holder() != first; }, "another holder");
   authority->clear();
-  until([&] { return !certificate(other).empty(); }, "a certificate");
+  wait_until([&] { return !certificate(other).empty(); }, "a certificate");
   const std::string taken = certificate(other);
   signal(first, SIGCONT);
-  until([&] { return certificate(first) == taken; }, "the certificate that its successor obtained");
+  wait_until([&] { return certificate(first) == taken; }, "the certificate that its successor obtained");
   wait_for_same_certificate();
   EXPECT_EQ(certificate("c"), taken);
   EXPECT_EQ(authority->counts().certificates, 1);
@@ -176,7 +176,7 @@
   // A single process with its own directory, before there is a fleet.
   acme::replace_file(directory + "/config.json", config());
   const pid_t alone = spawn({"--certs", certs_file("a")}, "alone");
-  until([&] { return !certificate("a").empty(); }, "a certificate before the fleet");
+  wait_until([&] { return !certificate("a").empty(); }, "a certificate before the fleet");
   ::kill(alone, SIGKILL);
   exit_code_of(alone);
   const std::string first = certificate("a");
@@ -184,18 +184,20 @@
   start_voter(0);
   without_certificates = {"b"};
   start_voter(1);
-  until([&] { return certificate("a") == first && log_of("a").find("begins with") != std::string::npos; },
-        "the import into the register");
+  wait_until(
+      [&] { return certificate("a") == first && log_of("a").find("begins with") != std::string::npos; },
+      "the import into the register");
   write_secret("other.key", 'b');
   extra_fleet_settings = "secret_file = \"" + directory + "/other.key\"\nstart_wait_ms = 300\n";
   start_voter(2);
-  until([&] { return log_of("c").find("not sealed with this controller's secret") != std::string::npos; },
-        "the report of the wrong secret");
+  wait_until(
+      [&] { return log_of("c").find("not sealed with this controller's secret") != std::string::npos; },
+      "the report of the wrong secret");
   EXPECT_EQ(certificate("c"), "");
   kill("c");
   extra_fleet_settings = "secret_file = \"" + directory + "/fleet.key\"\nstart_wait_ms = 300\n";
   start_voter(2);
-  until([&] { return certificate("c") == first; }, "the existing certificate");
+  wait_until([&] { return certificate("c") == first; }, "the existing certificate");
   EXPECT_EQ(authority->counts().orders, 1);
 }
 
