--- a/src/fleet/gap_list.cpp
+++ b/src/fleet/gap_list.cpp
@@ -34,11 +34,11 @@
   mailbox_->close();
 }
 
-bool GapList::begin(Loop& loop, std::vector<LocalEntry> known, UpdateHandler take) {
+bool GapList::begin(Loop& loop, std::vector<LocalEntry> known, UpdateHandler on_update) {
   loop_ = &loop;
-  take_ = std::move(take);
+  on_update_ = std::move(on_update);
   mailbox_ = std::make_shared<Mailbox>(loop);
-  for (LocalEntry& each : known) ledger_.restore(each.id, std::move(each.entry), each.agreed);
+  for (LocalEntry& each : known) replica_.restore(each.id, std::move(each.entry), each.agreed);
   fleet_.watch(
       std::string(kPrefix),
       [this, mailbox = mailbox_](reg::Revision, const std::vector<reg::Change>& changes, bool complete) {
@@ -53,11 +53,11 @@
 std::optional<gap::ListReplica::ListedEntry> GapList::parse_change(const std::string& key,
                                                                    const std::optional<std::string>& value,
                                                                    reg::Revision revision) {
-  gap::ListReplica::ListedEntry shown{key.substr(kPrefix.size()), std::nullopt, revision};
-  if (!value) return shown;
-  shown.entry = gap::parse_entry(*value);
-  if (shown.entry) return shown;
-  log_.line("gap=%s event=unreadable place=%llu", shown.id.c_str(),
+  gap::ListReplica::ListedEntry listed{key.substr(kPrefix.size()), std::nullopt, revision};
+  if (!value) return listed;
+  listed.entry = gap::parse_entry(*value);
+  if (listed.entry) return listed;
+  log_.line("gap=%s event=unreadable place=%llu", listed.id.c_str(),
             static_cast<unsigned long long>(revision));
   return std::nullopt;
 }
@@ -69,20 +69,20 @@
       entries.push_back(std::move(*entry));
   }
   list_received_ = list_received_ || complete;
-  const auto updates = ledger_.apply(entries, complete);
-  if (!updates.empty()) take_(updates);
+  const auto updates = replica_.apply(entries, complete);
+  if (!updates.empty()) on_update_(updates);
   pump();
 }
 
 void GapList::change(const std::string& id, gap::Entry entry) {
-  ledger_.change(id, std::move(entry));
+  replica_.change(id, std::move(entry));
   pump();
 }
 
 void GapList::pump() {
-  for (const auto& each : ledger_.next_writes(loop_->now())) write(each, std::nullopt);
+  for (const auto& each : replica_.next_writes(loop_->now())) write(each, std::nullopt);
   if (retry_timer_) loop_->cancel(*std::exchange(retry_timer_, std::nullopt));
-  if (ledger_.pending_count() == 0) return;
+  if (replica_.pending_count() == 0) return;
   retry_timer_ = loop_->at(loop_->now() + kRetryInterval, [this] {
     retry_timer_.reset();
     pump();
@@ -106,16 +106,16 @@
   if (reply && reply->code == reg::Code::changed && !reply->items.empty()) {
     const reg::Item& item = reply->items.front();
     if (auto entry = parse_change(item.key, item.value, item.revision)) {
-      const auto updates = ledger_.apply({std::move(*entry)}, false);
-      if (!updates.empty()) take_(updates);
+      const auto updates = replica_.apply({std::move(*entry)}, false);
+      if (!updates.empty()) on_update_(updates);
     }
   }
   const auto outcome = outcome_of(reply);
   if (outcome == gap::ListReplica::Outcome::refused && !std::exchange(logged_refusal_, true)) {
     log_.line("gap=%s event=not_spread why=\"%s\"", id.c_str(), reg::code_text(reply->code));
   }
-  ledger_.complete_write(loop_->now(), id, outcome, reply ? reply->revision : 0);
-  if (outcome == gap::ListReplica::Outcome::done) take_({});
+  replica_.complete_write(loop_->now(), id, outcome, reply ? reply->revision : 0);
+  if (outcome == gap::ListReplica::Outcome::done) on_update_({});
   pump();
 }
 
@@ -124,7 +124,7 @@
   DutyHandle& duty = fleet_.duty_handle(kGapsDuty);
   duty.report_progress();
   if (const auto token = duty.holds()) {
-    for (const auto& each : ledger_.sweep(loop_->now())) {
+    for (const auto& each : replica_.sweep(loop_->now())) {
       log_.line("gap=%s event=taken_out token=%llu", each.id.c_str(),
                 static_cast<unsigned long long>(*token));
       write(each, reg::Fence{kGapsDuty, *token});
--- a/src/fleet/gap_list.hpp
+++ b/src/fleet/gap_list.hpp
@@ -19,9 +19,9 @@
   GapList(Logger& log, Membership& fleet, Duration start_timeout);
   ~GapList() override;
 
-  bool begin(Loop& loop, std::vector<LocalEntry> known, UpdateHandler take) override;
+  bool begin(Loop& loop, std::vector<LocalEntry> known, UpdateHandler on_update) override;
   void change(const std::string& id, gap::Entry entry) override;
-  bool agreed(const std::string& id) const override { return ledger_.agreed(id); }
+  bool agreed(const std::string& id) const override { return replica_.agreed(id); }
 
  private:
   void on_changes(const std::vector<reg::Change>& changes, bool complete);
@@ -36,9 +36,9 @@
   Logger& log_;
   Membership& fleet_;
   const Duration start_timeout_;
-  gap::ListReplica ledger_{{}};
+  gap::ListReplica replica_{{}};
   Loop* loop_ = nullptr;
-  UpdateHandler take_;
+  UpdateHandler on_update_;
   // Shared with callbacks that run on the fleet's thread.
   std::shared_ptr<Mailbox> mailbox_;
   std::optional<Loop::TimerId> retry_timer_, sweep_timer_;
--- a/tests/shared_gaps_test.cpp
+++ b/tests/shared_gaps_test.cpp
@@ -1,5 +1,5 @@
-// Gaps shared by a fleet: the ledger in virtual time, and three serving processes with links cut between
-// them.
+// Gaps shared by a fleet: replicas of the list in virtual time, and three serving processes with links cut
+// between them.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -17,7 +17,7 @@
 using gap::ListReplica;
 using std::chrono::milliseconds;
 
-// ---- The ledger alone
+// ---- Replicas of the list alone
 
 // Controllers around a list that accepts writes as the register does: only with the expected place. Replies
 // and updates are delayed, lost or repeated; controllers are cut off and restart from what they stored.
@@ -42,7 +42,7 @@
       deliver(true);
     }
     for (const auto& node : nodes_) {
-      if (node->ledger.pending_count() > 0) return "a change never reached the list";
+      if (node->replica.pending_count() > 0) return "a change never reached the list";
       if (node->table != active_entries()) return "a controller ended with a different list";
     }
     for (const auto& [id, item] : list_) {
@@ -53,7 +53,7 @@
 
  private:
   struct Node {
-    ListReplica ledger{ListReplica::Bounds{}};
+    ListReplica replica{ListReplica::Bounds{}};
     std::map<std::string, Entry> table{};  // in force
     bool cut = false;
     bool synced = false;  // has received the complete list since its start
@@ -73,8 +73,8 @@
     }
     return all;
   }
-  static void apply_news(Node& node, const std::vector<ListReplica::Update>& news) {
-    for (const auto& each : news) {
+  static void apply_updates(Node& node, const std::vector<ListReplica::Update>& updates) {
+    for (const auto& each : updates) {
       node.table.erase(each.id);
       if (each.entry && !each.entry->lifted()) node.table[each.id] = *each.entry;
     }
@@ -89,7 +89,7 @@
             rule(id, known == node.table.end() ? highest_[id] + 1 : known->second.revision + 1, ++rate_);
         highest_[id] = std::max(highest_[id], entry.revision);
         node.table[id] = entry;
-        node.ledger.change(id, entry);
+        node.replica.change(id, entry);
         break;
       }
       case 2: {
@@ -98,7 +98,7 @@
         const std::uint64_t revision = known->second.revision + 1;
         highest_[id] = std::max(highest_[id], revision);
         node.table.erase(known);
-        node.ledger.change(id, {revision, {}});
+        node.replica.change(id, {revision, {}});
         break;
       }
       case 3:
@@ -108,16 +108,16 @@
       case 4: {  // restarts from what it stored
         ListReplica fresh{ListReplica::Bounds{}};
         for (const auto& [each, entry] : node.table)
-          fresh.restore(each, entry, node.ledger.agreed(each) && !restores_as_unagreed_);
-        node.ledger = std::move(fresh);
+          fresh.restore(each, entry, node.replica.agreed(each) && !restores_as_unagreed_);
+        node.replica = std::move(fresh);
         node.updates.clear();
         node.synced = false;
         break;
       }
       case 5: {  // the holder of the duty removes entries lifted long ago
         if (node.cut || !node.synced) break;
-        for (const auto& each : node.ledger.sweep(now_)) write(each);
-        for (const auto& each : node.ledger.sweep(now_ + std::chrono::hours(25))) write(each);
+        for (const auto& each : node.replica.sweep(now_)) write(each);
+        for (const auto& each : node.replica.sweep(now_ + std::chrono::hours(25))) write(each);
         break;
       }
       default:
@@ -127,11 +127,11 @@
   // Returns the entry's new place, or 0 if the write was refused.
   ListReplica::Version write(const ListReplica::Write& write) {
     const auto found = list_.find(write.id);
-    const ListReplica::Version present = found == list_.end() ? 0 : found->second.second;
-    if (present != write.expected) return 0;
+    const ListReplica::Version current = found == list_.end() ? 0 : found->second.second;
+    if (current != write.expected) return 0;
     ++place_;
     if (write.entry) {
-      if (write.entry->lifted() && present != 0 && !found->second.first.lifted()) {
+      if (write.entry->lifted() && current != 0 && !found->second.first.lifted()) {
         lifted_.insert(found->second.first.rule);
       }
       list_[write.id] = {*write.entry, place_};
@@ -144,15 +144,15 @@
     return place_;
   }
   void send_due(Node& node) {
-    for (const auto& each : node.ledger.next_writes(now_)) {
+    for (const auto& each : node.replica.next_writes(now_)) {
       if (node.cut || random_below(6) == 0) {
         if (!node.cut && random_below(2) == 0) write(each);  // the reply is lost
-        node.ledger.complete_write(now_, each.id, ListReplica::Outcome::lost);
+        node.replica.complete_write(now_, each.id, ListReplica::Outcome::lost);
         continue;
       }
       const ListReplica::Version place = write(each);
-      node.ledger.complete_write(now_, each.id,
-                                 place ? ListReplica::Outcome::done : ListReplica::Outcome::conflict, place);
+      node.replica.complete_write(now_, each.id,
+                                  place ? ListReplica::Outcome::done : ListReplica::Outcome::conflict, place);
     }
   }
   void deliver(bool all) {
@@ -160,13 +160,13 @@
       if (node->cut) continue;
       if (!node->synced) {
         node->updates.clear();
-        std::vector<ListReplica::ListedEntry> whole;
-        for (const auto& [id, item] : list_) whole.push_back({id, item.first, item.second});
-        apply_news(*node, node->ledger.apply(whole, true));
+        std::vector<ListReplica::ListedEntry> complete;
+        for (const auto& [id, item] : list_) complete.push_back({id, item.first, item.second});
+        apply_updates(*node, node->replica.apply(complete, true));
         node->synced = true;
       }
       while (!node->updates.empty() && (all || random_below(3) == 0)) {
-        apply_news(*node, node->ledger.apply(node->updates.front(), false));
+        apply_updates(*node, node->replica.apply(node->updates.front(), false));
         node->updates.pop_front();
       }
     }
