--- a/src/health/evidence.cpp
+++ b/src/health/evidence.cpp
@@ -8,36 +8,39 @@
 namespace {
 
 // Neither end of the distribution may be empty.
-constexpr double kLeast = 0.01;
+constexpr double kMinShape = 0.01;
 
-boost::math::beta_distribution<> distribution(double stood, double failed, double prior, double prior_share) {
-  return {std::max(failed + prior * prior_share, kLeast),
-          std::max(stood + prior * (1 - prior_share), kLeast)};
+boost::math::beta_distribution<> distribution(double succeeded, double failed, double prior,
+                                              double prior_share) {
+  return {std::max(failed + prior * prior_share, kMinShape),
+          std::max(succeeded + prior * (1 - prior_share), kMinShape)};
 }
 
 }  // namespace
 
-void Fading::add(Time now, Duration half_life, double what) {
-  count_ = at(now, half_life) + what;
-  at_ = now;
+void DecayingCount::add(Time now, Duration half_life, double amount) {
+  count_ = value(now, half_life) + amount;
+  updated_at_ = now;
 }
 
-double Fading::at(Time now, Duration half_life) const {
-  if (count_ == 0 || now <= at_) return count_;
-  return count_ *
-         std::exp2(-static_cast<double>((now - at_).count()) / static_cast<double>(half_life.count()));
+double DecayingCount::value(Time now, Duration half_life) const {
+  if (count_ == 0 || now <= updated_at_) return count_;
+  return count_ * std::exp2(-static_cast<double>((now - updated_at_).count()) /
+                            static_cast<double>(half_life.count()));
 }
 
-double share(double stood, double failed, double prior, double prior_share) {
-  return (failed + prior * prior_share) / std::max(stood + failed + prior, kLeast);
+double failure_share(double succeeded, double failed, double prior, double prior_share) {
+  return (failed + prior * prior_share) / std::max(succeeded + failed + prior, kMinShape);
 }
 
-double surely_over(double stood, double failed, double prior, double prior_share, double certainty) {
-  return boost::math::quantile(distribution(stood, failed, prior, prior_share), 1 - certainty);
+double failure_share_lower_bound(double succeeded, double failed, double prior, double prior_share,
+                                 double confidence) {
+  return boost::math::quantile(distribution(succeeded, failed, prior, prior_share), 1 - confidence);
 }
 
-double surely_under(double stood, double failed, double prior, double prior_share, double certainty) {
-  return boost::math::quantile(distribution(stood, failed, prior, prior_share), certainty);
+double failure_share_upper_bound(double succeeded, double failed, double prior, double prior_share,
+                                 double confidence) {
+  return boost::math::quantile(distribution(succeeded, failed, prior, prior_share), confidence);
 }
 
 }  // namespace quartzarch::health
--- a/src/health/evidence.hpp
+++ b/src/health/evidence.hpp
@@ -6,27 +6,29 @@
 namespace quartzarch::health {
 
 // A count that loses half of itself in each half-life.
-class Fading {
+class DecayingCount {
  public:
-  void add(Time now, Duration half_life, double what);
-  double at(Time now, Duration half_life) const;
+  void add(Time now, Duration half_life, double amount);
+  double value(Time now, Duration half_life) const;
 
  private:
   double count_ = 0;
-  Time at_{};
+  Time updated_at_{};
 };
 
 // How many set-ups stood and how many failed by the server's own fault: as they fade slowly, for servers that
 // are seen seldom, and fast, for one that was well until now.
 struct Record {
-  Fading stood{}, failed{};
-  Fading stood_lately{}, failed_lately{};
+  DecayingCount succeeded{}, failed{};
+  DecayingCount recent_succeeded{}, recent_failed{};
 };
 
 // The share of failures among so many, upon a start of `prior` calls of which `prior_share` failed.
-double share(double stood, double failed, double prior, double prior_share);
+double failure_share(double succeeded, double failed, double prior, double prior_share);
 // So that the true share is over it (under it) with that certainty, by the beta distribution.
-double surely_over(double stood, double failed, double prior, double prior_share, double certainty);
-double surely_under(double stood, double failed, double prior, double prior_share, double certainty);
+double failure_share_lower_bound(double succeeded, double failed, double prior, double prior_share,
+                                 double confidence);
+double failure_share_upper_bound(double succeeded, double failed, double prior, double prior_share,
+                                 double confidence);
 
 }  // namespace quartzarch::health
--- a/src/health/health.cpp
+++ b/src/health/health.cpp
@@ -81,8 +81,8 @@
   calls_.erase(found);
   if (const auto server = servers_.find(call.at); server != servers_.end()) {
     Record& record = server->second.by_class[call.call_class];
-    record.stood.add(now, settings_.half_life, 1);
-    record.stood_lately.add(now, settings_.lately, 1);
+    record.succeeded.add(now, settings_.half_life, 1);
+    record.recent_succeeded.add(now, settings_.lately, 1);
   }
   end_trial(now, id, call.at, true);
   for (const ServerId& each : call.turned_away) {
@@ -120,14 +120,15 @@
   if (found == servers_.end()) return;
   Server& server = found->second;
   const Sum all = sum(now, server, std::nullopt, std::nullopt);
-  const double servers = share(all.stood, all.failed, settings_.prior, kUsualFault);
+  const double servers = failure_share(all.stood, all.failed, settings_.prior, kUsualFault);
   Caller caller;
   if (const auto known = callers_.find(call.caller); known != callers_.end()) caller = known->second;
-  const double callers = share(caller.good.at(now, settings_.half_life),
-                               caller.bad.at(now, settings_.half_life), settings_.prior, kUsualFault);
+  const double callers =
+      failure_share(caller.good.value(now, settings_.half_life), caller.bad.value(now, settings_.half_life),
+                    settings_.prior, kUsualFault);
   if (server.unsettled.count(call.caller) == 0 && server.unsettled.size() >= settings_.most_callers) return;
-  Fading& given = server.unsettled[call.caller];
-  const double room = settings_.one_callers_share * (all.failed + 1) - given.at(now, settings_.half_life);
+  DecayingCount& given = server.unsettled[call.caller];
+  const double room = settings_.one_callers_share * (all.failed + 1) - given.value(now, settings_.half_life);
   const double part = std::min(servers / (servers + callers), room);
   if (part <= 0) return;
   given.add(now, settings_.half_life, part);
@@ -139,7 +140,7 @@
   if (server == servers_.end()) return;
   Record& record = server->second.by_class[call_class];
   record.failed.add(now, settings_.half_life, what);
-  record.failed_lately.add(now, settings_.lately, what);
+  record.recent_failed.add(now, settings_.lately, what);
 }
 
 void Health::end_trial(Time now, CallId call, const ServerId& at, std::optional<bool> well) {
@@ -159,8 +160,8 @@
   Sum all;
   for (const auto& [call_class, record] : server.by_class) {
     if ((only && call_class != *only) || (but && call_class == *but)) continue;
-    all.stood += record.stood.at(now, settings_.half_life);
-    all.failed += record.failed.at(now, settings_.half_life);
+    all.stood += record.succeeded.value(now, settings_.half_life);
+    all.failed += record.failed.value(now, settings_.half_life);
   }
   return all;
 }
@@ -169,8 +170,8 @@
   Sum all;
   for (const auto& [call_class, record] : server.by_class) {
     if (only && call_class != *only) continue;
-    all.stood += record.stood_lately.at(now, settings_.lately);
-    all.failed += record.failed_lately.at(now, settings_.lately);
+    all.stood += record.recent_succeeded.value(now, settings_.lately);
+    all.failed += record.recent_failed.value(now, settings_.lately);
   }
   return all;
 }
@@ -189,10 +190,11 @@
     return values[nth];
   };
   std::vector<double> shares;
-  for (const Sum& each : others) shares.push_back(share(each.stood, each.failed, settings_.prior, 0));
+  for (const Sum& each : others) shares.push_back(failure_share(each.stood, each.failed, settings_.prior, 0));
   const double middle = at(shares, 0.5);
   shares.clear();
-  for (const Sum& each : others) shares.push_back(share(each.stood, each.failed, kPeersPrior, middle));
+  for (const Sum& each : others)
+    shares.push_back(failure_share(each.stood, each.failed, kPeersPrior, middle));
   return at(shares, kUsualPlace);
 }
 
@@ -202,11 +204,12 @@
     const Sum seen = sum(now, server, only, std::nullopt);
     verdict.only_class = only;
     verdict.peers = usual(now, server.listed.id, only);
-    verdict.failing = share(seen.stood, seen.failed, settings_.prior, verdict.peers);
+    verdict.failing = failure_share(seen.stood, seen.failed, settings_.prior, verdict.peers);
     const Sum last = lately(now, server, only);
-    verdict.surely = std::max(
-        surely_over(seen.stood, seen.failed, settings_.prior, verdict.peers, settings_.certainty),
-        surely_over(last.stood, last.failed, settings_.prior, verdict.peers, settings_.certainty_lately));
+    verdict.surely = std::max(failure_share_lower_bound(seen.stood, seen.failed, settings_.prior,
+                                                        verdict.peers, settings_.certainty),
+                              failure_share_lower_bound(last.stood, last.failed, settings_.prior,
+                                                        verdict.peers, settings_.certainty_lately));
     verdict.evidence = seen.calls();
   };
   // While it is kept away what it is kept away for fades: it stays what it was.
@@ -216,7 +219,7 @@
   for (const auto& [call_class, record] : server.by_class) {
     const Sum rest = sum(now, server, std::nullopt, call_class);
     if (rest.calls() < kEnoughOfTheRest) continue;
-    if (surely_over(rest.stood, rest.failed, settings_.prior, usual_rest, settings_.certainty) >
+    if (failure_share_lower_bound(rest.stood, rest.failed, settings_.prior, usual_rest, settings_.certainty) >
         usual_rest + settings_.reduce_over / 2)
       continue;
     look(call_class);
@@ -322,7 +325,8 @@
     changed.push_back(server->verdict);
   }
   std::erase_if(callers_, [&](const auto& each) {
-    return each.second.good.at(now, settings_.half_life) + each.second.bad.at(now, settings_.half_life) <
+    return each.second.good.value(now, settings_.half_life) +
+               each.second.bad.value(now, settings_.half_life) <
            0.01;
   });
   return changed;
--- a/src/health/health.hpp
+++ b/src/health/health.hpp
@@ -83,7 +83,7 @@
   struct Server {
     Listed listed{};
     std::map<unsigned, Record> by_class{};
-    std::map<std::uint64_t, Fading> unsettled{};  // by caller: held against it without a second word
+    std::map<std::uint64_t, DecayingCount> unsettled{};  // by caller: held against it without a second word
     Verdict verdict{};
     Duration rest{};
     Time trusted_since{};
@@ -99,7 +99,7 @@
     std::vector<ServerId> turned_away{};
   };
   struct Caller {
-    Fading good{}, bad{};
+    DecayingCount good{}, bad{};
   };
   struct Sum {
     double stood = 0, failed = 0;
