--- a/standin/health/laboratory.hpp
+++ b/standin/health/laboratory.hpp
@@ -39,7 +39,7 @@
       in_a_row_.push_back(0);
       ejected_until_.push_back(Time{});
     }
-    health_.listed(now_, listed_);
+    health_.set_servers(now_, listed_);
   }
   static ServerId id(unsigned number) {
     return {{10, 0, static_cast<std::uint8_t>(number >> 8), static_cast<std::uint8_t>(number)}, 5060};
@@ -48,7 +48,7 @@
   // What a server fails, by class; -1: of all classes.
   void fails(unsigned server, double share, int call_class = -1) { fails_[server][call_class] = share; }
   std::vector<Caller> callers = {{1, 0}, {1, 0}, {1, 0}, {1, 0}};
-  std::vector<health::Listed> listed() const { return listed_; }
+  std::vector<health::ServerInfo> listed() const { return listed_; }
   double calls_a_second = 100;
   unsigned attempts = 3;
   unsigned classes = 2;
@@ -90,13 +90,13 @@
   std::uint64_t most_avoided() const { return most_avoided_; }
   health::Health& health() { return health_; }
   Time now() const { return now_; }
-  void list(std::vector<health::Listed> servers) {
+  void list(std::vector<health::ServerInfo> servers) {
     listed_ = std::move(servers);
-    health_.listed(now_, listed_);
+    health_.set_servers(now_, listed_);
   }
 
  private:
-  using Listed = health::Listed;
+  using ServerInfo = health::ServerInfo;
   double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   double fail_share(unsigned server, unsigned call_class) const {
     const auto& of = fails_[server];
@@ -134,7 +134,7 @@
     for (unsigned i = 0; i < listed_.size(); ++i) {
       const bool again = std::find(tried.begin(), tried.end(), i) != tried.end();
       const bool judged = judge_ == Judge::health;
-      if (!again && judged && tried.empty() && health_.may_try(now_, id(i), call_class)) return i;
+      if (!again && judged && tried.empty() && health_.may_send_trial(now_, id(i), call_class)) return i;
       weights.push_back(again ? 0 : weight(i, call_class));
       all += weights.back();
     }
@@ -162,21 +162,21 @@
       if (!server) break;
       tried.push_back(*server);
       sent_ += !broken;
-      health_.sent(now_, call, id(*server), call_class, caller);
+      health_.attempt_sent(now_, call, id(*server), call_class, caller);
       if (!broken && chance() >= fail_share(*server, call_class)) {
         ++stood_;
         naive(*server, true);
-        return health_.stood(now_, call);
+        return health_.call_succeeded(now_, call);
       }
       naive(*server, false);
-      health_.made_nothing(now_, call);
+      health_.attempt_failed(now_, call);
     }
-    health_.ended(now_, call);
+    health_.call_failed(now_, call);
   }
 
   std::mt19937_64 random_;
   health::Health health_{health::Settings{}};
-  std::vector<Listed> listed_;
+  std::vector<ServerInfo> listed_;
   std::vector<std::map<int, double>> fails_;
   Time now_ = seconds(1), next_review_ = seconds(1);
   CallId last_call_ = 0;
