--- a/src/health/repeats.cpp
+++ b/src/health/retry_budget.cpp
@@ -1,4 +1,4 @@
-#include "health/repeats.hpp"
+#include "health/retry_budget.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -8,7 +8,7 @@
 #include <cmath>
 
 #include "health/laboratory.hpp"
-#include "health/repeats.hpp"
+#include "health/retry_budget.hpp"
 
 namespace quartzarch::test {
 namespace {
