--- a/src/health/retry_budget.cpp
+++ b/src/health/retry_budget.cpp
@@ -5,32 +5,32 @@
 
 namespace quartzarch::health {
 
-double Repeats::left(Time now) const {
-  const double passed = std::chrono::duration<double>(std::max(now - at_, Duration{0})).count();
-  return std::min(saved_ + passed * settings_.least_a_second, settings_.saved);
+double RetryBudget::available(Time now) const {
+  const double passed = std::chrono::duration<double>(std::max(now - updated_at_, Duration{0})).count();
+  return std::min(saved_ + passed * settings_.min_per_second, settings_.max_saved);
 }
 
-void Repeats::first_sent(Time now) {
-  saved_ = std::min(left(now) + settings_.share, settings_.saved);
-  at_ = std::max(at_, now);
+void RetryBudget::first_attempt_sent(Time now) {
+  saved_ = std::min(available(now) + settings_.share, settings_.max_saved);
+  updated_at_ = std::max(updated_at_, now);
 }
 
-bool Repeats::take(Time now, const Asked& asked) {
-  if (asked.chance * asked.worth <= asked.work * asked.price) return false;
-  const double there = left(now);
-  if (there < 1) return false;
-  saved_ = there - 1;
-  at_ = std::max(at_, now);
+bool RetryBudget::try_spend(Time now, const Retry& retry) {
+  if (retry.success_chance * retry.worth <= retry.work * retry.price) return false;
+  const double budget = available(now);
+  if (budget < 1) return false;
+  saved_ = budget - 1;
+  updated_at_ = std::max(updated_at_, now);
   return true;
 }
 
-double Repeats::chance(double failing, Duration usual, Duration left) {
-  if (left <= Duration{0}) return 0;
+double RetryBudget::success_chance(double failure_share, Duration mean_setup, Duration time_left) {
+  if (time_left <= Duration{0}) return 0;
   const double in_time =
-      usual <= Duration{0}
+      mean_setup <= Duration{0}
           ? 1
-          : -std::expm1(-static_cast<double>(left.count()) / static_cast<double>(usual.count()));
-  return std::clamp(1 - failing, 0.0, 1.0) * in_time;
+          : -std::expm1(-static_cast<double>(time_left.count()) / static_cast<double>(mean_setup.count()));
+  return std::clamp(1 - failure_share, 0.0, 1.0) * in_time;
 }
 
 }  // namespace quartzarch::health
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -143,33 +143,33 @@
 
 // ---- Repeats
 
-using health::Repeats;
+using health::RetryBudget;
 
-TEST(Repeats, AreAShareOfFirstAttemptsWhateverIsAskedFor) {
-  Repeats repeats{Repeats::Settings{}};
+TEST(RetryBudget, AreAShareOfFirstAttemptsWhateverIsAskedFor) {
+  RetryBudget budget{RetryBudget::Settings{}};
   Time now = seconds(1);
   unsigned first = 0, again = 0;
   for (int i = 0; i < 10000; ++i) {
     now += std::chrono::milliseconds(10);
-    repeats.first_sent(now);
+    budget.first_attempt_sent(now);
     ++first;
     for (int ask = 0; ask < 3; ++ask)
-      again += repeats.take(now, {0.9, 1, 1, 0.2});  // all of them fail, and ask
+      again += budget.try_spend(now, {0.9, 1, 1, 0.2});  // all of them fail, and ask
   }
   EXPECT_LE(again, first / 5 + 2 * 100 + 20) << "a fifth, two a second, and what was saved up";
   EXPECT_GE(again, first / 5);
 }
 
-TEST(Repeats, OneIsNotMadeThatCostsMoreThanItMayBring) {
-  Repeats repeats{Repeats::Settings{}};
+TEST(RetryBudget, OneIsNotMadeThatCostsMoreThanItMayBring) {
+  RetryBudget budget{RetryBudget::Settings{}};
   const Time now = seconds(100);
-  for (int i = 0; i < 100; ++i) repeats.first_sent(now);
-  EXPECT_TRUE(repeats.take(now, {0.9, 1, 1, 0.5}));
-  EXPECT_FALSE(repeats.take(now, {0.1, 1, 1, 0.5})) << "it will hardly stand in time";
-  EXPECT_FALSE(repeats.take(now, {0.9, 0.1, 1, 0.5})) << "late, it is worth little";
-  EXPECT_TRUE(repeats.take(now, {0.1, 1, 1, 0})) << "at an idle server work costs nothing";
-  EXPECT_NEAR(Repeats::chance(0.25, seconds(2), seconds(2)), 0.75 * (1 - std::exp(-1)), 1e-9);
-  EXPECT_EQ(Repeats::chance(0, seconds(1), Duration{0}), 0) << "no time is left";
+  for (int i = 0; i < 100; ++i) budget.first_attempt_sent(now);
+  EXPECT_TRUE(budget.try_spend(now, {0.9, 1, 1, 0.5}));
+  EXPECT_FALSE(budget.try_spend(now, {0.1, 1, 1, 0.5})) << "it will hardly stand in time";
+  EXPECT_FALSE(budget.try_spend(now, {0.9, 0.1, 1, 0.5})) << "late, it is worth little";
+  EXPECT_TRUE(budget.try_spend(now, {0.1, 1, 1, 0})) << "at an idle server work costs nothing";
+  EXPECT_NEAR(RetryBudget::success_chance(0.25, seconds(2), seconds(2)), 0.75 * (1 - std::exp(-1)), 1e-9);
+  EXPECT_EQ(RetryBudget::success_chance(0, seconds(1), Duration{0}), 0) << "no time is left";
 }
 
 }  // namespace
