--- a/src/health/evidence.cpp
+++ b/src/health/evidence.cpp
@@ -7,7 +7,7 @@
 namespace quartzarch::health {
 namespace {
 
-// Neither end of the distribution may be empty.
+// Both shape parameters of the beta distribution must be positive.
 constexpr double kMinShape = 0.01;
 
 boost::math::beta_distribution<> distribution(double succeeded, double failed, double prior,
--- a/src/health/evidence.hpp
+++ b/src/health/evidence.hpp
@@ -1,11 +1,12 @@
-// What is held against servers and callers, fading in time. No I/O and no clock.
+// Evidence on servers and callers: counts of successes and failures that decay over time, and estimates of
+// the failure share from them. No I/O and no clock.
 #pragma once
 
 #include "quartzarch/controller.hpp"
 
 namespace quartzarch::health {
 
-// A count that loses half of itself in each half-life.
+// A count that decays exponentially with a half-life.
 class DecayingCount {
  public:
   void add(Time now, Duration half_life, double amount);
@@ -16,16 +17,17 @@
   Time updated_at_{};
 };
 
-// How many set-ups stood and how many failed by the server's own fault: as they fade slowly, for servers that
-// are seen seldom, and fast, for one that was well until now.
+// Set-ups at a server that succeeded and that failed by the server's own fault. The counts with the long
+// half-life serve servers that get few calls; the recent counts show quickly when a server that was healthy
+// begins to fail.
 struct Record {
   DecayingCount succeeded{}, failed{};
   DecayingCount recent_succeeded{}, recent_failed{};
 };
 
-// The share of failures among so many, upon a start of `prior` calls of which `prior_share` failed.
+// Estimated share of failures, given a prior of `prior` calls of which the share `prior_share` failed.
 double failure_share(double succeeded, double failed, double prior, double prior_share);
-// So that the true share is over it (under it) with that certainty, by the beta distribution.
+// One-sided confidence bounds of the true failure share, by the beta distribution.
 double failure_share_lower_bound(double succeeded, double failed, double prior, double prior_share,
                                  double confidence);
 double failure_share_upper_bound(double succeeded, double failed, double prior, double prior_share,
--- a/src/health/health.cpp
+++ b/src/health/health.cpp
@@ -6,13 +6,15 @@
 namespace quartzarch::health {
 namespace {
 
-// Assumed of a server or caller of which nothing is settled yet, for a call that only one server spoke of.
+// Failure share assumed for a server or caller without evidence, when a call failed at one server only.
 constexpr double kPriorFailureShare = 0.02;
-// Below so many calls the rest of a server's says nothing of whether one class stands out.
+// A server needs at least so many calls of other classes to decide whether one class alone fails.
 constexpr double kMinCallsOfOtherClasses = 6;
-// Peers' shares are drawn together as by so many calls before one is taken for the usual.
+// Weight, in calls, with which the peers' shares are shrunk towards their median before the usual share is
+// chosen.
 constexpr double kPeerPriorCalls = 8;
-// Of the shares in order, the usual is the one at this place: more than half may be bad.
+// Quantile of the peers' failure shares that counts as usual; below the median, because more than half of the
+// servers may be bad.
 constexpr double kUsualQuantile = 0.25;
 
 }  // namespace
@@ -47,7 +49,7 @@
   servers_ = std::move(known);
 }
 
-// ---- Whose fault it was
+// ---- Attributing failures
 
 void Health::attempt_sent(Time now, CallId id, const ServerId& to, unsigned call_class,
                           std::uint64_t caller) {
@@ -70,7 +72,7 @@
   if (found == calls_.end() || !found->second.in_flight) return;
   Call& call = found->second;
   call.in_flight = false;
-  // Said again by the same server it is no second opinion.
+  // A second answer 'error' from the same server confirms nothing.
   if (std::find(call.failed_at.begin(), call.failed_at.end(), call.server) == call.failed_at.end())
     call.failed_at.push_back(call.server);
 }
@@ -87,7 +89,7 @@
   }
   end_trial(now, id, call.server, true);
   for (const ServerId& each : call.failed_at) {
-    if (each == call.server) continue;  // a call that it took the second time is no failure of its
+    if (each == call.server) continue;  // it accepted the call at the second attempt
     add_failure(now, each, call.call_class, 1);
     end_trial(now, id, each, false);
   }
@@ -104,18 +106,19 @@
   } else if (call.failed_at.size() == 1) {
     attribute_single_failure(now, call);
   }
-  // A trial that nobody's word settles says nothing.
+  // A trial call that failed without confirmation says nothing about the server.
   end_trial(now, id, call.server, std::nullopt);
   for (const ServerId& each : call.failed_at) end_trial(now, id, each, std::nullopt);
 }
 
-// Nothing: more callers than are followed.
+// Returns null if the limit of tracked callers is reached.
 Health::Caller* Health::caller_entry(std::uint64_t id) {
   if (callers_.count(id) == 0 && callers_.size() >= settings_.max_callers) return nullptr;
   return &callers_[id];
 }
 
-// One server's word alone: shared between it and the caller by what is settled of both.
+// Attributes a failure seen at one server only: split between the server and the caller in proportion to
+// their failure shares so far. The part that one caller contributes to a server's failures is limited.
 void Health::attribute_single_failure(Time now, const Call& call) {
   const auto found = servers_.find(call.failed_at.front());
   if (found == servers_.end()) return;
@@ -157,7 +160,7 @@
   if (*success) server.next_trial = std::min(server.next_trial, now + settings_.trial_interval / 2);
 }
 
-// ---- Judging
+// ---- Verdicts
 
 Health::Counts Health::counts(Time now, const Server& server, std::optional<unsigned> only,
                               std::optional<unsigned> except) const {
@@ -180,8 +183,8 @@
   return all;
 }
 
-// The share of failures that is usual at the other servers: of theirs in order, each drawn towards their
-// middle as far as it rests on little, the one at a quarter.
+// The lower quartile of the other servers' failure shares, each shrunk towards their median the more, the
+// fewer calls it is based on.
 double Health::usual_share(Time now, const ServerId& except, std::optional<unsigned> call_class) const {
   std::vector<Counts> others;
   for (const auto& [id, server] : servers_) {
@@ -218,9 +221,9 @@
                                            settings_.recent_confidence));
     verdict.sample_size = seen.calls();
   };
-  // While it is kept away what it is kept away for fades: it stays what it was.
+  // While a server is avoided its evidence decays, so the verdict stays about the same class.
   if (verdict.grade == Grade::avoided || verdict.grade == Grade::on_trial) return assess(verdict.only_class);
-  // One class stands out if the rest is as usual, and known well enough to say so.
+  // A verdict is about one class alone if the other classes are as usual and have enough calls to tell.
   const double usual_all = usual_share(now, server.info.id, std::nullopt);
   for (const auto& [call_class, record] : server.by_class) {
     const Counts others = counts(now, server, std::nullopt, call_class);
@@ -265,7 +268,7 @@
     if (excluded(each) && id != server.info.id) avoided += each.info.traffic_share;
   }
   if (avoided > settings_.max_avoided_share * all + 1e-9) return false;
-  // Every class that it is open to has another server that is not avoided.
+  // Every class that it serves must have another server that is not avoided.
   const auto serves = [](const Server& each, unsigned call_class) {
     return each.info.classes.empty() || each.info.classes.count(call_class) > 0;
   };
@@ -287,7 +290,8 @@
   switch (grade) {
     case Grade::avoided:
       if (before == Grade::on_trial || server.verdict.relapses > 0) {
-        // The longer it was trusted meanwhile, the less of the last relapse counts.
+        // The exclusion doubles with each relapse and is halved for each max_exclusion for which the server
+        // was trusted.
         const auto trusted = before == Grade::on_trial ? Duration{0} : now - server.trusted_since;
         const auto halvings = std::min<Duration::rep>(trusted / settings_.max_exclusion, 16);
         server.exclusion = std::clamp(server.exclusion * 2 / (1 << halvings), settings_.first_exclusion,
@@ -301,7 +305,7 @@
       return;
     case Grade::reduced:
       if (before == Grade::on_trial) {
-        // What is held against it was paid by its rest: it begins with what the trial showed.
+        // The exclusion settles the old evidence: the server starts over after it has passed its trial.
         server.by_class.clear();
         server.unconfirmed_failures.clear();
         server.trusted_since = now;
@@ -338,7 +342,7 @@
   return changed;
 }
 
-// ---- What follows
+// ---- Routing
 
 double Health::weight(const ServerId& id, unsigned call_class) const {
   const auto found = servers_.find(id);
--- a/src/health/health.hpp
+++ b/src/health/health.hpp
@@ -1,6 +1,7 @@
-// Which setup servers fail good calls: whose fault an answer 'error' was, how sure that is, and how much of
-// its share of calls each server is given for it. No I/O, no clock, no random numbers; equal events give
-// equal verdicts. docs/health.md has the reasons.
+// Outlier detection for setup servers: attributes each answer 'error' to the server or to the caller,
+// estimates each server's failure share with a confidence bound, and reduces the share of calls of servers
+// that fail significantly more than their peers. No I/O, no clock, no random numbers; equal events give equal
+// verdicts. docs/health.md has the reasons.
 #pragma once
 
 #include <map>
@@ -15,66 +16,69 @@
 
 struct Settings {
   Duration half_life = std::chrono::seconds(20);        // of all evidence
-  Duration recent_half_life = std::chrono::seconds(4);  // of what is looked at beside it
-  double prior = 4;  // calls that are assumed at a server before any was seen, failing as its peers' do
-  double confidence = 0.95;         // of a verdict
-  double recent_confidence = 0.99;  // of one by the last seconds alone, which is drawn more often
-  double reduce_margin = 0.05;      // surely failing so much more than its peers
-  double avoid_margin = 0.15;
-  double reduced_share = 0.5;                          // of its usual calls
-  Duration max_reduced = std::chrono::seconds(30);     // reduced for so long without getting better: avoided
-  Duration min_reduced = std::chrono::seconds(10);     // before it is trusted again
-  Duration first_exclusion = std::chrono::seconds(4);  // before the first trial; doubled with each relapse
+  Duration recent_half_life = std::chrono::seconds(4);  // of the recent evidence, evaluated in addition
+  double prior = 4;                 // calls assumed before any was seen, with the peers' failure share
+  double confidence = 0.95;         // of a verdict's lower bound
+  double recent_confidence = 0.99;  // of recent evidence alone; higher, as it is drawn more often
+  double reduce_margin = 0.05;      // reduced if the lower bound exceeds the peers' share by more
+  double avoid_margin = 0.15;       // avoided if it does by more
+  double reduced_share = 0.5;       // of its usual calls while reduced
+  Duration max_reduced = std::chrono::seconds(30);     // after this long without improvement it is avoided
+  Duration min_reduced = std::chrono::seconds(10);     // at least this long before it is trusted again
+  Duration first_exclusion = std::chrono::seconds(4);  // until the first trial; doubled with each relapse
   Duration max_exclusion = std::chrono::seconds(300);
-  Duration trial_interval =
-      std::chrono::milliseconds(500);  // of the trickle at first; halved by each that stands
+  // Time between the first two trial calls; halved with each that succeeds.
+  Duration trial_interval = std::chrono::milliseconds(500);
   unsigned trial_successes_to_pass = 8, trial_failures_to_fail = 2;
-  double max_avoided_share = 1.0 / 3;  // of what all servers carry
-  double single_caller_share = 0.25;   // of what is held against a server without a second server's word
-  std::size_t max_calls = 65536, max_callers = 4096;  // followed at a time; more are not
+  double max_avoided_share = 1.0 / 3;  // of the traffic of all servers
+  double single_caller_share = 0.25;   // of a server's failures: the most from one caller, unconfirmed
+  std::size_t max_calls = 65536, max_callers = 4096;  // tracked at a time; more are ignored
 };
 
+// How far a server is trusted; an avoided server returns by way of a trial.
 enum class Grade { trusted, reduced, avoided, on_trial };
 const char* grade_text(Grade grade);
 
 struct ServerInfo {
   ServerId id{};
-  double traffic_share = 1;      // its part of all calls, in any unit
-  std::set<unsigned> classes{};  // open to these; empty: to all
+  double traffic_share = 1;      // its share of all calls, in any unit
+  std::set<unsigned> classes{};  // the call classes that it serves; empty: all
 };
 
 struct Verdict {
   ServerId server{};
   Grade grade = Grade::trusted;
-  std::optional<unsigned> only_class{};  // of this class's calls alone
-  double failure_share = 0;              // share of its set-ups, as judged
-  double lower_bound = 0;                // at least this, with the settings' certainty
-  double peer_share = 0;                 // what is usual
-  double sample_size = 0;                // calls that it rests on
+  std::optional<unsigned> only_class{};  // the verdict is about this class alone
+  double failure_share = 0;              // estimated share of failed set-ups
+  double lower_bound = 0;                // of the failure share, at the confidence of the settings
+  double peer_share = 0;                 // usual failure share of the other servers
+  double sample_size = 0;                // calls on which it is based
   Time since{};
   unsigned relapses = 0;
 };
 
+// Tracks calls and servers and gives a verdict on each server.
 class Health {
  public:
   explicit Health(Settings settings) : settings_(settings) {}
 
-  // The servers that may be given calls; what is known of others is forgotten.
+  // Sets the servers that may be given calls; the state of all others is dropped.
   void set_servers(Time now, const std::vector<ServerInfo>& servers);
 
-  // A call's life: sent to a server, perhaps again to others, then one end.
+  // The events of a call: sent to a server, perhaps retried at others, then exactly one end.
   void attempt_sent(Time now, CallId call, const ServerId& to, unsigned call_class, std::uint64_t caller);
-  void attempt_failed(Time now, CallId call);  // the server where it is answered 'error'
+  void attempt_failed(Time now, CallId call);  // its current server answered 'error'
   void call_succeeded(Time now, CallId call);
-  void call_failed(Time now, CallId call);  // it did not stand, whatever the reason
+  void call_failed(Time now, CallId call);  // it was not set up, whatever the reason
 
-  // Judges anew; the verdicts that have changed, the worst first. To be called a few times a second.
+  // Reevaluates all servers; returns the verdicts whose grade has changed, worst first. To be called a few
+  // times per second.
   std::vector<Verdict> review(Time now);
 
-  // Of its usual share of calls of that class: 1, less, or 0.
+  // Factor for the server's usual share of calls of that class: 1, less, or 0.
   double weight(const ServerId& server, unsigned call_class) const;
-  // A server on trial may have this call: it can be repeated elsewhere in time, and there is none of lower
-  // worth about. Taken up by sent().
+  // Whether a call may be sent to a server on trial. The caller of this function chooses a call that can
+  // still be retried elsewhere in time and is of the lowest worth at hand. attempt_sent() starts the trial.
   bool may_send_trial(Time now, const ServerId& server, unsigned call_class) const;
 
   std::vector<Verdict> verdicts() const;
@@ -83,13 +87,13 @@
   struct Server {
     ServerInfo info{};
     std::map<unsigned, Record> by_class{};
-    std::map<std::uint64_t, DecayingCount>
-        unconfirmed_failures{};  // by caller: held against it without a second word
+    // By caller: failures attributed to the server that no second server has confirmed.
+    std::map<std::uint64_t, DecayingCount> unconfirmed_failures{};
     Verdict verdict{};
-    Duration exclusion{};
+    Duration exclusion{};  // time between being avoided and the next trial
     Time trusted_since{};
     unsigned trial_successes = 0, trial_failures = 0;
-    std::optional<CallId> trial_call{};
+    std::optional<CallId> trial_call{};  // in flight
     Time next_trial{};
   };
   struct Call {
@@ -97,9 +101,9 @@
     unsigned call_class = 0;
     std::uint64_t caller = 0;
     bool in_flight = false;
-    std::vector<ServerId> failed_at{};
+    std::vector<ServerId> failed_at{};  // servers that answered 'error'
   };
-  struct Caller {
+  struct Caller {  // calls set up, and calls that failed at more than one server
     DecayingCount succeeded{}, failed{};
   };
   struct Counts {
@@ -108,18 +112,24 @@
   };
 
   Caller* caller_entry(std::uint64_t id);
+  // Adds `what` failures to a server's record.
   void add_failure(Time now, const ServerId& server, unsigned call_class, double what);
   void attribute_single_failure(Time now, const Call& call);
+  // Ends the trial by this call; `success` is absent if the call says nothing about the server.
   void end_trial(Time now, CallId call, const ServerId& at, std::optional<bool> success);
+  // A server's counts, of class `only` alone or without class `except`.
   Counts counts(Time now, const Server& server, std::optional<unsigned> only,
                 std::optional<unsigned> except) const;
   Counts recent_counts(Time now, const Server& server, std::optional<unsigned> only) const;
+  // Usual failure share of the servers other than `except`.
   double usual_share(Time now, const ServerId& except, std::optional<unsigned> call_class) const;
   static bool applies_to(const Verdict& verdict, unsigned call_class) {
     return !verdict.only_class || *verdict.only_class == call_class;
   }
+  // Updates a server's verdict, except for its grade.
   void evaluate(Time now, Server& server);
   Grade next_grade(Time now, const Server& server) const;
+  // Whether the limits on how many servers are avoided leave room for this one.
   bool may_avoid(const Server& server) const;
   void change_grade(Time now, Server& server, Grade grade);
 
--- a/src/health/retry_budget.hpp
+++ b/src/health/retry_budget.hpp
@@ -1,5 +1,6 @@
-// Whether a call is sent again: what it may bring against the work that it costs, and a budget for all
-// repeats together, so that a failing server does not double the load of the others. No I/O and no clock.
+// Decides whether a failed call is retried at another server: the expected gain must exceed the cost, and all
+// retries share one budget, so that a failing server does not double the load of the others. No I/O and no
+// clock.
 #pragma once
 
 #include "quartzarch/controller.hpp"
@@ -9,27 +10,30 @@
 class RetryBudget {
  public:
   struct Settings {
-    double share = 0.2;         // of first attempts, earned by each
-    double min_per_second = 2;  // beside it: where little comes a repeat costs little
-    double max_saved = 20;      // at most, for a moment at which many are turned away at once
+    double share = 0.2;         // budget earned by each first attempt
+    double min_per_second = 2;  // earned in addition per second: at low traffic a retry costs little
+    double max_saved = 20;      // upper limit of the budget, for a burst of failures
   };
+  // A retry under consideration.
   struct Retry {
-    double success_chance = 0;  // to stand in time at the other server
-    double worth = 0;           // of the call, if it stands now: 1 is usual
-    double work = 1;            // of a set-up there: 1 is usual
-    double price =
-        0;  // what a usual set-up's work would bring there instead: 0 at an idle server, 1 at a full one
+    double success_chance = 0;  // of success in time at the other server
+    double worth = 0;           // of the call, if it succeeds now: 1 is usual
+    double work = 1;            // cost of a set-up there: 1 is usual
+    // Worth of a usual set-up that the other server could take instead: 0 at an idle server, 1 at a full one.
+    double price = 0;
   };
 
   explicit RetryBudget(Settings settings) : settings_(settings) {}
 
+  // Counts a first attempt, which earns budget.
   void first_attempt_sent(Time now);
-  // Whether this one is made; it is taken off the budget then.
+  // Whether to make the retry; if so, takes it off the budget.
   bool try_spend(Time now, const Retry& retry);
+  // Retries that the budget allows now.
   double available(Time now) const;
 
-  // To stand within `left`, at a server that fails that share and whose set-ups take `usual` on the average,
-  // as if they were drawn from an exponential distribution.
+  // Chance of success within `time_left` at a server with this failure share and mean set-up time, assuming
+  // exponentially distributed set-up times.
   static double success_chance(double failure_share, Duration mean_setup, Duration time_left);
 
  private:
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -1,6 +1,6 @@
-// Servers that fail good calls, in virtual time: calls drawn by a seed go to servers as the verdicts say,
-// again to another where one makes nothing of them. Each case is judged by what was avoided when, by the
-// laboratory's own knowledge of who is bad.
+// Outlier detection in simulated time: a seeded simulation sends calls to servers by their verdicts and
+// retries them at another server after an error. Each test checks which servers were avoided and when,
+// against the simulation's knowledge of which ones are faulty.
 #include "health/health.hpp"
 
 #include <gtest/gtest.h>
@@ -18,9 +18,9 @@
 
 using standin::Laboratory;
 
-constexpr double kFalse = 0.01;  // of a good server's share
+constexpr double kMaxFalseAvoidance = 0.01;  // allowed loss of a good server's share of calls
 
-TEST(Health, AServerThatFailsAThirdIsAvoidedSoonAndTakenBackOnceItIsWell) {
+TEST(Health, AServerThatFailsAThirdIsAvoidedAndTrustedAgainAfterRecovery) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Laboratory lab(4, seed);
     lab.run(seconds(30));
@@ -32,11 +32,11 @@
     lab.fails(1, 0);
     const Duration back = lab.run(seconds(900), [&] { return lab.verdict(1).grade == Grade::trusted; });
     EXPECT_LT(back, seconds(200)) << seed;
-    EXPECT_LT(lab.false_avoid(), kFalse) << seed;
+    EXPECT_LT(lab.false_avoid(), kMaxFalseAvoidance) << seed;
   }
 }
 
-TEST(Health, AServerThatFailsAllIsAvoidedWithinSecondsAndTriedEverMoreSeldom) {
+TEST(Health, AServerThatFailsAllIsAvoidedWithinSecondsWithGrowingExclusions) {
   Laboratory lab(4);
   lab.fails(2, 1);
   EXPECT_LT(lab.run(seconds(60), [&] { return lab.avoided(2); }), seconds(3));
@@ -46,7 +46,7 @@
   lab.stood();
   lab.run(seconds(60));
   EXPECT_EQ(lab.stood(), 1);
-  EXPECT_LT(lab.false_avoid(), kFalse);
+  EXPECT_LT(lab.false_avoid(), kMaxFalseAvoidance);
 }
 
 TEST(Health, AServerThatFailsOneClassIsAvoidedForThatClassOnly) {
@@ -60,8 +60,8 @@
   EXPECT_EQ(lab.health().weight(Laboratory::id(0), 1), 0);
 }
 
-// Never more than a third is avoided; what may be is the worst of them.
-TEST(Health, OfThreeServersTwoOfThemBadOneIsAvoidedAndTheOtherReduced) {
+// At most a third of the traffic is avoided, and the worst server first.
+TEST(Health, OfThreeServersWithTwoBadOneIsAvoidedAndTheOtherReduced) {
   Laboratory lab(3);
   lab.fails(0, 0.9);
   lab.fails(1, 0.4);
@@ -72,7 +72,7 @@
   EXPECT_EQ(lab.verdict(2).grade, Grade::trusted);
 }
 
-TEST(Health, OfServersThatAreAllAlikeNoneIsAvoided) {
+TEST(Health, OfServersThatFailAlikeNoneIsAvoided) {
   for (const double share : {0.1, 0.5}) {
     Laboratory lab(6);
     for (unsigned i = 0; i < 6; ++i) lab.fails(i, share);
@@ -81,18 +81,19 @@
   }
 }
 
-// Half of all calls are broken: no server is held responsible, also where a call has one attempt only.
-TEST(Health, OneBadCallerWithHalfOfTheTrafficGetsNoGoodServerAvoided) {
+// Guards against blaming servers for a faulty caller: half of all calls fail everywhere, also when each call
+// has one attempt only.
+TEST(Health, AFaultyCallerWithHalfOfTheTrafficDoesNotGetServersAvoided) {
   for (const unsigned attempts : {1u, 2u, 3u}) {
     Laboratory lab(4);
     lab.attempts = attempts;
     lab.callers = {{1, 0}, {1, 0}, {1, 0}, {3, 1}};
     lab.run(seconds(300));
-    EXPECT_LT(lab.false_avoid(), kFalse) << attempts << " attempts";
+    EXPECT_LT(lab.false_avoid(), kMaxFalseAvoidance) << attempts << " attempts";
   }
 }
 
-TEST(Health, ErrorsOfASecondNowAndThenReduceAtMost) {
+TEST(Health, OccasionalSecondsOfErrorsDoNotGetAServerAvoided) {
   Laboratory lab(4);
   lab.run(seconds(30));
   for (int i = 0; i < 5; ++i) {
@@ -104,7 +105,7 @@
   }
 }
 
-TEST(Health, AServerUnderANewIdBeginsTrustedAndIsJudgedByItself) {
+TEST(Health, AServerListedAgainStartsTrusted) {
   Laboratory lab(3);
   lab.fails(1, 1);
   lab.run(seconds(10), [&] { return lab.avoided(1); });
@@ -112,7 +113,7 @@
   auto servers = lab.listed();
   servers.erase(servers.begin() + 1);
   lab.list(servers);
-  EXPECT_EQ(lab.health().weight(Laboratory::id(1), 0), 1) << "what is not listed is not judged";
+  EXPECT_EQ(lab.health().weight(Laboratory::id(1), 0), 1) << "a server that is not listed has no verdict";
   servers.push_back({Laboratory::id(1), 1, {}});
   lab.list(servers);
   EXPECT_EQ(lab.verdict(1).grade, Grade::trusted);
@@ -130,22 +131,22 @@
   EXPECT_EQ(lab.verdict(0).grade, Grade::reduced);
 }
 
-TEST(Health, SixtyServersSeenThinlyAreToldApartAllTheSame) {
+TEST(Health, FaultyServersAreFoundAmongSixtyWithLittleTraffic) {
   Laboratory lab(60);
   lab.calls_a_second = 40;  // less than one a second to each
   for (unsigned i = 0; i < 6; ++i) lab.fails(i * 10, 0.4);
   lab.run(seconds(400));
-  unsigned kept_away = 0;
-  for (unsigned i = 0; i < 6; ++i) kept_away += lab.verdict(i * 10).grade != Grade::trusted;
-  EXPECT_GE(kept_away, 5u);
-  EXPECT_LT(lab.false_avoid(), kFalse);
+  unsigned found = 0;
+  for (unsigned i = 0; i < 6; ++i) found += lab.verdict(i * 10).grade != Grade::trusted;
+  EXPECT_GE(found, 5u);
+  EXPECT_LT(lab.false_avoid(), kMaxFalseAvoidance);
 }
 
-// ---- Repeats
+// ---- Retries
 
 using health::RetryBudget;
 
-TEST(RetryBudget, AreAShareOfFirstAttemptsWhateverIsAskedFor) {
+TEST(RetryBudget, LimitsRetriesToAShareOfFirstAttempts) {
   RetryBudget budget{RetryBudget::Settings{}};
   Time now = seconds(1);
   unsigned first = 0, again = 0;
@@ -154,19 +155,20 @@
     budget.first_attempt_sent(now);
     ++first;
     for (int ask = 0; ask < 3; ++ask)
-      again += budget.try_spend(now, {0.9, 1, 1, 0.2});  // all of them fail, and ask
+      again += budget.try_spend(now, {0.9, 1, 1, 0.2});  // every attempt fails and asks for a retry
   }
-  EXPECT_LE(again, first / 5 + 2 * 100 + 20) << "a fifth, two a second, and what was saved up";
+  EXPECT_LE(again, first / 5 + 2 * 100 + 20)
+      << "a fifth of first attempts, two per second and the saved budget";
   EXPECT_GE(again, first / 5);
 }
 
-TEST(RetryBudget, OneIsNotMadeThatCostsMoreThanItMayBring) {
+TEST(RetryBudget, RefusesRetriesThatCostMoreThanTheyGain) {
   RetryBudget budget{RetryBudget::Settings{}};
   const Time now = seconds(100);
   for (int i = 0; i < 100; ++i) budget.first_attempt_sent(now);
   EXPECT_TRUE(budget.try_spend(now, {0.9, 1, 1, 0.5}));
-  EXPECT_FALSE(budget.try_spend(now, {0.1, 1, 1, 0.5})) << "it will hardly stand in time";
-  EXPECT_FALSE(budget.try_spend(now, {0.9, 0.1, 1, 0.5})) << "late, it is worth little";
+  EXPECT_FALSE(budget.try_spend(now, {0.1, 1, 1, 0.5})) << "it will hardly succeed in time";
+  EXPECT_FALSE(budget.try_spend(now, {0.9, 0.1, 1, 0.5})) << "a late call is worth little";
   EXPECT_TRUE(budget.try_spend(now, {0.1, 1, 1, 0})) << "at an idle server work costs nothing";
   EXPECT_NEAR(RetryBudget::success_chance(0.25, seconds(2), seconds(2)), 0.75 * (1 - std::exp(-1)), 1e-9);
   EXPECT_EQ(RetryBudget::success_chance(0, seconds(1), Duration{0}), 0) << "no time is left";
