--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -206,7 +206,7 @@
   const auto number = in.get<std::uint16_t>();
   const auto seed = in.get<std::uint64_t>();
   const auto facts = in.take(in.get<std::uint32_t>());
-  StartUp start;
+  InstanceSettings start;
   try {
     start = parse_settings(facts);
   } catch (const SettingsError& error) {
@@ -214,7 +214,7 @@
   }
   fronts_.erase(number);
   fronts_.emplace(number, Front{Controller(std::move(start.settings), seed, now_),
-                                std::move(start.report_fields), start.waits_hinted});
+                                std::move(start.report_fields), start.retry_hint});
 }
 
 void Session::page(Reader& in) {
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -172,8 +172,8 @@
       }
     }
     const object settings = wanted<object>(root, "settings");
-    config.start = parse_settings(settings);
-    check_usable(json, settings, config.start);
+    config.instance = parse_settings(settings);
+    check_usable(json, settings, config.instance);
     config.unknown = unknown_settings(settings);
     return config;
   } catch (const simdjson::simdjson_error& error) {
--- a/src/config.hpp
+++ b/src/config.hpp
@@ -48,7 +48,7 @@
   Limits limits;
   std::uint64_t known_index = 0;
   std::vector<FleetNews> known;
-  StartUp start;
+  InstanceSettings instance;
   std::vector<std::string> unknown{};  // settings that mean nothing here, by path
 };
 
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-Planner::Planner(Loop& loop, Logger& log, StartUp start, std::uint64_t seed, Bounds bounds)
+Planner::Planner(Loop& loop, Logger& log, InstanceSettings start, std::uint64_t seed, Bounds bounds)
     : loop_(loop),
       log_(log),
       start_(std::move(start)),
@@ -84,7 +84,7 @@
   }
 }
 
-void Planner::resettle(const StartUp& fresh) {
+void Planner::resettle(const InstanceSettings& fresh) {
   std::vector<CallClass>& table = start_.settings.classes;
   std::vector<std::string>& names = start_.class_names;
   std::vector<bool> kept(names.size(), false);
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -29,11 +29,11 @@
     std::size_t waiting_bytes = 32 * 1024 * 1024;
   };
 
-  Planner(Loop& loop, Logger& log, StartUp start, std::uint64_t seed, Bounds bounds);
+  Planner(Loop& loop, Logger& log, InstanceSettings start, std::uint64_t seed, Bounds bounds);
   void limit(Bounds bounds) { bounds_ = bounds; }
   // New settings at SIGHUP: classes that appear, change or vanish, and the attempts a call may have. A
   // request under way keeps the class it came with.
-  void resettle(const StartUp& fresh);
+  void resettle(const InstanceSettings& fresh);
 
   void news(const FleetNews& news);
   // Asked for every call before anything is decided about it; it must outlive this, or null.
@@ -124,7 +124,7 @@
 
   Loop& loop_;
   Logger& log_;
-  StartUp start_;
+  InstanceSettings start_;
   Controller controller_;
   Servers servers_;
   Fleet fleet_;
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -228,7 +228,7 @@
 
 void serve_alone(Loop& loop, Logger& log, Files& files, Service& service, const Config& config,
                  const ServeOptions& options, const std::optional<sip::FrontConfig>& sip) {
-  Planner planner(loop, log, config.start, config.seed, bounds_of(config.limits));
+  Planner planner(loop, log, config.instance, config.seed, bounds_of(config.limits));
   const auto operation = attach(loop, log, planner, files, config, options);
   for (const FleetNews& news : config.known) planner.news(news);
   Fronts fronts(loop, log, planner, config, sip);
@@ -271,10 +271,10 @@
 void serve_as_planner(Loop& loop, Logger& log, Files& files, Service& service, Config config,
                       const ServeOptions& options, const std::vector<sockaddr_in>& planners) {
   const std::size_t index = *options.planner;
-  Settings& settings = config.start.settings;
+  Settings& settings = config.instance.settings;
   settings.rank = settings.rank * static_cast<unsigned>(planners.size()) + static_cast<unsigned>(index);
   settings.instances *= static_cast<unsigned>(planners.size());
-  Planner planner(loop, log, config.start, config.seed + index, bounds_of(config.limits));
+  Planner planner(loop, log, config.instance, config.seed + index, bounds_of(config.limits));
   const auto operation = attach(loop, log, planner, files, config, options);
   for (const FleetNews& news : config.known) planner.news(news);
   link::Port port(loop, log, planner, planners[index]);
@@ -326,8 +326,8 @@
                .answer_owed = [&] { planners.answer_owed(); },
                .schedule =
                    [&] {
-                     return StopSchedule(config.start.longest_deadline,
-                                         longest_aim_of(config.start.settings.classes));
+                     return StopSchedule(config.instance.longest_deadline,
+                                         longest_aim_of(config.instance.settings.classes));
                    },
                .end_connections = [&] { fronts.end_connections(); },
                .no_connections = [&] { return fronts.no_connections(); },
@@ -354,7 +354,7 @@
   std::optional<sip::FrontConfig> sip;
   if (options.sip) {
     sip = sip::parse_front_config(files.read(options.sip->c_str()), options.certs.has_value());
-    name_default_class(*sip, config.start.class_names);
+    name_default_class(*sip, config.instance.class_names);
   }
   std::vector<sockaddr_in> planners;
   if (options.levels) planners = parse_levels(files.read(options.levels->c_str()));
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -11,11 +11,11 @@
 using simdjson::dom::object;
 
 // An object that may be absent.
-using Facts = std::optional<object>;
+using OptionalObject = std::optional<object>;
 
 // A missing or null value is absent; one of another type is an error.
 template <typename T>
-std::optional<T> find(const Facts& from, std::string_view name) {
+std::optional<T> find(const OptionalObject& from, std::string_view name) {
   element found;
   if (!from || from->at_key(name).get(found) != simdjson::SUCCESS || found.is_null()) return std::nullopt;
   T read{};
@@ -26,63 +26,65 @@
 }
 
 template <typename T>
-T value(const Facts& from, std::string_view name, T fallback) {
+T value(const OptionalObject& from, std::string_view name, T fallback) {
   return find<T>(from, name).value_or(fallback);
 }
 
-std::string text(const Facts& from, std::string_view name) {
+std::string text(const OptionalObject& from, std::string_view name) {
   return std::string(value(from, name, std::string_view{}));
 }
 
-template <typename T, typename Take>
-void each(const Facts& from, std::string_view name, Take take) {
+template <typename T, typename Visit>
+void each(const OptionalObject& from, std::string_view name, Visit visit) {
   const auto list = find<array>(from, name);
   if (!list) return;
-  for (const element entry : *list) take(T(entry.get<T>()));
+  for (const element entry : *list) visit(T(entry.get<T>()));
 }
 
-Duration time_of(const Facts& from, std::string_view name) { return from_ms(value(from, name, 0.0)); }
+Duration duration_of(const OptionalObject& from, std::string_view name) {
+  return from_ms(value(from, name, 0.0));
+}
 
-unsigned count_of(const Facts& from, std::string_view name, unsigned fallback) {
+unsigned count_of(const OptionalObject& from, std::string_view name, unsigned fallback) {
   return static_cast<unsigned>(std::clamp(value(from, name, double(fallback)), 0.0, 1e6));
 }
 
-CallClass parse_class(const Facts& entry) {
+CallClass parse_class(const OptionalObject& entry) {
   CallClass parsed;
-  parsed.aim = time_of(entry, "aim");
-  parsed.deadline = time_of(entry, "deadline");
+  parsed.aim = duration_of(entry, "aim");
+  parsed.deadline = duration_of(entry, "deadline");
   parsed.worth = value(entry, "value", parsed.worth);
   parsed.late_worth = value(entry, "late_worth", parsed.late_worth);
   parsed.repeatable = value(entry, "effect", std::string_view("repeatable")) == "repeatable";
   return parsed;
 }
 
-void parse_contract(const Facts& contract, Settings& settings) {
-  settings.answer_grace = time_of(contract, "grace_to_answer");
-  settings.cold = time_of(contract, "cold");
+void parse_contract(const OptionalObject& contract, Settings& settings) {
+  settings.answer_grace = duration_of(contract, "grace_to_answer");
+  settings.cold = duration_of(contract, "cold");
   settings.cold_from = value(contract, "cold_from", settings.cold_from);
   settings.fall_multiple = value(contract, "fall_multiple", settings.fall_multiple);
-  settings.fall_window = time_of(contract, "fall");
+  settings.fall_window = duration_of(contract, "fall");
 }
 
-void parse_limits(const Facts& limits, StartUp& start) {
-  Settings& settings = start.settings;
+void parse_limits(const OptionalObject& limits, InstanceSettings& instance) {
+  Settings& settings = instance.settings;
   settings.attempts_cap = count_of(limits, "attempts_cap", settings.attempts_cap);
   settings.may_cancel = value(limits, "cancelling", false);
   settings.may_probe = value(limits, "probes", false);
   settings.may_tell = value(limits, "may_tell", false);
-  if (value(limits, "retry_after", false)) settings.max_retry_after = time_of(limits, "max_retry_after");
-  if (const auto limit = time_of(limits, "connect_timeout"); limit > Duration{0})
-    start.connect_timeout = limit;
+  if (value(limits, "retry_after", false)) settings.max_retry_after = duration_of(limits, "max_retry_after");
+  if (const auto limit = duration_of(limits, "connect_timeout"); limit > Duration{0})
+    instance.connect_timeout = limit;
 }
 
-void parse_specifics(const Facts& specifics, StartUp& start) {
-  Settings& settings = start.settings;
-  settings.resend = time_of(specifics, "resend");
-  settings.release_guard = time_of(specifics, "release_guard");
+void parse_specifics(const OptionalObject& specifics, InstanceSettings& instance) {
+  Settings& settings = instance.settings;
+  settings.resend = duration_of(specifics, "resend");
+  settings.release_guard = duration_of(specifics, "release_guard");
   settings.own_number = static_cast<int>(value(specifics, "self_no", double(settings.own_number)));
   if (text(specifics, "far_state") == "silent") settings.load_told = false;
-  start.waits_hinted = value(specifics, "retry_hint", false);
+  instance.retry_hint = value(specifics, "retry_hint", false);
   std::size_t at = 0;
   each<array>(specifics, "class_cells", [&](array cells) {
     if (at >= settings.classes.size()) return;
@@ -93,27 +95,27 @@
   });
 }
 
-StartUp translate(const Facts& facts) {
-  StartUp start;
-  Settings& settings = start.settings;
-  settings.instances = count_of(facts, "n_instances", settings.instances);
-  settings.rank = count_of(facts, "rank", settings.rank);
-  settings.quantum = time_of(facts, "quantum");
-  settings.over_share_worth = value(facts, "over_share_worth", settings.over_share_worth);
-  settings.must_subscribe = text(facts, "discovery") == "subscribe";
-  each<object>(facts, "request_classes", [&](object entry) {
+InstanceSettings decode(const OptionalObject& source) {
+  InstanceSettings instance;
+  Settings& settings = instance.settings;
+  settings.instances = count_of(source, "n_instances", settings.instances);
+  settings.rank = count_of(source, "rank", settings.rank);
+  settings.quantum = duration_of(source, "quantum");
+  settings.over_share_worth = value(source, "over_share_worth", settings.over_share_worth);
+  settings.must_subscribe = text(source, "discovery") == "subscribe";
+  each<object>(source, "request_classes", [&](object entry) {
     settings.classes.push_back(parse_class(entry));
-    start.class_names.push_back(text(entry, "name"));
-    start.longest_deadline = std::max(start.longest_deadline, settings.classes.back().deadline);
+    instance.class_names.push_back(text(entry, "name"));
+    instance.longest_deadline = std::max(instance.longest_deadline, settings.classes.back().deadline);
   });
-  each<object>(facts, "accounts",
+  each<object>(source, "accounts",
                [&](object entry) { settings.tenants.push_back({value(entry, "quota_rps", 0.0)}); });
-  parse_contract(find<object>(facts, "contract"), settings);
-  parse_limits(find<object>(facts, "limits"), start);
-  parse_specifics(find<object>(facts, "specifics"), start);
-  each<std::string_view>(find<object>(facts, "report"), "fields",
-                         [&](std::string_view name) { start.report_fields.emplace_back(name); });
-  return start;
+  parse_contract(find<object>(source, "contract"), settings);
+  parse_limits(find<object>(source, "limits"), instance);
+  parse_specifics(find<object>(source, "specifics"), instance);
+  each<std::string_view>(find<object>(source, "report"), "fields",
+                         [&](std::string_view name) { instance.report_fields.emplace_back(name); });
+  return instance;
 }
 
 }  // namespace
@@ -130,23 +132,23 @@
   return Duration{std::llround(std::clamp(ms, -kTenYears, kTenYears) * 1e3)};
 }
 
-StartUp parse_settings(object facts) {
+InstanceSettings parse_settings(object source) {
   try {
-    return translate(facts);
+    return decode(source);
   } catch (const simdjson::simdjson_error& error) {
     throw SettingsError(std::string("settings cannot be read: ") + error.what());
   }
 }
 
-StartUp parse_settings(std::string_view json) {
+InstanceSettings parse_settings(std::string_view json) {
   simdjson::dom::parser parser;
   element root;
   if (const auto error = parser.parse(json).get(root)) {
     throw SettingsError(std::string("settings cannot be read: ") + simdjson::error_message(error));
   }
-  object facts;
-  if (root.get(facts) != simdjson::SUCCESS) throw SettingsError("settings are not a JSON object");
-  return parse_settings(facts);
+  object source;
+  if (root.get(source) != simdjson::SUCCESS) throw SettingsError("settings are not a JSON object");
+  return parse_settings(source);
 }
 
 std::optional<double>* report_field(LoadReport& report, std::string_view name) {
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -12,11 +12,11 @@
 
 namespace quartzarch {
 
-struct StartUp {
+struct InstanceSettings {
   Settings settings;
   std::vector<std::string> class_names;    // in the order of settings.classes
   std::vector<std::string> report_fields;  // names of the load report's values, in their order
-  bool waits_hinted = false;               // a full processor names a wait
+  bool retry_hint = false;                 // a full processor names a wait
   Duration connect_timeout = std::chrono::milliseconds(500);
   Duration longest_deadline{};  // of all classes
 };
@@ -33,8 +33,8 @@
 
 // Unknown keys are skipped, absent ones keep the defaults. Throws SettingsError if a value has the wrong type
 // or, for text, if it is not a JSON object.
-StartUp parse_settings(simdjson::dom::object facts);
-StartUp parse_settings(std::string_view json);
+InstanceSettings parse_settings(simdjson::dom::object source);
+InstanceSettings parse_settings(std::string_view json);
 
 // The field of a load report that `name` stands for, by its name in the settings or in the simulator's own
 // words; null if unknown.
--- a/src/settings_check.cpp
+++ b/src/settings_check.cpp
@@ -79,25 +79,25 @@
   throw ConfigError("line " + std::to_string(line_of(json, path)) + ": \"" + at + "\" " + what);
 }
 
-void check_usable(std::string_view json, object settings_there, const StartUp& start) {
+void check_usable(std::string_view json, object settings_json, const InstanceSettings& instance) {
   const auto has = [](object from, std::string_view key) {
     element found;
     return from.at_key(key).get(found) == simdjson::SUCCESS && !found.is_null();
   };
   for (const auto& [of, keys] : kNeeded) {
-    if (!of.empty() && !has(settings_there, of)) unusable(json, {"settings", of}, "is missing");
-    const object from = of.empty() ? settings_there : object(settings_there[of]);
+    if (!of.empty() && !has(settings_json, of)) unusable(json, {"settings", of}, "is missing");
+    const object from = of.empty() ? settings_json : object(settings_json[of]);
     for (const auto key : keys) {
       if (has(from, key)) continue;
       if (of.empty()) unusable(json, {"settings", key}, "is missing");
       unusable(json, {"settings", of, key}, "is missing");
     }
   }
-  const Settings& settings = start.settings;
+  const Settings& settings = instance.settings;
   if (settings.classes.empty()) unusable(json, {"settings", "request_classes"}, "names no class of call");
   std::set<std::string_view> names;
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
-    const std::string& name = start.class_names[i];
+    const std::string& name = instance.class_names[i];
     const CallClass& each = settings.classes[i];
     if (name.empty()) unusable(json, {"settings", "request_classes"}, "has a class without a name");
     if (!names.insert(name).second) unusable(json, {"request_classes", name}, "is there twice");
--- a/src/settings_check.hpp
+++ b/src/settings_check.hpp
@@ -17,7 +17,7 @@
                            const std::string& what);
 
 // What cannot be served by, or is needed and not there, is told (ConfigError); nothing is put in its place.
-void check_usable(std::string_view json, simdjson::dom::object settings, const StartUp& start);
+void check_usable(std::string_view json, simdjson::dom::object settings, const InstanceSettings& instance);
 
 // The settings' keys that mean nothing here, by path: from a newer platform, or misspelt.
 std::vector<std::string> unknown_settings(simdjson::dom::object settings);
--- a/standin/node/node.cpp
+++ b/standin/node/node.cpp
@@ -7,8 +7,8 @@
 
 constexpr Duration kLook = std::chrono::milliseconds(10);
 
-StartUp start_up(const Node::Options& options) {
-  StartUp start;
+InstanceSettings start_up(const Node::Options& options) {
+  InstanceSettings start;
   start.settings.classes.resize(options.class_names.size());
   for (auto& each : start.settings.classes) each.aim = options.aim, each.deadline = options.deadline;
   start.class_names = options.class_names;
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -177,7 +177,7 @@
 }
 
 TEST(StartUpSettings, AreTranslatedUnknownKeysSkippedAbsentOnesDefaulted) {
-  const StartUp start = parse_settings(kSettings);
+  const InstanceSettings start = parse_settings(kSettings);
   EXPECT_EQ(start.settings.instances, 4u);
   EXPECT_EQ(start.settings.resend, Duration{400000});
   EXPECT_EQ(start.settings.classes.at(0).worth, 2.0);
--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -31,7 +31,8 @@
 // Two servers: attempts 0 and 1 go to the first, `other` hears of any that goes elsewhere.
 class RetriedCall : public Program {
  protected:
-  RetriedCall() : Program([](StartUp& start) { start.settings.release_guard = milliseconds(300); }) {}
+  RetriedCall()
+      : Program([](InstanceSettings& start) { start.settings.release_guard = milliseconds(300); }) {}
 
   void lose_the_first_attempt(Loss how) {
     planner->news({1, true, {host(listener, 0), host(second, 1)}});
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -101,7 +101,7 @@
 
 class NothingCalledOff : public Program {
  protected:
-  NothingCalledOff() : Program([](StartUp& start) { start.settings.may_cancel = false; }) {}
+  NothingCalledOff() : Program([](InstanceSettings& start) { start.settings.may_cancel = false; }) {}
 };
 
 // Where attempts may not be called off, one that has not begun is none.
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -158,9 +158,9 @@
 class Program : public ::testing::Test {
  protected:
   // `change`: what a test wants otherwise in the settings.
-  explicit Program(const std::function<void(StartUp&)>& change = [](StartUp&) {}) {
+  explicit Program(const std::function<void(InstanceSettings&)>& change = [](InstanceSettings&) {}) {
     std::signal(SIGPIPE, SIG_IGN);
-    StartUp start;
+    InstanceSettings start;
     start.settings.classes.resize(2);
     for (auto& c : start.settings.classes) c.aim = milliseconds(1500), c.deadline = milliseconds(9000);
     start.class_names = {"voice", "exam"};
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -221,7 +221,7 @@
   EXPECT_EQ(config.limits.output_bytes(), 64u << 10);
   EXPECT_EQ(config.known.at(0).hosts.at(0).entry.started, Time{1796136168000000});
   EXPECT_EQ(config.known.at(0).hosts.at(0).entry.availability, Availability::draining);
-  EXPECT_EQ(config.start.class_names.at(0), "voice");
+  EXPECT_EQ(config.instance.class_names.at(0), "voice");
   EXPECT_EQ(config.unknown, (std::vector<std::string>{"sides", "request_classes.hue", "specifics.mood"}));
   for (const char* bad : {"", "{", "[]", "{\"listen\":1}", "{\"listen\":\"x\",\"coordinator\":\"y\"}"}) {
     EXPECT_THROW(parse_config(bad), ConfigError) << bad;
