--- a/src/config.cpp
+++ b/src/config.cpp
@@ -158,7 +158,7 @@
       const auto limit = [&](std::string_view name, double fallback, double least) {
         const double given = value(limits.get_object(), name, fallback);
         if (given < least)
-          unusable(json, {"limits", name}, "is under " + std::to_string(static_cast<int>(least)));
+          fail_setting(json, {"limits", name}, "is under " + std::to_string(static_cast<int>(least)));
         return static_cast<unsigned>(std::min(given, 1e6));
       };
       config.limits.sockets = limit("sockets", 1024, kFewestSockets);
@@ -173,7 +173,7 @@
     }
     const object settings = wanted<object>(root, "settings");
     config.instance = parse_settings(settings);
-    check_usable(json, settings, config.instance);
+    check_settings(json, settings, config.instance);
     config.unknown = unknown_settings(settings);
     return config;
   } catch (const simdjson::simdjson_error& error) {
--- a/src/settings_check.cpp
+++ b/src/settings_check.cpp
@@ -16,7 +16,7 @@
 using Keys = std::set<std::string_view>;
 
 // Without these the rules could be broken unseen.
-const std::map<std::string_view, Keys> kNeeded{
+const std::map<std::string_view, Keys> kRequiredKeys{
     {"", {"n_instances", "request_classes"}},
     {"contract", {"cold", "cold_from", "fall", "fall_multiple"}},
     {"limits", {"attempts_cap"}},
@@ -24,7 +24,7 @@
 };
 
 // Everything that the platform's page names, also what nothing follows from here.
-const std::map<std::string_view, Keys> kKnown{
+const std::map<std::string_view, Keys> kKnownKeys{
     {"", {"accounts", "areas",  "clients",  "contract",        "discovery",        "domain_type",
           "kinds",    "limits", "locality", "n_instances",     "over_share_worth", "prices",
           "quantum",  "rank",   "report",   "request_classes", "result_mix",       "specifics",
@@ -49,9 +49,9 @@
       "shape", "widths"}},
 };
 
-void note_unknown(object from, std::string_view of, std::vector<std::string>& unknown) {
+void add_unknown_keys(object from, std::string_view of, std::vector<std::string>& unknown) {
   for (const auto field : from) {
-    if (kKnown.at(of).count(field.key) > 0) continue;
+    if (kKnownKeys.at(of).count(field.key) > 0) continue;
     std::string path = of.empty() ? std::string(field.key) : std::string(of) + "." + std::string(field.key);
     if (std::find(unknown.begin(), unknown.end(), path) == unknown.end()) unknown.push_back(std::move(path));
   }
@@ -69,69 +69,70 @@
 }
 
 // No call is held for longer, and what is reckoned from a longer time would be worth nothing.
-constexpr Duration kLongestDeadline = std::chrono::hours(24);
+constexpr Duration kMaxDeadline = std::chrono::hours(24);
 
 }  // namespace
 
-void unusable(std::string_view json, std::initializer_list<std::string_view> path, const std::string& what) {
+void fail_setting(std::string_view json, std::initializer_list<std::string_view> path,
+                  const std::string& what) {
   std::string at;
   for (const auto name : path) at += (at.empty() ? "" : ".") + std::string(name);
   throw ConfigError("line " + std::to_string(line_of(json, path)) + ": \"" + at + "\" " + what);
 }
 
-void check_usable(std::string_view json, object settings_json, const InstanceSettings& instance) {
+void check_settings(std::string_view json, object settings_json, const InstanceSettings& instance) {
   const auto has = [](object from, std::string_view key) {
     element found;
     return from.at_key(key).get(found) == simdjson::SUCCESS && !found.is_null();
   };
-  for (const auto& [of, keys] : kNeeded) {
-    if (!of.empty() && !has(settings_json, of)) unusable(json, {"settings", of}, "is missing");
+  for (const auto& [of, keys] : kRequiredKeys) {
+    if (!of.empty() && !has(settings_json, of)) fail_setting(json, {"settings", of}, "is missing");
     const object from = of.empty() ? settings_json : object(settings_json[of]);
     for (const auto key : keys) {
       if (has(from, key)) continue;
-      if (of.empty()) unusable(json, {"settings", key}, "is missing");
-      unusable(json, {"settings", of, key}, "is missing");
+      if (of.empty()) fail_setting(json, {"settings", key}, "is missing");
+      fail_setting(json, {"settings", of, key}, "is missing");
     }
   }
   const Settings& settings = instance.settings;
-  if (settings.classes.empty()) unusable(json, {"settings", "request_classes"}, "names no class of call");
+  if (settings.classes.empty()) fail_setting(json, {"settings", "request_classes"}, "names no class of call");
   std::set<std::string_view> names;
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const std::string& name = instance.class_names[i];
     const CallClass& each = settings.classes[i];
-    if (name.empty()) unusable(json, {"settings", "request_classes"}, "has a class without a name");
-    if (!names.insert(name).second) unusable(json, {"request_classes", name}, "is there twice");
-    const auto wants = [&](std::string_view key, bool holds, const char* what) {
-      if (!holds) unusable(json, {"request_classes", name, key}, what);
+    if (name.empty()) fail_setting(json, {"settings", "request_classes"}, "has a class without a name");
+    if (!names.insert(name).second) fail_setting(json, {"request_classes", name}, "is there twice");
+    const auto require = [&](std::string_view key, bool holds, const char* what) {
+      if (!holds) fail_setting(json, {"request_classes", name, key}, what);
     };
-    wants("aim", each.aim > Duration{0}, "is not over 0");
-    wants("deadline", each.deadline > Duration{0}, "is not over 0");
-    wants("deadline", each.deadline <= kLongestDeadline, "is over 24 hours");
-    wants("value", each.worth >= 0, "is under 0");
-    wants("late_worth", each.late_worth >= 0, "is under 0");
+    require("aim", each.aim > Duration{0}, "is not over 0");
+    require("deadline", each.deadline > Duration{0}, "is not over 0");
+    require("deadline", each.deadline <= kMaxDeadline, "is over 24 hours");
+    require("value", each.worth >= 0, "is under 0");
+    require("late_worth", each.late_worth >= 0, "is under 0");
   }
-  const auto wants = [&](std::string_view of, std::string_view key, bool holds, const char* what) {
-    if (!holds) unusable(json, {of, key}, what);
+  const auto require = [&](std::string_view of, std::string_view key, bool holds, const char* what) {
+    if (!holds) fail_setting(json, {of, key}, what);
   };
-  wants("settings", "n_instances", settings.instances > 0, "is not over 0");
-  wants("limits", "attempts_cap", settings.attempts_cap > 0, "is not over 0");
-  wants("specifics", "release_guard", settings.release_guard >= Duration{0}, "is under 0");
-  wants("specifics", "resend", settings.resend >= Duration{0}, "is under 0");
-  wants("contract", "cold", settings.cold >= Duration{0}, "is under 0");
-  wants("contract", "cold_from", settings.cold_from > 0 && settings.cold_from <= 1, "is not from 0 to 1");
-  wants("contract", "fall_multiple", settings.fall_multiple > 0, "is not over 0");
-  wants("contract", "fall", settings.fall_window >= Duration{0}, "is under 0");
+  require("settings", "n_instances", settings.instances > 0, "is not over 0");
+  require("limits", "attempts_cap", settings.attempts_cap > 0, "is not over 0");
+  require("specifics", "release_guard", settings.release_guard >= Duration{0}, "is under 0");
+  require("specifics", "resend", settings.resend >= Duration{0}, "is under 0");
+  require("contract", "cold", settings.cold >= Duration{0}, "is under 0");
+  require("contract", "cold_from", settings.cold_from > 0 && settings.cold_from <= 1, "is not from 0 to 1");
+  require("contract", "fall_multiple", settings.fall_multiple > 0, "is not over 0");
+  require("contract", "fall", settings.fall_window >= Duration{0}, "is under 0");
 }
 
 std::vector<std::string> unknown_settings(object settings) {
   std::vector<std::string> unknown;
-  note_unknown(settings, "", unknown);
+  add_unknown_keys(settings, "", unknown);
   for (const auto field : settings) {
-    if (kKnown.count(field.key) == 0 || field.key.empty()) continue;
-    if (field.value.is_object()) note_unknown(field.value.get_object(), field.key, unknown);
+    if (kKnownKeys.count(field.key) == 0 || field.key.empty()) continue;
+    if (field.value.is_object()) add_unknown_keys(field.value.get_object(), field.key, unknown);
     if (!field.value.is_array()) continue;
     for (const element entry : field.value.get_array()) {
-      if (entry.is_object()) note_unknown(entry.get_object(), field.key, unknown);
+      if (entry.is_object()) add_unknown_keys(entry.get_object(), field.key, unknown);
     }
   }
   return unknown;
--- a/src/settings_check.hpp
+++ b/src/settings_check.hpp
@@ -13,11 +13,11 @@
 namespace quartzarch {
 
 // Throws ConfigError, its line naming the line and the key in `json`.
-[[noreturn]] void unusable(std::string_view json, std::initializer_list<std::string_view> path,
-                           const std::string& what);
+[[noreturn]] void fail_setting(std::string_view json, std::initializer_list<std::string_view> path,
+                               const std::string& what);
 
 // What cannot be served by, or is needed and not there, is told (ConfigError); nothing is put in its place.
-void check_usable(std::string_view json, simdjson::dom::object settings, const InstanceSettings& instance);
+void check_settings(std::string_view json, simdjson::dom::object settings, const InstanceSettings& instance);
 
 // The settings' keys that mean nothing here, by path: from a newer platform, or misspelt.
 std::vector<std::string> unknown_settings(simdjson::dom::object settings);
