--- a/src/control_service.cpp
+++ b/src/control_service.cpp
@@ -49,36 +49,36 @@
   using namespace settings_file;
   ControlSettings settings;
   read(source, [&](const toml::table& table) {
-    take_all(table,
-             {{"listen",
-               [&](const toml::node& n, const std::string& k) {
-                 settings.listen = address(n, k);
-                 if (ntohl(settings.listen.sin_addr.s_addr) >> 24 != 127)
-                   fail(n, k, "is not a loopback address");
-               }},
-              {"directory",
-               [&](const toml::node& n, const std::string& k) { settings.directory = text(n, k, 4096); }},
-              {"longest_wait_ms",
-               [&](const toml::node& n, const std::string& k) {
-                 settings.gaps.longest_wait = std::chrono::milliseconds(number(n, k, 1, 3600000));
-               }},
-              {"grace_ms",
-               [&](const toml::node& n, const std::string& k) {
-                 settings.gaps.grace = std::chrono::milliseconds(number(n, k, 1, 60000));
-               }},
-              {"slots",
-               [&](const toml::node& n, const std::string& k) {
-                 settings.gaps.slots = static_cast<std::size_t>(number(n, k, 0, 10000000));
-               }},
-              {"counters",
-               [&](const toml::node& n, const std::string& k) {
-                 settings.sketch.counters = static_cast<std::size_t>(number(n, k, 1, 100000));
-               }},
-              {"pane_s",
-               [&](const toml::node& n, const std::string& k) {
-                 settings.sketch.pane = std::chrono::seconds(number(n, k, 1, 3600));
-               }}},
-             {"listen", "directory"});
+    read_keys(table,
+              {{"listen",
+                [&](const toml::node& n, const std::string& k) {
+                  settings.listen = address(n, k);
+                  if (ntohl(settings.listen.sin_addr.s_addr) >> 24 != 127)
+                    fail(n, k, "is not a loopback address");
+                }},
+               {"directory",
+                [&](const toml::node& n, const std::string& k) { settings.directory = text(n, k, 4096); }},
+               {"longest_wait_ms",
+                [&](const toml::node& n, const std::string& k) {
+                  settings.gaps.longest_wait = std::chrono::milliseconds(number(n, k, 1, 3600000));
+                }},
+               {"grace_ms",
+                [&](const toml::node& n, const std::string& k) {
+                  settings.gaps.grace = std::chrono::milliseconds(number(n, k, 1, 60000));
+                }},
+               {"slots",
+                [&](const toml::node& n, const std::string& k) {
+                  settings.gaps.slots = static_cast<std::size_t>(number(n, k, 0, 10000000));
+                }},
+               {"counters",
+                [&](const toml::node& n, const std::string& k) {
+                  settings.sketch.counters = static_cast<std::size_t>(number(n, k, 1, 100000));
+                }},
+               {"pane_s",
+                [&](const toml::node& n, const std::string& k) {
+                  settings.sketch.pane = std::chrono::seconds(number(n, k, 1, 3600));
+                }}},
+              {"listen", "directory"});
   });
   return settings;
 }
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -24,7 +24,7 @@
   read(source, [&](const toml::table& table) {
     const auto take_voter = [&](const toml::table& entry) {
       VoterAddress voter;
-      take_all(
+      read_keys(
           entry,
           {{"name", [&](const toml::node& n, const std::string& k) { voter.name = text(n, k); }},
            {"address", [&](const toml::node& n, const std::string& k) { voter.address = address(n, k); }}},
@@ -34,18 +34,18 @@
     };
     const auto take_duty = [&](const toml::table& entry) {
       Duty duty;
-      take_all(entry,
-               {{"name", [&](const toml::node& n, const std::string& k) { duty.name = text(n, k); }},
-                {"preferred",
-                 [&](const toml::node& n, const std::string& k) {
-                   if (!n.is_array()) fail(n, k, "is no list of controllers' names");
-                   for (const toml::node& each : *n.as_array()) duty.preferred.push_back(text(each, k));
-                 }},
-                {"progress_ms",
-                 [&](const toml::node& n, const std::string& k) {
-                   duty.progress = milliseconds(number(n, k, 100, 86400000));
-                 }}},
-               {"name"});
+      read_keys(entry,
+                {{"name", [&](const toml::node& n, const std::string& k) { duty.name = text(n, k); }},
+                 {"preferred",
+                  [&](const toml::node& n, const std::string& k) {
+                    if (!n.is_array()) fail(n, k, "is no list of controllers' names");
+                    for (const toml::node& each : *n.as_array()) duty.preferred.push_back(text(each, k));
+                  }},
+                 {"progress_ms",
+                  [&](const toml::node& n, const std::string& k) {
+                    duty.progress = milliseconds(number(n, k, 100, 86400000));
+                  }}},
+                {"name"});
       for (const Duty& other : settings.duties) {
         if (other.name == duty.name) fail(entry, "name", "names a duty twice");
       }
@@ -56,24 +56,25 @@
         to = milliseconds(number(n, k, least, most));
       };
     };
-    take_all(table,
-             {{"voter", [&](const toml::node& n, const std::string& k) { each_table(n, k, take_voter); }},
-              {"duty", [&](const toml::node& n, const std::string& k) { each_table(n, k, take_duty); }},
-              {"directory",
-               [&](const toml::node& n, const std::string& k) { settings.directory = text(n, k, 4096); }},
-              {"secret_file",
-               [&](const toml::node& n, const std::string& k) { settings.secret_file = text(n, k, 4096); }},
-              {"listen", [&](const toml::node& n, const std::string& k) { settings.listen = address(n, k); }},
-              {"lease_ms", ms(settings.ttl, 500, 60000)},
-              {"election_ms", ms(settings.election, 100, 10000)},
-              {"heartbeat_ms", ms(settings.heartbeat, 20, 2000)},
-              {"start_wait_ms", ms(settings.start_wait, 0, 60000)},
-              {"ending_ms", ms(settings.ending, 10, 30000)},
-              {"drift_percent",
-               [&](const toml::node& n, const std::string& k) {
-                 settings.drift = static_cast<double>(number(n, k, 0, 20)) / 100;
-               }}},
-             {"voter", "directory"});
+    read_keys(
+        table,
+        {{"voter", [&](const toml::node& n, const std::string& k) { for_each_table(n, k, take_voter); }},
+         {"duty", [&](const toml::node& n, const std::string& k) { for_each_table(n, k, take_duty); }},
+         {"directory",
+          [&](const toml::node& n, const std::string& k) { settings.directory = text(n, k, 4096); }},
+         {"secret_file",
+          [&](const toml::node& n, const std::string& k) { settings.secret_file = text(n, k, 4096); }},
+         {"listen", [&](const toml::node& n, const std::string& k) { settings.listen = address(n, k); }},
+         {"lease_ms", ms(settings.ttl, 500, 60000)},
+         {"election_ms", ms(settings.election, 100, 10000)},
+         {"heartbeat_ms", ms(settings.heartbeat, 20, 2000)},
+         {"start_wait_ms", ms(settings.start_wait, 0, 60000)},
+         {"ending_ms", ms(settings.ending, 10, 30000)},
+         {"drift_percent",
+          [&](const toml::node& n, const std::string& k) {
+            settings.drift = static_cast<double>(number(n, k, 0, 20)) / 100;
+          }}},
+        {"voter", "directory"});
     const auto wrong = [&](const char* key, const std::string& what) {
       const toml::node* const at = table.get(key);
       fail(at ? *at : static_cast<const toml::node&>(table), key, what);
--- a/src/settings_file.cpp
+++ b/src/settings_file.cpp
@@ -24,7 +24,7 @@
   return *value;
 }
 
-bool yes(const toml::node& node, const std::string& key) {
+bool boolean(const toml::node& node, const std::string& key) {
   const auto value = node.value_exact<bool>();
   if (!value) fail(node, key, "is neither true nor false");
   return *value;
@@ -36,8 +36,8 @@
   return *parsed;
 }
 
-void take_all(const toml::table& table, const std::map<std::string, Take>& known,
-              const std::vector<std::string>& needed) {
+void read_keys(const toml::table& table, const std::map<std::string, KeyHandler>& known,
+               const std::vector<std::string>& needed) {
   for (const auto& [name, node] : table) {
     const std::string key(name.str());
     const auto found = known.find(key);
@@ -49,16 +49,16 @@
   }
 }
 
-void each_table(const toml::node& node, const std::string& key,
-                const std::function<void(const toml::table&)>& take) {
+void for_each_table(const toml::node& node, const std::string& key,
+                    const std::function<void(const toml::table&)>& handle) {
   const toml::array* const list = node.as_array();
   if (!list || !list->is_array_of_tables()) fail(node, key, "is no list of tables: [[" + key + "]]");
-  for (const toml::node& entry : *list) take(*entry.as_table());
+  for (const toml::node& entry : *list) handle(*entry.as_table());
 }
 
-void read(std::string_view source, const std::function<void(const toml::table&)>& take) {
+void read(std::string_view source, const std::function<void(const toml::table&)>& handle) {
   try {
-    take(toml::parse(source));
+    handle(toml::parse(source));
   } catch (const toml::parse_error& error) {
     throw ConfigError("line " + std::to_string(error.source().begin.line) +
                       ": no TOML: " + std::string(error.description()));
--- a/src/settings_file.hpp
+++ b/src/settings_file.hpp
@@ -17,19 +17,19 @@
 // All throw ConfigError("line N: \"KEY\" WHAT").
 [[noreturn]] void fail(const toml::node& at, const std::string& key, const std::string& what);
 std::int64_t number(const toml::node& node, const std::string& key, std::int64_t least, std::int64_t most);
-bool yes(const toml::node& node, const std::string& key);
+bool boolean(const toml::node& node, const std::string& key);
 // Of 1 to `most` characters.
 std::string text(const toml::node& node, const std::string& key, std::size_t most = 64);
 sockaddr_in address(const toml::node& node, const std::string& key);
 
-using Take = std::function<void(const toml::node& node, const std::string& key)>;
+using KeyHandler = std::function<void(const toml::node& node, const std::string& key)>;
 // Every key of the table is taken by name; one that nobody takes, or that must be there and is not, is told.
-void take_all(const toml::table& table, const std::map<std::string, Take>& known,
-              const std::vector<std::string>& needed);
-void each_table(const toml::node& node, const std::string& key,
-                const std::function<void(const toml::table&)>& take);
+void read_keys(const toml::table& table, const std::map<std::string, KeyHandler>& known,
+               const std::vector<std::string>& needed);
+void for_each_table(const toml::node& node, const std::string& key,
+                    const std::function<void(const toml::table&)>& handle);
 
 // The whole file. Throws ConfigError if it is no TOML too.
-void read(std::string_view source, const std::function<void(const toml::table&)>& take);
+void read(std::string_view source, const std::function<void(const toml::table&)>& handle);
 
 }  // namespace quartzarch::settings_file
