--- a/src/config.cpp
+++ b/src/config.cpp
@@ -22,7 +22,7 @@
 using simdjson::dom::object;
 
 template <typename T>
-T wanted(object from, std::string_view name) {
+T required(object from, std::string_view name) {
   element found;
   T read{};
   if (from.at_key(name).get(found) != simdjson::SUCCESS || found.get(read) != simdjson::SUCCESS) {
@@ -35,7 +35,7 @@
 T value(object from, std::string_view name, T fallback) {
   element found;
   if (from.at_key(name).get(found) != simdjson::SUCCESS || found.is_null()) return fallback;
-  return wanted<T>(from, name);
+  return required<T>(from, name);
 }
 
 sockaddr_in address(std::string_view text, std::string_view name) {
@@ -62,13 +62,13 @@
 
 Host parse_host(object from) {
   Host host;
-  host.name = std::string(wanted<std::string_view>(from, "host"));
-  const auto dial = address(wanted<std::string_view>(from, "dial"), "dial");
+  host.name = std::string(required<std::string_view>(from, "host"));
+  const auto dial = address(required<std::string_view>(from, "dial"), "dial");
   const auto* const bytes = reinterpret_cast<const std::uint8_t*>(&dial.sin_addr);
   std::copy_n(bytes, 4, host.entry.id.address.begin());
   host.entry.id.port = ntohs(dial.sin_port);
   host.entry.number = static_cast<int>(std::clamp(value(from, "block", -1.0), -1.0, 1e6));
-  host.entry.availability = availability_of(wanted<std::string_view>(from, "health"));
+  host.entry.availability = availability_of(required<std::string_view>(from, "health"));
   const double born = value(from, "born_ms", 0.0);
   // Not by from_ms, which cuts at ten years: this counts from 1970.
   if (born > 0 && born < 1e14) host.entry.started = Time{std::llround(born * 1e3)};
@@ -76,26 +76,26 @@
 }
 
 // Throws simdjson's errors too.
-FleetNews news_of(object from) {
-  FleetNews news;
-  news.index = wanted<std::uint64_t>(from, "index");
-  const object endpoints = wanted<object>(from, "endpoints");
-  news.whole = value(endpoints, "whole", false);
-  for (const element entry : wanted<array>(endpoints, "hosts"))
-    news.hosts.push_back(parse_host(entry.get_object()));
-  return news;
+FleetNews fleet_event_of(object from) {
+  FleetNews event;
+  event.index = required<std::uint64_t>(from, "index");
+  const object endpoints = required<object>(from, "endpoints");
+  event.whole = value(endpoints, "whole", false);
+  for (const element entry : required<array>(endpoints, "hosts"))
+    event.hosts.push_back(parse_host(entry.get_object()));
+  return event;
 }
 
 // The first key of `was` that `now` lacks, as a path; what the coordinator told is not compared.
-std::optional<std::string> missing(object was, object now, const std::string& path) {
-  for (const auto field : was) {
+std::optional<std::string> find_missing_key(object running, object reloaded, const std::string& path) {
+  for (const auto field : running) {
     const std::string key(field.key);
     const std::string at = path.empty() ? key : path + "." + key;
     element there;
-    if (now.at_key(field.key).get(there) != simdjson::SUCCESS) return at;
+    if (reloaded.at_key(field.key).get(there) != simdjson::SUCCESS) return at;
     if (key == "known") continue;
     if (field.value.is_object() && there.is_object()) {
-      if (auto lacking = missing(field.value.get_object(), there.get_object(), at)) return lacking;
+      if (auto missing = find_missing_key(field.value.get_object(), there.get_object(), at)) return missing;
     }
     if (key == "request_classes" && field.value.is_array() && there.is_array()) {
       // Classes come and go: each new one has what all the running ones have in common.
@@ -121,22 +121,22 @@
 
 }  // namespace
 
-void check_again(std::string_view running, std::string_view fresh) {
-  simdjson::dom::parser was_parser, now_parser;
+void check_reload(std::string_view running, std::string_view reloaded) {
+  simdjson::dom::parser running_parser, reloaded_parser;
   try {
-    if (const auto lacking =
-            missing(was_parser.parse(running).get_object(), now_parser.parse(fresh).get_object(), "")) {
-      throw ConfigError("\"" + *lacking + "\" is missing");
+    if (const auto missing = find_missing_key(running_parser.parse(running).get_object(),
+                                              reloaded_parser.parse(reloaded).get_object(), "")) {
+      throw ConfigError("\"" + *missing + "\" is missing");
     }
   } catch (const simdjson::simdjson_error& error) {
     throw ConfigError(std::string("no JSON of the expected form: ") + error.what());
   }
 }
 
-FleetNews parse_news(std::string_view json) {
+FleetNews parse_fleet_event(std::string_view json) {
   simdjson::dom::parser parser;
   try {
-    return news_of(parser.parse(json).get_object());
+    return fleet_event_of(parser.parse(json).get_object());
   } catch (const simdjson::simdjson_error& error) {
     throw ConfigError(std::string("news of the setup servers cannot be read: ") + error.what());
   }
@@ -148,8 +148,8 @@
     const object root = parser.parse(json).get_object();
     Config config;
     config.name = std::string(value(root, "name", std::string_view("quartzarch")));
-    config.listen = address(wanted<std::string_view>(root, "listen"), "listen");
-    config.coordinator = address(wanted<std::string_view>(root, "coordinator"), "coordinator");
+    config.listen = address(required<std::string_view>(root, "listen"), "listen");
+    config.coordinator = address(required<std::string_view>(root, "coordinator"), "coordinator");
     config.seed = seed_of(root);
     const auto management = value(root, "management", std::string_view());
     if (!management.empty()) config.management = address(management, "management");
@@ -161,17 +161,17 @@
           fail_setting(json, {"limits", name}, "is under " + std::to_string(static_cast<int>(least)));
         return static_cast<unsigned>(std::min(given, 1e6));
       };
-      config.limits.sockets = limit("sockets", 1024, kFewestSockets);
+      config.limits.sockets = limit("sockets", 1024, kMinSockets);
       config.limits.memory_mb = limit("memory_mb", 192, 8);
     }
     element known;
     if (root.at_key("known").get(known) == simdjson::SUCCESS && !known.is_null()) {
       config.known_index = value(known.get_object(), "index", std::uint64_t{0});
-      for (const element update : wanted<array>(known.get_object(), "updates")) {
-        config.known.push_back(news_of(update.get_object()));
+      for (const element update : required<array>(known.get_object(), "updates")) {
+        config.known.push_back(fleet_event_of(update.get_object()));
       }
     }
-    const object settings = wanted<object>(root, "settings");
+    const object settings = required<object>(root, "settings");
     config.instance = parse_settings(settings);
     check_settings(json, settings, config.instance);
     config.unknown = unknown_settings(settings);
@@ -191,7 +191,7 @@
   return text.str();
 }
 
-std::vector<sockaddr_in> parse_levels(std::string_view toml) {
+std::vector<sockaddr_in> parse_planner_addresses(std::string_view toml) {
   std::vector<sockaddr_in> planners;
   try {
     const toml::table table = toml::parse(toml);
--- a/src/config.hpp
+++ b/src/config.hpp
@@ -19,7 +19,7 @@
 };
 
 // With fewer no process can serve.
-inline constexpr unsigned kFewestSockets = 32;
+inline constexpr unsigned kMinSockets = 32;
 
 // What the platform grants the process, and what follows from it.
 struct Limits {
@@ -56,14 +56,14 @@
 Config parse_config(std::string_view json);
 // For a file read again at SIGHUP, which could be parsed: throws ConfigError naming a key that the running
 // file has and `fresh` lacks (of the classes, one that all running ones have).
-void check_again(std::string_view running, std::string_view fresh);
+void check_reload(std::string_view running, std::string_view reloaded);
 // A file's text; throws ConfigError if it cannot be read.
 std::string read_file(const std::string& path);
 
 // The loopback addresses of the planners, from a file like deploy/levels.toml.
-std::vector<sockaddr_in> parse_levels(std::string_view toml);
+std::vector<sockaddr_in> parse_planner_addresses(std::string_view toml);
 
 // One event of the coordinator. Throws ConfigError if it is malformed.
-FleetNews parse_news(std::string_view json);
+FleetNews parse_fleet_event(std::string_view json);
 
 }  // namespace quartzarch
--- a/src/net/coordinator.cpp
+++ b/src/net/coordinator.cpp
@@ -189,7 +189,7 @@
 
 bool Coordinator::event() {
   try {
-    const FleetNews news = parse_news(std::exchange(data_, {}));
+    const FleetNews news = parse_fleet_event(std::exchange(data_, {}));
     if (news.index <= index_) return true;  // told before
     index_ = news.index;
     on_news_(news);
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -53,7 +53,7 @@
 Config within_own_limits(Config config) {
   rlimit own{};
   if (::getrlimit(RLIMIT_NOFILE, &own) == 0 && own.rlim_cur < config.limits.sockets)
-    config.limits.sockets = std::max(static_cast<unsigned>(own.rlim_cur), kFewestSockets);
+    config.limits.sockets = std::max(static_cast<unsigned>(own.rlim_cur), kMinSockets);
   return config;
 }
 
@@ -136,7 +136,7 @@
     try {
       std::string text = read_file(config_path_);
       const Config fresh = within_own_limits(parse_config(text));
-      check_again(running_, text);
+      check_reload(running_, text);
       std::function<void()> take_certificates;
       if (certificates_) {
         reading = certificates_->path();
@@ -357,7 +357,7 @@
     name_default_class(*sip, config.instance.class_names);
   }
   std::vector<sockaddr_in> planners;
-  if (options.levels) planners = parse_levels(files.read(options.levels->c_str()));
+  if (options.levels) planners = parse_planner_addresses(files.read(options.levels->c_str()));
   if (options.planner && *options.planner >= planners.size()) {
     throw ConfigError("there is no planner " + std::to_string(*options.planner));
   }
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -117,10 +117,10 @@
 }
 
 TEST(LevelsFile, IsDecodedAndKeepsTheLinkOnLoopback) {
-  EXPECT_EQ(parse_levels("planners = [\"127.0.0.1:1\", \"127.0.0.2:2\"]").size(), 2u);
+  EXPECT_EQ(parse_planner_addresses("planners = [\"127.0.0.1:1\", \"127.0.0.2:2\"]").size(), 2u);
   for (const char* bad :
        {"", "planners = []", "planners = [1]", "planners = [\"10.0.0.1:1\"]", "planners ="}) {
-    EXPECT_THROW(parse_levels(bad), ConfigError) << bad;
+    EXPECT_THROW(parse_planner_addresses(bad), ConfigError) << bad;
   }
 }
 
