--- a/src/acme/client.cpp
+++ b/src/acme/client.cpp
@@ -102,10 +102,11 @@
   for (int i = 0; i < kNonceTries; ++i) {
     if (nonce_.empty()) taken(http_.head(resource("newNonce")));
     if (nonce_.empty()) throw AcmeError(Failure::unreachable, "the authority gives no nonce");
-    const std::string who = with_jwk ? "\"jwk\":" + jwk_of(*account_) : "\"kid\":" + in_quotes(account_url_);
+    const std::string who =
+        with_jwk ? "\"jwk\":" + jwk_of(*account_) : "\"kid\":" + json_quoted(account_url_);
     const std::string head = "{\"alg\":\"ES256\"," + who +
-                             ",\"nonce\":" + in_quotes(std::exchange(nonce_, {})) +
-                             ",\"url\":" + in_quotes(url) + "}";
+                             ",\"nonce\":" + json_quoted(std::exchange(nonce_, {})) +
+                             ",\"url\":" + json_quoted(url) + "}";
     response = taken(http_.post(url, signed_by(*account_, head, payload)));
     if (response.status != 400 || parse_problem(400, response.body).type != "badNonce") return response;
   }
@@ -116,8 +117,8 @@
 
 // A JWS over our public key with the secret that the authority gave out of band (7.3.4).
 std::string Client::external_binding(const std::string& url) const {
-  const std::string sealed = base64url("{\"alg\":\"HS256\",\"kid\":" + in_quotes(access_.external->kid) +
-                                       ",\"url\":" + in_quotes(url) + "}");
+  const std::string sealed = base64url("{\"alg\":\"HS256\",\"kid\":" + json_quoted(access_.external->kid) +
+                                       ",\"url\":" + json_quoted(url) + "}");
   const std::string content = base64url(jwk_of(*account_));
   return "{\"protected\":\"" + sealed + "\",\"payload\":\"" + content + "\",\"signature\":\"" +
          base64url(hmac_sha256(access_.external->mac_key, sealed + "." + content)) + "\"}";
@@ -160,9 +161,10 @@
 
 void Client::roll_over(const Key& fresh) {
   const std::string url = resource("keyChange");
-  const std::string head = "{\"alg\":\"ES256\",\"jwk\":" + jwk_of(fresh) + ",\"url\":" + in_quotes(url) + "}";
+  const std::string head =
+      "{\"alg\":\"ES256\",\"jwk\":" + jwk_of(fresh) + ",\"url\":" + json_quoted(url) + "}";
   const std::string inner = signed_by(
-      fresh, head, "{\"account\":" + in_quotes(account_url_) + ",\"oldKey\":" + jwk_of(*account_) + "}");
+      fresh, head, "{\"account\":" + json_quoted(account_url_) + ",\"oldKey\":" + jwk_of(*account_) + "}");
   good(post(url, inner), "the key was not rolled over");
 }
 
@@ -191,9 +193,9 @@
 OrderReply Client::new_order(const std::vector<std::string>& names, const std::string& replaces) {
   std::string list;
   for (const std::string& name : names) {
-    list += (list.empty() ? "" : ",") + std::string("{\"type\":\"dns\",\"value\":") + in_quotes(name) + "}";
+    list += (list.empty() ? "" : ",") + std::string("{\"type\":\"dns\",\"value\":") + json_quoted(name) + "}";
   }
-  const std::string follows = replaces.empty() ? "" : ",\"replaces\":" + in_quotes(replaces);
+  const std::string follows = replaces.empty() ? "" : ",\"replaces\":" + json_quoted(replaces);
   Response response = post(resource("newOrder"), "{\"identifiers\":[" + list + "]" + follows + "}");
   // The authority may not know the certificate, or hold it for replaced already: the order goes without
   // (9773, 5).
--- a/src/acme/json.hpp
+++ b/src/acme/json.hpp
@@ -13,7 +13,7 @@
 
 inline std::string in_brackets(const std::vector<std::string>& values) {
   std::string all;
-  for (const std::string& each : values) all += (all.empty() ? "" : ",") + in_quotes(each);
+  for (const std::string& each : values) all += (all.empty() ? "" : ",") + json_quoted(each);
   return "[" + all + "]";
 }
 
--- a/src/acme/records.cpp
+++ b/src/acme/records.cpp
@@ -57,7 +57,8 @@
          ",\"failures\":" + std::to_string(memory.failures) +
          ",\"failing_since\":" + when(memory.failing_since) + ",\"next\":" + when(memory.next) +
          ",\"window\":" + window + ",\"ask_window_at\":" + when(memory.ask_window_at) +
-         ",\"last_failure\":" + in_quotes(schedule.last_failure) + ",\"authorities\":[" + authorities + "]}";
+         ",\"last_failure\":" + json_quoted(schedule.last_failure) + ",\"authorities\":[" + authorities +
+         "]}";
 }
 
 std::optional<Schedule> parse_schedule(const std::string& text) {
@@ -88,9 +89,9 @@
 
 std::string to_text(const OrderRecord& record) {
   return "{\"authority\":" + std::to_string(record.authority) +
-         ",\"directory\":" + in_quotes(record.directory) + ",\"names\":" + in_brackets(record.names) +
-         ",\"key_type\":" + in_quotes(record.key_type) + ",\"key_file\":" + in_quotes(record.key_file) +
-         ",\"replaces\":" + in_quotes(record.replaces) + ",\"url\":" + in_quotes(record.url) +
+         ",\"directory\":" + json_quoted(record.directory) + ",\"names\":" + in_brackets(record.names) +
+         ",\"key_type\":" + json_quoted(record.key_type) + ",\"key_file\":" + json_quoted(record.key_file) +
+         ",\"replaces\":" + json_quoted(record.replaces) + ",\"url\":" + json_quoted(record.url) +
          ",\"finalized\":" + (record.finalized ? "1" : "0") +
          ",\"fetches\":" + std::to_string(record.fetches) + ",\"made\":" + when(record.made) + "}";
 }
@@ -114,7 +115,7 @@
 }
 
 std::string to_text(const AccountRecord& record) {
-  return "{\"directory\":" + in_quotes(record.directory) + ",\"url\":" + in_quotes(record.url) +
+  return "{\"directory\":" + json_quoted(record.directory) + ",\"url\":" + json_quoted(record.url) +
          ",\"contact\":" + in_brackets(record.contact) + ",\"orders\":" + list_of(record.orders) + "}";
 }
 
@@ -127,9 +128,9 @@
 }
 
 std::string to_text(const ChallengeRecord& record) {
-  return "{\"name\":" + in_quotes(record.name) + ",\"type\":" + in_quotes(record.type) +
-         ",\"token\":" + in_quotes(record.token) + ",\"authorization\":" + in_quotes(record.authorization) +
-         ",\"until\":" + when(record.until) + "}";
+  return "{\"name\":" + json_quoted(record.name) + ",\"type\":" + json_quoted(record.type) +
+         ",\"token\":" + json_quoted(record.token) +
+         ",\"authorization\":" + json_quoted(record.authorization) + ",\"until\":" + when(record.until) + "}";
 }
 
 std::optional<ChallengeRecord> parse_challenge(const std::string& text) {
--- a/src/acme/state.cpp
+++ b/src/acme/state.cpp
@@ -216,7 +216,7 @@
 }
 
 void Lease::write(Instant until) const {
-  directory_.write(kLease, "{\"holder\":" + in_quotes(holder_) +
+  directory_.write(kLease, "{\"holder\":" + json_quoted(holder_) +
                                ",\"until\":" + std::to_string(until.time_since_epoch().count()) + "}");
 }
 
--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -61,13 +61,13 @@
 }
 
 std::string as_json(const acme::Standing& each) {
-  return "{\"id\":" + in_quotes(each.id) + ",\"names\":" + acme::in_brackets(each.names) + ",\"alarm\":\"" +
+  return "{\"id\":" + json_quoted(each.id) + ",\"names\":" + acme::in_brackets(each.names) + ",\"alarm\":\"" +
          acme::name_of(each.alarm) +
          "\",\"ends\":" + or_null(each.validity ? std::optional(each.validity->ends) : std::nullopt) +
-         ",\"due\":" + or_null(each.due) + ",\"issuer\":" + in_quotes(each.issuer) +
-         ",\"fingerprint\":" + in_quotes(each.fingerprint) +
+         ",\"due\":" + or_null(each.due) + ",\"issuer\":" + json_quoted(each.issuer) +
+         ",\"fingerprint\":" + json_quoted(each.fingerprint) +
          ",\"failures\":" + std::to_string(each.failures) + ",\"next_attempt\":" + or_null(each.next) +
-         ",\"last_failure\":" + in_quotes(each.last_failure) +
+         ",\"last_failure\":" + json_quoted(each.last_failure) +
          ",\"order_open\":" + (each.order_open ? "true" : "false") + "}";
 }
 
@@ -99,7 +99,7 @@
   const std::string wrong = acme::unsound(text, key, names, now, std::nullopt);
   if (json) {
     std::printf("{\"file\":%s,\"sound\":%s,\"wrong\":%s,\"names\":%s,\"ends\":\"%s\"}\n",
-                in_quotes(path).c_str(), wrong.empty() ? "true" : "false", in_quotes(wrong).c_str(),
+                json_quoted(path).c_str(), wrong.empty() ? "true" : "false", json_quoted(wrong).c_str(),
                 acme::in_brackets(names).c_str(), acme::timestamp(acme::validity_of(leaf).ends).c_str());
   } else {
     std::printf("%s: %s, ends %s\n", path.c_str(), wrong.empty() ? "can be used" : wrong.c_str(),
@@ -198,8 +198,8 @@
     const std::string failure = keeper->renew_now(each.id);
     if (!failure.empty()) code = 1;
     if (json_) {
-      out += (out.empty() ? "" : ",") + std::string("{\"id\":") + in_quotes(each.id) +
-             ",\"renewed\":" + (failure.empty() ? "true" : "false") + ",\"failure\":" + in_quotes(failure) +
+      out += (out.empty() ? "" : ",") + std::string("{\"id\":") + json_quoted(each.id) +
+             ",\"renewed\":" + (failure.empty() ? "true" : "false") + ",\"failure\":" + json_quoted(failure) +
              "}";
     } else {
       std::printf("%s: %s\n", each.id.c_str(), failure.empty() ? "renewed" : failure.c_str());
@@ -213,8 +213,8 @@
   Hand keeper(file_, fleet_, log);
   const std::string failure = keeper->revoke(id_, kReasons.at(reason_));
   if (json_) {
-    std::printf("{\"id\":%s,\"revoked\":%s,\"failure\":%s}\n", in_quotes(id_).c_str(),
-                failure.empty() ? "true" : "false", in_quotes(failure).c_str());
+    std::printf("{\"id\":%s,\"revoked\":%s,\"failure\":%s}\n", json_quoted(id_).c_str(),
+                failure.empty() ? "true" : "false", json_quoted(failure).c_str());
   } else {
     std::printf("%s: %s\n", id_.c_str(), failure.empty() ? "revoked" : failure.c_str());
   }
@@ -232,8 +232,8 @@
                                                    : keeper->deactivate(index);
   const std::string& name = authorities[index].name;
   if (json_) {
-    std::printf("{\"authority\":%s,\"done\":%s,\"failure\":%s}\n", in_quotes(name).c_str(),
-                failure.empty() ? "true" : "false", in_quotes(failure).c_str());
+    std::printf("{\"authority\":%s,\"done\":%s,\"failure\":%s}\n", json_quoted(name).c_str(),
+                failure.empty() ? "true" : "false", json_quoted(failure).c_str());
   } else {
     std::printf("%s: %s\n", name.c_str(), failure.empty() ? "done" : failure.c_str());
   }
@@ -246,7 +246,7 @@
   const acme::Settings settings = Certificates::read(checked_);
   if (json_) {
     std::printf("{\"file\":%s,\"sound\":true,\"certificates\":%zu,\"authorities\":%zu}\n",
-                in_quotes(checked_).c_str(), settings.certificates.size(), settings.authorities.size());
+                json_quoted(checked_).c_str(), settings.certificates.size(), settings.authorities.size());
   } else {
     std::printf("%s: good: %zu certificates, %zu authorities\n", checked_.c_str(),
                 settings.certificates.size(), settings.authorities.size());
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -203,7 +203,7 @@
     const auto& a = answers[i];
     if (a.size() < 10) {
       if (json_) {
-        std::printf("{\"voter\":%s,\"state\":\"unreachable\"}\n", in_quotes(name).c_str());
+        std::printf("{\"voter\":%s,\"state\":\"unreachable\"}\n", json_quoted(name).c_str());
       } else {
         std::printf("%-16s %-10s\n", name.c_str(), "no answer");
       }
@@ -223,8 +223,8 @@
           "{\"voter\":%s,\"state\":\"%s\",\"term\":%s,\"leader\":%s,\"log\":%s,\"applied\":%s,\"behind\":%"
           "llu,"
           "\"revision\":%s,\"sessions\":%s}\n",
-          in_quotes(name).c_str(), state, a[2].c_str(), in_quotes(a[3]).c_str(), a[4].c_str(), a[6].c_str(),
-          behind, a[9].c_str(), a[8].c_str());
+          json_quoted(name).c_str(), state, a[2].c_str(), json_quoted(a[3]).c_str(), a[4].c_str(),
+          a[6].c_str(), behind, a[9].c_str(), a[8].c_str());
     } else {
       std::printf("%-16s %-10s %6s %-16s %8s %8s %8llu %8s %8s\n", name.c_str(), state, a[2].c_str(),
                   a[3].empty() ? "-" : a[3].c_str(), a[4].c_str(), a[6].c_str(), behind, a[9].c_str(),
@@ -241,7 +241,7 @@
     const auto slash = key.rfind('/');
     const std::string name = key.substr(0, slash), incarnation = key.substr(slash + 1);
     if (json_) {
-      std::printf("{\"controller\":%s,\"incarnation\":%s,\"session\":%s}\n", in_quotes(name).c_str(),
+      std::printf("{\"controller\":%s,\"incarnation\":%s,\"session\":%s}\n", json_quoted(name).c_str(),
                   incarnation.c_str(), item.value.c_str());
     } else {
       std::printf("%-24s %s\n", name.c_str(), incarnation.c_str());
@@ -281,9 +281,9 @@
     const std::string holder = duty.holder == 0 ? "" : duty.holder_name;
     if (json_) {
       std::printf("{\"duty\":%s,\"holder\":%s,\"token\":%llu,\"paused\":%s,\"kept_for\":%s,\"wanted\":%s}\n",
-                  in_quotes(name).c_str(), in_quotes(holder).c_str(),
+                  json_quoted(name).c_str(), json_quoted(holder).c_str(),
                   static_cast<unsigned long long>(duty.token), duty.paused ? "true" : "false",
-                  in_quotes(duty.reserved).c_str(), in_quotes(duty.wanted).c_str());
+                  json_quoted(duty.reserved).c_str(), json_quoted(duty.wanted).c_str());
       return;
     }
     std::string notes = duty.paused ? "paused " : "";
--- a/src/cli/gap.cpp
+++ b/src/cli/gap.cpp
@@ -20,7 +20,7 @@
 
 std::string list_of(const std::vector<std::string>& values) {
   std::string out;
-  for (const std::string& each : values) out += (out.empty() ? "" : ",") + in_quotes(each);
+  for (const std::string& each : values) out += (out.empty() ? "" : ",") + json_quoted(each);
   return "[" + out + "]";
 }
 
@@ -113,12 +113,12 @@
     return head("gap.add") + ",\"rules\":[" + rules + "]}";
   }
   if (id_.empty()) throw gap::RuleError("an ID or --file is needed");
-  std::string rule = "{\"id\":" + in_quotes(id_) + ",\"number\":" + in_quotes(number_);
+  std::string rule = "{\"id\":" + json_quoted(id_) + ",\"number\":" + json_quoted(number_);
   if (revision_ > 0) rule += ",\"revision\":" + std::to_string(revision_);
   if (!classes_.empty()) rule += ",\"class\":" + list_of(classes_);
   if (!callers_.empty()) rule += ",\"caller\":" + list_of(callers_);
-  if (!front_.empty()) rule += ",\"front\":" + in_quotes(front_);
-  if (!try_.empty()) rule += ",\"try\":" + in_quotes(try_);
+  if (!front_.empty()) rule += ",\"front\":" + json_quoted(front_);
+  if (!try_.empty()) rule += ",\"try\":" + json_quoted(try_);
   if (!exempt_classes_.empty()) rule += ",\"exempt_class\":" + list_of(exempt_classes_);
   if (!exempt_callers_.empty()) rule += ",\"exempt_caller\":" + list_of(exempt_callers_);
   std::string control;
@@ -134,18 +134,18 @@
   if (for_s_ > 0)
     rule += ",\"end_s\":" + std::to_string(now.count() + std::max<std::int64_t>(from_s_, 0) + for_s_);
   if (!weekly_.empty()) rule += ",\"weekly\":" + list_of(weekly_);
-  if (!who_.empty()) rule += ",\"who\":" + in_quotes(who_);
-  if (!why_.empty()) rule += ",\"why\":" + in_quotes(why_);
+  if (!who_.empty()) rule += ",\"who\":" + json_quoted(who_);
+  if (!why_.empty()) rule += ",\"why\":" + json_quoted(why_);
   rule += "}";
   gap::parse_rule(rule);  // a fault is told here, before any instance hears of it
   return head("gap.add") + ",\"rule\":" + rule + "}";
 }
 
 std::string Gap::test_line() const {
-  return head("gap.test") + ",\"number\":" + in_quotes(number_) +
-         (classes_.empty() ? "" : ",\"class\":" + in_quotes(classes_.front())) +
-         (caller_.empty() ? "" : ",\"caller\":" + in_quotes(caller_)) +
-         (front_.empty() ? "" : ",\"front\":" + in_quotes(front_)) + (repeat_ ? ",\"repeat\":true" : "") +
+  return head("gap.test") + ",\"number\":" + json_quoted(number_) +
+         (classes_.empty() ? "" : ",\"class\":" + json_quoted(classes_.front())) +
+         (caller_.empty() ? "" : ",\"caller\":" + json_quoted(caller_)) +
+         (front_.empty() ? "" : ",\"front\":" + json_quoted(front_)) + (repeat_ ? ",\"repeat\":true" : "") +
          "}";
 }
 
@@ -236,12 +236,12 @@
   try {
     if (add_->parsed()) return ask_all(log, add_line());
     if (lift_->parsed()) {
-      return ask_all(log, head("gap.lift") + ",\"id\":" + in_quotes(id_) +
+      return ask_all(log, head("gap.lift") + ",\"id\":" + json_quoted(id_) +
                               (revision_ > 0 ? ",\"revision\":" + std::to_string(revision_) : "") +
-                              ",\"who\":" + in_quotes(who_) + ",\"why\":" + in_quotes(why_) + "}");
+                              ",\"who\":" + json_quoted(who_) + ",\"why\":" + json_quoted(why_) + "}");
     }
     if (list_->parsed()) return ask_all(log, head("gap.list") + "}");
-    if (show_->parsed()) return ask_all(log, head("gap.list") + ",\"id\":" + in_quotes(id_) + "}");
+    if (show_->parsed()) return ask_all(log, head("gap.list") + ",\"id\":" + json_quoted(id_) + "}");
     if (suggest_->parsed()) return ask_all(log, head("gap.suggest") + "}");
     if (test_->parsed()) return ask_all(log, test_line());
     return watch(log);
--- a/src/control_service.cpp
+++ b/src/control_service.cpp
@@ -225,14 +225,15 @@
 void ControlService::save_rules() {
   std::string text;
   const auto agreed = [&](const std::string& id) {
-    if (shared_list_ && shared_list_->agreed(id)) text += "{\"id\":" + in_quotes(id) + ",\"agreed\":true}\n";
+    if (shared_list_ && shared_list_->agreed(id))
+      text += "{\"id\":" + json_quoted(id) + ",\"agreed\":true}\n";
   };
   for (const gap::Rule& each : gate_.table().rules()) {
     text += gap::to_json(each) + "\n";
     agreed(each.id);
   }
   for (const auto& [id, revision] : lifted_revisions_) {
-    text += "{\"id\":" + in_quotes(id) + ",\"lifted\":" + std::to_string(revision) + "}\n";
+    text += "{\"id\":" + json_quoted(id) + ",\"lifted\":" + std::to_string(revision) + "}\n";
     agreed(id);
   }
   if (!writer_.enqueue([this, text = std::move(text)] { state_.write(kRulesFile, text); })) {
@@ -243,9 +244,9 @@
 void ControlService::audit(const std::string& what, const std::string& id, std::uint64_t revision,
                            const std::string& who, const std::string& why) {
   std::string line = "{\"at_s\":" + std::to_string(loop_.now() / std::chrono::seconds(1)) +
-                     ",\"what\":" + in_quotes(what) + ",\"id\":" + in_quotes(id) +
-                     ",\"revision\":" + std::to_string(revision) + ",\"who\":" + in_quotes(who) +
-                     ",\"why\":" + in_quotes(why) + "}\n";
+                     ",\"what\":" + json_quoted(what) + ",\"id\":" + json_quoted(id) +
+                     ",\"revision\":" + std::to_string(revision) + ",\"who\":" + json_quoted(who) +
+                     ",\"why\":" + json_quoted(why) + "}\n";
   if (!writer_.enqueue([path = state_.path_of(kAuditFile), line = std::move(line)] { append(path, line); })) {
     log_.line("control: the disk is too slow, a change is missing from the audit log");
   }
@@ -344,7 +345,7 @@
       return ",\"" + std::string(name) + "\":" + std::to_string(value);
     };
     all += (all.empty() ? "" : ",") + std::string("{\"rule\":") + gap::to_json(rule) +
-           ",\"says\":" + in_quotes(rule.control.str()) +
+           ",\"says\":" + json_quoted(rule.control.str()) +
            ",\"in_force\":" + (gap::in_force(rule, loop_.now()) ? "true" : "false") +
            (shared_list_ ? std::string(",\"agreed\":") + (shared_list_->agreed(rule.id) ? "true" : "false")
                          : "") +
@@ -372,9 +373,9 @@
   const gap::Verdict verdict =
       gate_.table().test(loop_.now(), {number, call_class, address, front, repeat}, &asked);
   std::string rules;
-  for (const std::string& each : asked) rules += (rules.empty() ? "" : ",") + in_quotes(each);
+  for (const std::string& each : asked) rules += (rules.empty() ? "" : ",") + json_quoted(each);
   return std::string(",\"passes\":") + (verdict.pass ? "true" : "false") +
-         ",\"refused_by\":" + in_quotes(verdict.rule) + ",\"asked\":[" + rules + "]";
+         ",\"refused_by\":" + json_quoted(verdict.rule) + ",\"asked\":[" + rules + "]";
 }
 
 std::string ControlService::suggest(Element) {
@@ -382,7 +383,7 @@
   const std::uint64_t total = heavy_hitters.total(loop_.now());
   std::string all;
   for (const gap::HeavyHitter& each : heavy_hitters.top(loop_.now(), kMaxSuggestions)) {
-    all += (all.empty() ? "" : ",") + std::string("{\"number\":") + in_quotes(each.number) +
+    all += (all.empty() ? "" : ",") + std::string("{\"number\":") + json_quoted(each.number) +
            ",\"offered\":" + std::to_string(each.offered) + ",\"error\":" + std::to_string(each.error) +
            ",\"answered\":" + std::to_string(each.answered) + ",\"refused\":" + std::to_string(each.refused) +
            "}";
--- a/src/gap/rule.cpp
+++ b/src/gap/rule.cpp
@@ -154,7 +154,7 @@
 template <typename List, typename To>
 std::string json_array(const List& list, To to) {
   std::string out;
-  for (const auto& each : list) out += (out.empty() ? "" : ",") + in_quotes(to(each));
+  for (const auto& each : list) out += (out.empty() ? "" : ",") + json_quoted(to(each));
   return "[" + out + "]";
 }
 
@@ -284,12 +284,12 @@
 std::string to_json(const Rule& rule) {
   const auto same = [](const std::string& each) { return each; };
   const auto name = [](const Network& each) { return each.str(); };
-  std::string out = "{\"id\":" + in_quotes(rule.id) + ",\"revision\":" + std::to_string(rule.revision) +
-                    ",\"number\":" + in_quotes(rule.number);
+  std::string out = "{\"id\":" + json_quoted(rule.id) + ",\"revision\":" + std::to_string(rule.revision) +
+                    ",\"number\":" + json_quoted(rule.number);
   if (!rule.classes.empty()) out += ",\"class\":" + json_array(rule.classes, same);
   if (!rule.callers.empty()) out += ",\"caller\":" + json_array(rule.callers, name);
-  if (rule.front) out += ",\"front\":" + in_quotes(name_of(*rule.front));
-  if (rule.tries != Try::any) out += ",\"try\":" + in_quotes(name_of(rule.tries));
+  if (rule.front) out += ",\"front\":" + json_quoted(name_of(*rule.front));
+  if (rule.tries != Try::any) out += ",\"try\":" + json_quoted(name_of(rule.tries));
   if (!rule.exempt_classes.empty()) out += ",\"exempt_class\":" + json_array(rule.exempt_classes, same);
   if (!rule.exempt_callers.empty()) out += ",\"exempt_caller\":" + json_array(rule.exempt_callers, name);
   out += ",\"control\":{";
@@ -317,8 +317,8 @@
   if (rule.end) out += ",\"end_s\":" + seconds(*rule.end);
   if (!rule.weekly.empty())
     out += ",\"weekly\":" + json_array(rule.weekly, [](const Weekly& each) { return str(each); });
-  if (!rule.who.empty()) out += ",\"who\":" + in_quotes(rule.who);
-  if (!rule.why.empty()) out += ",\"why\":" + in_quotes(rule.why);
+  if (!rule.who.empty()) out += ",\"who\":" + json_quoted(rule.who);
+  if (!rule.why.empty()) out += ",\"why\":" + json_quoted(rule.why);
   return out + "}";
 }
 
--- a/src/json_text.hpp
+++ b/src/json_text.hpp
@@ -8,6 +8,6 @@
 
 namespace quartzarch {
 
-inline std::string in_quotes(std::string_view value) { return "\"" + json_escaped(value) + "\""; }
+inline std::string json_quoted(std::string_view value) { return "\"" + json_escaped(value) + "\""; }
 
 }  // namespace quartzarch
--- a/src/logging/structured.cpp
+++ b/src/logging/structured.cpp
@@ -73,13 +73,13 @@
   std::string out = "{";
   const auto add = [&](std::string_view key, const std::string& value) {
     if (out.size() > 1) out += ',';
-    out += in_quotes(key) + ":" + value;
+    out += json_quoted(key) + ":" + value;
   };
-  if (!time.empty()) add("time", in_quotes(time));
+  if (!time.empty()) add("time", json_quoted(time));
   if (const auto fields = pairs(line); fields && !fields->empty()) {
     for (const Pair& pair : *fields) {
       add(pair.key,
-          !pair.quoted && whole_number(pair.value) ? std::string(pair.value) : in_quotes(pair.value));
+          !pair.quoted && whole_number(pair.value) ? std::string(pair.value) : json_quoted(pair.value));
     }
     return out + "}";
   }
@@ -87,10 +87,10 @@
   const std::string_view part = line.substr(0, std::min(colon, line.size()));
   if (colon != std::string_view::npos && !part.empty() &&
       std::all_of(part.begin(), part.end(), name_letter)) {
-    add("part", in_quotes(part));
+    add("part", json_quoted(part));
     line.remove_prefix(colon + 2);
   }
-  add("text", in_quotes(line));
+  add("text", json_quoted(line));
   return out + "}";
 }
 
--- a/src/managed.cpp
+++ b/src/managed.cpp
@@ -8,7 +8,7 @@
   const Tally& tally = planner_.tally();
   std::string success, overload, error;
   for (const auto& [name, outcomes] : tally.by_class) {
-    const std::string key = (success.empty() ? "" : ",") + in_quotes(name) + ":";
+    const std::string key = (success.empty() ? "" : ",") + json_quoted(name) + ":";
     success += key + std::to_string(outcomes.success);
     overload += key + std::to_string(outcomes.overload);
     error += key + std::to_string(outcomes.error);
@@ -18,8 +18,8 @@
   };
   std::string ended;
   for (std::size_t i = 0; i < kEndings; ++i) {
-    ended += (ended.empty() ? "" : ",") + in_quotes(std::string(ending_text(static_cast<Ending>(i)))) + ":" +
-             std::to_string(tally.attempts_ended[i]);
+    ended += (ended.empty() ? "" : ",") + json_quoted(std::string(ending_text(static_cast<Ending>(i)))) +
+             ":" + std::to_string(tally.attempts_ended[i]);
   }
   return "{\"success\":{" + success + "},\"overload\":{" + overload + "},\"error\":{" + error + "}" +
          ",\"attempts_ended\":{" + ended + "}" + field("messages_ignored", tally.messages_ignored) +
--- a/standin/authority/model.cpp
+++ b/standin/authority/model.cpp
@@ -21,7 +21,7 @@
 
 Reply refuse(int status, const std::string& type, const std::string& detail = {}) {
   return {status,
-          "{\"type\":\"urn:ietf:params:acme:error:" + type + "\",\"detail\":" + in_quotes(detail) +
+          "{\"type\":\"urn:ietf:params:acme:error:" + type + "\",\"detail\":" + json_quoted(detail) +
               ",\"status\":" + std::to_string(status) + "}",
           {"Content-Type: application/problem+json"}};
 }
@@ -120,9 +120,9 @@
                                       {"newOrder", "/order"},
                                       {"revokeCert", "/revoke"},
                                       {"keyChange", "/key"}}) {
-      resources += in_quotes(name) + ":" + in_quotes(base_ + where) + ",";
+      resources += json_quoted(name) + ":" + json_quoted(base_ + where) + ",";
     }
-    if (options_.renewal_info) resources += "\"renewalInfo\":" + in_quotes(base_ + "/renewal") + ",";
+    if (options_.renewal_info) resources += "\"renewalInfo\":" + json_quoted(base_ + "/renewal") + ",";
     const std::string wants = options_.external_keys.empty() ? "false" : "true";
     return {200, "{" + resources + "\"meta\":{\"externalAccountRequired\":" + wants + "}}", {}};
   }
@@ -169,10 +169,10 @@
       look_ = Look{authorization->first, id, authorization->second.name, token,
                    token + "." + found->second.thumbprint};
     }
-    return {
-        200,
-        "{\"type\":" + in_quotes(id) + ",\"status\":\"processing\",\"url\":" + in_quotes(base_ + path) + "}",
-        {}};
+    return {200,
+            "{\"type\":" + json_quoted(id) +
+                ",\"status\":\"processing\",\"url\":" + json_quoted(base_ + path) + "}",
+            {}};
   }
   if (kind == "/authorization") {
     const auto authorization = authorizations_.find(id);
@@ -205,7 +205,7 @@
   for (auto& [id, each] : accounts_) {
     if (each.jwk != jwk) continue;
     const std::string orders =
-        options_.lists_orders ? ",\"orders\":" + in_quotes(base_ + "/account/" + id + "/orders") : "";
+        options_.lists_orders ? ",\"orders\":" + json_quoted(base_ + "/account/" + id + "/orders") : "";
     return {
         200, "{\"status\":\"" + each.status + "\"" + orders + "}", {"Location: " + base_ + "/account/" + id}};
   }
@@ -238,7 +238,7 @@
   made.placed = acme::Budget(options_.new_orders.most, options_.new_orders.span);
   ++counts_.accounts;
   const std::string orders =
-      options_.lists_orders ? ",\"orders\":" + in_quotes(base_ + "/account/" + id + "/orders") : "";
+      options_.lists_orders ? ",\"orders\":" + json_quoted(base_ + "/account/" + id + "/orders") : "";
   return {201, "{\"status\":\"valid\"" + orders + "}", {"Location: " + base_ + "/account/" + id}};
 }
 
@@ -295,7 +295,7 @@
               "\"type\":\"urn:ietf:params:acme:error:rejectedIdentifier\",\"detail\":\"not "
               "here\",\"identifier\":{"
               "\"type\":\"dns\",\"value\":" +
-                  in_quotes(name) + "}}]}",
+                  json_quoted(name) + "}}]}",
               {}};
     }
   }
@@ -432,17 +432,18 @@
 Reply Model::show(const std::string& id, const Order& order) const {
   std::string names;
   for (const std::string& each : order.names) {
-    names += (names.empty() ? "" : ",") + std::string("{\"type\":\"dns\",\"value\":") + in_quotes(each) + "}";
+    names +=
+        (names.empty() ? "" : ",") + std::string("{\"type\":\"dns\",\"value\":") + json_quoted(each) + "}";
   }
   std::vector<std::string> urls;
   for (const std::string& each : order.authorizations) urls.push_back(base_ + "/authorization/" + each);
   const std::string certificate =
-      order.status == "valid" ? ",\"certificate\":" + in_quotes(base_ + "/certificate/" + id) : "";
+      order.status == "valid" ? ",\"certificate\":" + json_quoted(base_ + "/certificate/" + id) : "";
   const std::string error = order.error.empty() ? "" : ",\"error\":" + order.error;
   return {200,
           "{\"status\":\"" + order.status + "\",\"expires\":\"" + acme::timestamp(order.expires) +
               "\",\"identifiers\":[" + names + "],\"authorizations\":" + in_brackets(urls) +
-              ",\"finalize\":" + in_quotes(base_ + "/finalize/" + id) + certificate + error + "}",
+              ",\"finalize\":" + json_quoted(base_ + "/finalize/" + id) + certificate + error + "}",
           {}};
 }
 
@@ -453,14 +454,14 @@
     std::string status = authorization.status;
     if (status == "pending" && tried) status = "processing";
     if (status == "invalid" && !tried) status = "pending";
-    challenges += (challenges.empty() ? "" : ",") + std::string("{\"type\":") + in_quotes(type) +
-                  ",\"status\":\"" + status + "\",\"token\":" + in_quotes(authorization.token) +
-                  ",\"url\":" + in_quotes(base_ + "/challenge/" + id + "/" + type) +
+    challenges += (challenges.empty() ? "" : ",") + std::string("{\"type\":") + json_quoted(type) +
+                  ",\"status\":\"" + status + "\",\"token\":" + json_quoted(authorization.token) +
+                  ",\"url\":" + json_quoted(base_ + "/challenge/" + id + "/" + type) +
                   (tried && !authorization.error.empty() ? ",\"error\":" + authorization.error : "") + "}";
   }
   return {200,
           "{\"status\":\"" + authorization.status + "\",\"identifier\":{\"type\":\"dns\",\"value\":" +
-              in_quotes(authorization.name) + "},\"challenges\":[" + challenges + "]}",
+              json_quoted(authorization.name) + "},\"challenges\":[" + challenges + "]}",
           {}};
 }
 
@@ -474,7 +475,7 @@
   authorization.until = now_() + options_.authorization_life;
   if (why.empty()) return;
   authorization.error =
-      "{\"type\":\"urn:ietf:params:acme:error:unauthorized\",\"status\":403,\"detail\":" + in_quotes(why) +
+      "{\"type\":\"urn:ietf:params:acme:error:unauthorized\",\"status\":403,\"detail\":" + json_quoted(why) +
       "}";
   ++counts_.rejections;
   auto& rejected = rejected_
--- a/tests/logging_test.cpp
+++ b/tests/logging_test.cpp
@@ -20,7 +20,7 @@
   // Nothing is lost of what only looks like pairs, and no field comes twice.
   for (const char* const odd : {"a=1 b", "a=\"1", "=1", "a=1 a=2", "time=1", "", "a=1  b=2"}) {
     const std::string text = structured(std::string("1796171125.837 ") + odd);
-    EXPECT_NE(text.find("\"text\":" + in_quotes(odd)), std::string::npos) << text;
+    EXPECT_NE(text.find("\"text\":" + json_quoted(odd)), std::string::npos) << text;
   }
   EXPECT_EQ(structured("no time"), R"({"text":"no time"})");
   EXPECT_EQ(structured("1.000 number=007"), R"({"time":"1970-01-01T00:00:01.000Z","number":"007"})");
