--- a/src/certificates.cpp
+++ b/src/certificates.cpp
@@ -13,8 +13,8 @@
   }
 }
 
-Certificates::Certificates(Logger& log, const std::string& path, bool tls_port, KeepIn keep_in)
-    : log_(log), path_(path), keep_in_(std::move(keep_in)) {
+Certificates::Certificates(Logger& log, const std::string& path, bool tls_port, StoreFactory make_store)
+    : log_(log), path_(path), make_store_(std::move(make_store)) {
   acme::Settings settings = read(path);
   const auto& ways = settings.challenges;
   if (!tls_port && std::find(ways.begin(), ways.end(), "http-01") == ways.end()) {
@@ -22,12 +22,13 @@
         "\"challenges\" has tls-alpn-01 only, which needs a TLS port (\"tls\" in the file of --sip)");
   }
   // The first one on the caller's thread: what is on disk is served from the first connection on.
-  keeper_ = keeper(std::move(settings), round_.get_token());
+  keeper_ = make_keeper(std::move(settings), round_.get_token());
 }
 
-std::unique_ptr<acme::Keeper> Certificates::keeper(acme::Settings settings, std::stop_token round) const {
-  acme::Kept kept = keep_in_ ? keep_in_(settings, [round] { return round.stop_requested(); })
-                             : acme::kept_on_disk(settings, log_);
+std::unique_ptr<acme::Keeper> Certificates::make_keeper(acme::Settings settings,
+                                                        std::stop_token round) const {
+  acme::Kept kept = make_store_ ? make_store_(settings, [round] { return round.stop_requested(); })
+                                : acme::kept_on_disk(settings, log_);
   return std::make_unique<acme::Keeper>(std::move(settings), log_, registry_,
                                         acme::Environment::real(std::move(round)), std::move(kept));
 }
@@ -37,17 +38,17 @@
 }
 
 std::function<void()> Certificates::read_again() {
-  return [this, fresh = read(path_)] { take(fresh); };
+  return [this, new_settings = read(path_)] { replace_settings(new_settings); };
 }
 
-void Certificates::take(acme::Settings settings) {
+void Certificates::replace_settings(acme::Settings settings) {
   const std::lock_guard lock(mutex_);
-  fresh_ = std::move(settings);
+  new_settings_ = std::move(settings);
   round_.request_stop();
 }
 
 void Certificates::run(const std::stop_token& stop) {
-  const std::stop_callback told(stop, [this] {
+  const std::stop_callback on_stop(stop, [this] {
     const std::lock_guard lock(mutex_);
     round_.request_stop();
   });
@@ -58,21 +59,21 @@
       round = round_.get_token();
     }
     keeper_->run(round);
-    std::optional<acme::Settings> fresh;
+    std::optional<acme::Settings> new_settings;
     {
       const std::lock_guard lock(mutex_);
       if (stop.stop_requested()) return;
-      fresh = std::exchange(fresh_, std::nullopt);
+      new_settings = std::exchange(new_settings_, std::nullopt);
       round_ = std::stop_source();
       round = round_.get_token();
     }
-    if (!fresh) continue;
+    if (!new_settings) continue;
     try {
-      keeper_ = keeper(std::move(*fresh), round);
+      keeper_ = make_keeper(std::move(*new_settings), round);
     } catch (const std::exception& error) {
       log_.line("certificates: %s; the old settings go on", error.what());
       // Its environment ended with the round that it was made for.
-      keeper_ = keeper(keeper_->settings(), round);
+      keeper_ = make_keeper(keeper_->settings(), round);
     }
   }
 }
--- a/src/certificates.hpp
+++ b/src/certificates.hpp
@@ -17,11 +17,12 @@
 class Certificates : public KeptCertificates {
  public:
   // Where a keeper's state is; `stopped` ends what waits. Called for each new keeper.
-  using KeepIn = std::function<acme::Kept(const acme::Settings& settings, std::function<bool()> stopped)>;
+  using StoreFactory =
+      std::function<acme::Kept(const acme::Settings& settings, std::function<bool()> stopped)>;
 
   // Throws ConfigError if the file is bad, std::runtime_error if the state cannot be trusted. `tls_port`:
   // whether the process has one, which tls-alpn-01 is answered on. `keep_in`: empty for the directory.
-  Certificates(Logger& log, const std::string& path, bool tls_port, KeepIn keep_in = {});
+  Certificates(Logger& log, const std::string& path, bool tls_port, StoreFactory make_store = {});
   ~Certificates() override { stop(); }
 
   static acme::Settings read(const std::string& path);
@@ -33,16 +34,16 @@
   void stop() override { thread_.request_stop(); }
 
  private:
-  std::unique_ptr<acme::Keeper> keeper(acme::Settings settings, std::stop_token round) const;
-  void take(acme::Settings settings);
+  std::unique_ptr<acme::Keeper> make_keeper(acme::Settings settings, std::stop_token round) const;
+  void replace_settings(acme::Settings settings);
   void run(const std::stop_token& stop);
 
   Logger& log_;
   std::string path_;
-  KeepIn keep_in_;
+  StoreFactory make_store_;
   std::shared_ptr<tls::Registry> registry_ = std::make_shared<tls::Registry>();
   std::mutex mutex_;
-  std::optional<acme::Settings> fresh_{};
+  std::optional<acme::Settings> new_settings_{};
   std::stop_source round_{};  // ends when settings have come, or the thread is told to stop
   std::unique_ptr<acme::Keeper> keeper_{};
   std::jthread thread_{};  // last: ends before what it uses
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -99,7 +99,7 @@
     return made;
   };
   serve_options.make_certificates = [&](Logger& to, const std::string& path, bool tls_port) {
-    Certificates::KeepIn keep_in;
+    Certificates::StoreFactory keep_in;
     if (member) {
       keep_in = [&](const acme::Settings& settings, std::function<bool()> stopped) {
         return fleet::kept_by_fleet(settings, to, *member, *seal, fleet_settings.start_wait,
--- a/src/log.cpp
+++ b/src/log.cpp
@@ -7,7 +7,7 @@
 
 namespace quartzarch {
 
-bool Logger::RateLimit::take(Time now) {
+bool Logger::RateLimit::try_take(Time now) {
   const double passed = std::chrono::duration<double>(now - refilled).count();
   tokens = std::clamp(tokens + std::max(passed, 0.0) * per_second, 0.0, burst);
   refilled = now;
@@ -33,7 +33,7 @@
 void Logger::write(RateLimit& limit, const char* format, std::va_list arguments) {
   const std::lock_guard lock(mutex_);
   const Time now = unix_time();
-  if (!limit.take(now)) {
+  if (!limit.try_take(now)) {
     ++dropped_;
     return;
   }
@@ -42,10 +42,10 @@
   for (char* at = text; *at; ++at) {
     if (static_cast<unsigned char>(*at) < ' ') *at = '?';  // what peers sent must not start lines of its own
   }
-  if (dropped_ > 0) std::fprintf(to_, "log: %u lines dropped\n", std::exchange(dropped_, 0u));
-  std::fprintf(to_, "%lld.%03lld %s\n", static_cast<long long>(now.count() / 1000000),
+  if (dropped_ > 0) std::fprintf(stream_, "log: %u lines dropped\n", std::exchange(dropped_, 0u));
+  std::fprintf(stream_, "%lld.%03lld %s\n", static_cast<long long>(now.count() / 1000000),
                static_cast<long long>(now.count() / 1000 % 1000), text);
-  std::fflush(to_);
+  std::fflush(stream_);
 }
 
 }  // namespace quartzarch
--- a/src/log.hpp
+++ b/src/log.hpp
@@ -13,12 +13,12 @@
 
 class Logger {
  public:
-  explicit Logger(std::FILE* to = stderr) : to_(to) {}
+  explicit Logger(std::FILE* stream = stderr) : stream_(stream) {}
 
   // Lines go there from now on.
-  void write_to(std::FILE* to) {
+  void write_to(std::FILE* stream) {
     const std::lock_guard lock(mutex_);
-    to_ = to;
+    stream_ = stream;
   }
   // One line. What exceeds the rate is dropped and counted; the count goes out with the next line.
   void line(const char* format, ...) __attribute__((format(printf, 2, 3)));
@@ -33,13 +33,13 @@
     double tokens = burst;
     Time refilled{};
 
-    bool take(Time now);
+    bool try_take(Time now);
   };
 
   void write(RateLimit& limit, const char* format, std::va_list arguments);
 
   std::mutex mutex_;
-  std::FILE* to_;
+  std::FILE* stream_;
   RateLimit lines_{20, 200};
   RateLimit call_lines_{20, 100};
   unsigned dropped_ = 0;
