--- a/src/certificates.cpp
+++ b/src/certificates.cpp
@@ -21,7 +21,8 @@
     throw ConfigError(
         "\"challenges\" has tls-alpn-01 only, which needs a TLS port (\"tls\" in the file of --sip)");
   }
-  // The first one on the caller's thread: what is on disk is served from the first connection on.
+  // The first keeper is made on the caller's thread, so that certificates on disk are served from the first
+  // connection on.
   keeper_ = make_keeper(std::move(settings), round_.get_token());
 }
 
@@ -72,7 +73,8 @@
       keeper_ = make_keeper(std::move(*new_settings), round);
     } catch (const std::exception& error) {
       log_.line("certificates: %s; the old settings go on", error.what());
-      // Its environment ended with the round that it was made for.
+      // The old keeper's environment was stopped together with its round, so a new keeper is made with the
+      // old settings.
       keeper_ = make_keeper(keeper_->settings(), round);
     }
   }
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -40,7 +40,7 @@
 
 sockaddr_in address(std::string_view text, std::string_view name) {
   const auto parsed = parse_address(text);
-  if (!parsed) throw ConfigError("\"" + std::string(name) + "\" is no address: " + std::string(text));
+  if (!parsed) throw ConfigError("\"" + std::string(name) + "\" is not an address: " + std::string(text));
   return *parsed;
 }
 
@@ -49,7 +49,7 @@
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc{} || end != text.data() + text.size())
-    throw ConfigError("\"seed\" is no hex number");
+    throw ConfigError("\"seed\" is not a hex number");
   return seed;
 }
 
@@ -70,12 +70,12 @@
   host.entry.number = static_cast<int>(std::clamp(value(from, "block", -1.0), -1.0, 1e6));
   host.entry.availability = availability_of(required<std::string_view>(from, "health"));
   const double born = value(from, "born_ms", 0.0);
-  // Not by from_ms, which cuts at ten years: this counts from 1970.
+  // Not with from_ms(), which clamps to ten years: this is a time since 1970.
   if (born > 0 && born < 1e14) host.entry.started = Time{std::llround(born * 1e3)};
   return host;
 }
 
-// Throws simdjson's errors too.
+// May also throw simdjson::simdjson_error.
 FleetNews fleet_event_of(object from) {
   FleetNews event;
   event.index = required<std::uint64_t>(from, "index");
@@ -86,7 +86,8 @@
   return event;
 }
 
-// The first key of `was` that `now` lacks, as a path; what the coordinator told is not compared.
+// The path of the first key of `running` that `reloaded` lacks. Below "known", which holds earlier events of
+// the coordinator, nothing is compared.
 std::optional<std::string> find_missing_key(object running, object reloaded, const std::string& path) {
   for (const auto field : running) {
     const std::string key(field.key);
@@ -98,7 +99,7 @@
       if (auto missing = find_missing_key(field.value.get_object(), there.get_object(), at)) return missing;
     }
     if (key == "request_classes" && field.value.is_array() && there.is_array()) {
-      // Classes come and go: each new one has what all the running ones have in common.
+      // Classes may be added and removed: each class must have the keys that all running ones have in common.
       std::map<std::string, std::size_t> shared;
       std::size_t count = 0;
       for (const element entry : field.value.get_array()) {
@@ -129,7 +130,7 @@
       throw ConfigError("\"" + *missing + "\" is missing");
     }
   } catch (const simdjson::simdjson_error& error) {
-    throw ConfigError(std::string("no JSON of the expected form: ") + error.what());
+    throw ConfigError(std::string("not JSON of the expected form: ") + error.what());
   }
 }
 
@@ -138,7 +139,7 @@
   try {
     return fleet_event_of(parser.parse(json).get_object());
   } catch (const simdjson::simdjson_error& error) {
-    throw ConfigError(std::string("news of the setup servers cannot be read: ") + error.what());
+    throw ConfigError(std::string("the event of the setup servers cannot be read: ") + error.what());
   }
 }
 
@@ -177,7 +178,7 @@
     config.unknown = unknown_settings(settings);
     return config;
   } catch (const simdjson::simdjson_error& error) {
-    throw ConfigError(std::string("no JSON of the expected form: ") + error.what());
+    throw ConfigError(std::string("not JSON of the expected form: ") + error.what());
   } catch (const SettingsError& error) {
     throw ConfigError(error.what());
   }
@@ -199,13 +200,13 @@
     if (!list || list->empty()) throw ConfigError("\"planners\" names no address");
     for (const auto& entry : *list) {
       const auto parsed = address(entry.value_or(std::string()), "planners");
-      // The link is not protected in any way, so it never leaves the machine.
+      // The link is neither encrypted nor authenticated, so it must not leave the machine.
       if (ntohl(parsed.sin_addr.s_addr) >> 24 != 127)
-        throw ConfigError("a planner's address is off loopback");
+        throw ConfigError("a planner's address is not a loopback address");
       planners.push_back(parsed);
     }
   } catch (const toml::parse_error& error) {
-    throw ConfigError("no TOML: " + std::string(error.description()));
+    throw ConfigError("invalid TOML: " + std::string(error.description()));
   }
   return planners;
 }
--- a/src/json_text.hpp
+++ b/src/json_text.hpp
@@ -1,4 +1,4 @@
-// Texts as JSON has them.
+// JSON strings.
 #pragma once
 
 #include <string>
@@ -8,6 +8,7 @@
 
 namespace quartzarch {
 
+// The text as a JSON string, quoted and escaped.
 inline std::string json_quoted(std::string_view value) { return "\"" + json_escaped(value) + "\""; }
 
 }  // namespace quartzarch
--- a/src/log.cpp
+++ b/src/log.cpp
@@ -40,7 +40,7 @@
   char text[1024];
   std::vsnprintf(text, sizeof text, format, arguments);
   for (char* at = text; *at; ++at) {
-    if (static_cast<unsigned char>(*at) < ' ') *at = '?';  // what peers sent must not start lines of its own
+    if (static_cast<unsigned char>(*at) < ' ') *at = '?';  // input from peers must not start a new line
   }
   if (dropped_ > 0) std::fprintf(stream_, "log: %u lines dropped\n", std::exchange(dropped_, 0u));
   std::fprintf(stream_, "%lld.%03lld %s\n", static_cast<long long>(now.count() / 1000000),
--- a/src/log.hpp
+++ b/src/log.hpp
@@ -1,6 +1,7 @@
-// The program's log: lines on standard error, at most so many a second. Any thread may write.
+// The program's log: rate-limited lines on standard error. Thread-safe.
 //
-// Lines about single calls have a rate limit of their own, so that a flood of them drops none of the others.
+// Lines about single calls have a rate limit of their own, so that a flood of them does not suppress other
+// lines.
 #pragma once
 
 #include <cstdarg>
@@ -15,14 +16,15 @@
  public:
   explicit Logger(std::FILE* stream = stderr) : stream_(stream) {}
 
-  // Lines go there from now on.
+  // Redirects all further lines to `stream`.
   void write_to(std::FILE* stream) {
     const std::lock_guard lock(mutex_);
     stream_ = stream;
   }
-  // One line. What exceeds the rate is dropped and counted; the count goes out with the next line.
+  // Writes one line. Lines over the rate limit are dropped and counted; the count is written with the next
+  // line.
   void line(const char* format, ...) __attribute__((format(printf, 2, 3)));
-  // One line about a single call, with a rate limit of its own.
+  // Writes one line about a single call, with a rate limit of its own.
   void call_line(const char* format, ...) __attribute__((format(printf, 2, 3)));
 
  private:
@@ -33,6 +35,7 @@
     double tokens = burst;
     Time refilled{};
 
+    // Takes a token if there is one.
     bool try_take(Time now);
   };
 
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -10,7 +10,7 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-// An object that may be absent.
+// A JSON object that may be absent.
 using OptionalObject = std::optional<object>;
 
 // A missing or null value is absent; one of another type is an error.
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -1,4 +1,4 @@
-// The settings of an instance, decoded for the adapter and the program alike.
+// The settings of an instance, decoded from JSON. Used by both the adapter and the program.
 #pragma once
 
 #include <simdjson.h>
@@ -12,32 +12,35 @@
 
 namespace quartzarch {
 
+// The settings of the decision module and those that the code around it needs.
 struct InstanceSettings {
   Settings settings;
   std::vector<std::string> class_names;    // in the order of settings.classes
-  std::vector<std::string> report_fields;  // names of the load report's values, in their order
-  bool retry_hint = false;                 // a full processor names a wait
+  std::vector<std::string> report_fields;  // names of the load report's values, in order
+  bool retry_hint = false;                 // a server with a full processor reports a retry delay
   Duration connect_timeout = std::chrono::milliseconds(500);
   Duration longest_deadline{};  // of all classes
 };
 
+// The longest aim of all classes.
 Duration longest_aim_of(const std::vector<CallClass>& classes);
 
-// What was wrong with the settings.
+// The settings cannot be decoded; what() says why.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Milliseconds of the wire as a duration; what no clock can hold is cut to ten years, and NaN is nought.
+// Converts milliseconds as received to a duration, clamped to ten years either way so that it cannot
+// overflow; NaN becomes 0.
 Duration from_ms(double ms);
 
-// Unknown keys are skipped, absent ones keep the defaults. Throws SettingsError if a value has the wrong type
-// or, for text, if it is not a JSON object.
+// Decodes settings. Unknown keys are skipped, absent ones keep their defaults. Throws SettingsError if a
+// value has the wrong type or if the text is not a JSON object.
 InstanceSettings parse_settings(simdjson::dom::object source);
 InstanceSettings parse_settings(std::string_view json);
 
-// The field of a load report that `name` stands for, by its name in the settings or in the simulator's own
-// words; null if unknown.
+// The field of a load report with this name, either as in the settings or as in the simulator; null if
+// unknown.
 std::optional<double>* report_field(LoadReport& report, std::string_view name);
 
 }  // namespace quartzarch
--- a/src/settings_check.cpp
+++ b/src/settings_check.cpp
@@ -15,7 +15,7 @@
 
 using Keys = std::set<std::string_view>;
 
-// Without these the rules could be broken unseen.
+// Required keys: with a default instead, the program could break the platform's rules unnoticed.
 const std::map<std::string_view, Keys> kRequiredKeys{
     {"", {"n_instances", "request_classes"}},
     {"contract", {"cold", "cold_from", "fall", "fall_multiple"}},
@@ -23,7 +23,7 @@
     {"specifics", {"release_guard"}},
 };
 
-// Everything that the platform's page names, also what nothing follows from here.
+// All keys that the platform documents, including those that this program ignores.
 const std::map<std::string_view, Keys> kKnownKeys{
     {"", {"accounts", "areas",  "clients",  "contract",        "discovery",        "domain_type",
           "kinds",    "limits", "locality", "n_instances",     "over_share_worth", "prices",
@@ -49,6 +49,7 @@
       "shape", "widths"}},
 };
 
+// Appends the paths of the keys of object `of` that are not known.
 void add_unknown_keys(object from, std::string_view of, std::vector<std::string>& unknown) {
   for (const auto field : from) {
     if (kKnownKeys.at(of).count(field.key) > 0) continue;
@@ -57,7 +58,7 @@
   }
 }
 
-// The line of the last of these strings, each sought after the one before, in quotes as keys and names are.
+// The line of the last name of the path, found by searching for each quoted name after the previous one.
 std::size_t line_of(std::string_view json, std::initializer_list<std::string_view> path) {
   std::size_t at = 0;
   for (const auto name : path) {
@@ -68,7 +69,7 @@
   return 1 + static_cast<std::size_t>(std::count(json.begin(), json.begin() + static_cast<long>(at), '\n'));
 }
 
-// No call is held for longer, and what is reckoned from a longer time would be worth nothing.
+// No call is held for longer, and estimates over a longer time would be useless.
 constexpr Duration kMaxDeadline = std::chrono::hours(24);
 
 }  // namespace
@@ -95,13 +96,13 @@
     }
   }
   const Settings& settings = instance.settings;
-  if (settings.classes.empty()) fail_setting(json, {"settings", "request_classes"}, "names no class of call");
+  if (settings.classes.empty()) fail_setting(json, {"settings", "request_classes"}, "names no call class");
   std::set<std::string_view> names;
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const std::string& name = instance.class_names[i];
     const CallClass& each = settings.classes[i];
     if (name.empty()) fail_setting(json, {"settings", "request_classes"}, "has a class without a name");
-    if (!names.insert(name).second) fail_setting(json, {"request_classes", name}, "is there twice");
+    if (!names.insert(name).second) fail_setting(json, {"request_classes", name}, "appears twice");
     const auto require = [&](std::string_view key, bool holds, const char* what) {
       if (!holds) fail_setting(json, {"request_classes", name, key}, what);
     };
--- a/src/settings_check.hpp
+++ b/src/settings_check.hpp
@@ -1,4 +1,4 @@
-// Whether settings can be served by, and which of them this program does not know.
+// Checks whether settings are complete and usable, and which of their keys this program does not know.
 #pragma once
 
 #include <simdjson.h>
@@ -12,14 +12,14 @@
 
 namespace quartzarch {
 
-// Throws ConfigError, its line naming the line and the key in `json`.
+// Throws a ConfigError that names the line and the key in `json`.
 [[noreturn]] void fail_setting(std::string_view json, std::initializer_list<std::string_view> path,
                                const std::string& what);
 
-// What cannot be served by, or is needed and not there, is told (ConfigError); nothing is put in its place.
+// Throws ConfigError if a required key is missing or a value is unusable; no default is substituted.
 void check_settings(std::string_view json, simdjson::dom::object settings, const InstanceSettings& instance);
 
-// The settings' keys that mean nothing here, by path: from a newer platform, or misspelt.
+// Paths of the keys that this program does not know: from a newer platform, or misspelt.
 std::vector<std::string> unknown_settings(simdjson::dom::object settings);
 
 }  // namespace quartzarch
--- a/src/settings_file.cpp
+++ b/src/settings_file.cpp
@@ -12,7 +12,7 @@
 std::int64_t number(const toml::node& node, const std::string& key, std::int64_t least, std::int64_t most) {
   const auto value = node.value_exact<std::int64_t>();
   if (!value || *value < least || *value > most) {
-    fail(node, key, "is no whole number within " + std::to_string(least) + " and " + std::to_string(most));
+    fail(node, key, "is not a whole number from " + std::to_string(least) + " to " + std::to_string(most));
   }
   return *value;
 }
@@ -20,7 +20,7 @@
 std::string text(const toml::node& node, const std::string& key, std::size_t most) {
   const auto value = node.value_exact<std::string>();
   if (!value || value->empty() || value->size() > most)
-    fail(node, key, "is no text of 1 to " + std::to_string(most) + " characters");
+    fail(node, key, "is not a string of 1 to " + std::to_string(most) + " characters");
   return *value;
 }
 
@@ -32,7 +32,7 @@
 
 sockaddr_in address(const toml::node& node, const std::string& key) {
   const auto parsed = parse_address(node.value_or(std::string()));
-  if (!parsed) fail(node, key, "is no address like \"10.0.0.1:7301\"");
+  if (!parsed) fail(node, key, "is not an address like \"10.0.0.1:7301\"");
   return *parsed;
 }
 
@@ -52,7 +52,7 @@
 void for_each_table(const toml::node& node, const std::string& key,
                     const std::function<void(const toml::table&)>& handle) {
   const toml::array* const list = node.as_array();
-  if (!list || !list->is_array_of_tables()) fail(node, key, "is no list of tables: [[" + key + "]]");
+  if (!list || !list->is_array_of_tables()) fail(node, key, "is not a list of tables: [[" + key + "]]");
   for (const toml::node& entry : *list) handle(*entry.as_table());
 }
 
@@ -61,7 +61,7 @@
     handle(toml::parse(source));
   } catch (const toml::parse_error& error) {
     throw ConfigError("line " + std::to_string(error.source().begin.line) +
-                      ": no TOML: " + std::string(error.description()));
+                      ": invalid TOML: " + std::string(error.description()));
   }
 }
 
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -350,8 +350,8 @@
       {"heartbeat_ms = 400\n" + good, "line 1: \"heartbeat_ms\" is over a third"},
       {good + "[[voter]]\nname = \"d\"\naddress = \"127.0.0.1:4\"\n", "\"voter\" is there 3 or 5 times"},
       {good + "[[voter]]\nname = \"a\"\naddress = \"127.0.0.1:4\"\n", "names a voter twice"},
-      {good + "[[duty]]\nname = 3\n", "\"name\" is no text"},
-      {good + "x", "no TOML"}};
+      {good + "[[duty]]\nname = 3\n", "\"name\" is not a string"},
+      {good + "x", "invalid TOML"}};
   for (const auto& [text, said] : bad) {
     try {
       fleet::parse_fleet(text);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -244,7 +244,7 @@
       {"\"n_instances\":3", "\"n_instances\":0", "line 4: \"settings.n_instances\" is not over 0"},
       {"{\"name\":\"exam\"", "{\"x\":\"exam\"",
        "line 4: \"settings.request_classes\" has a class without a name"},
-      {"\"exam\"", "\"voice\"", "\"request_classes.voice\" is there twice"},
+      {"\"exam\"", "\"voice\"", "\"request_classes.voice\" appears twice"},
       {"\"aim\":900", "\"aim\":0", "line 5: \"request_classes.exam.aim\" is not over 0"},
       {"\"deadline\":7000", "\"deadline\":-1", "line 5: \"request_classes.exam.deadline\" is not over 0"},
       {"\"deadline\":7000", "\"deadline\":1e300",
