--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -261,7 +261,7 @@
                    [&](const Config& fresh) {
                      coordinator.move(fresh.coordinator);
                      planner.limit(bounds_of(fresh.limits));
-                     planner.resettle(fresh.start);
+                     planner.resettle(fresh.instance);
                      fronts.limit(fresh.limits);
                    }});
   fronts.hang_up();
