--- a/examples/one_call.cpp
+++ b/examples/one_call.cpp
@@ -10,12 +10,13 @@
 
   quartzarch::Controller controller(settings, /*seed=*/1, /*now=*/0s);
   const quartzarch::ServerId server{{10, 0, 0, 1}, 5060};
-  controller.handle(0s, quartzarch::ServerList{.whole = true, .entries = {{.id = server, .number = 0}}});
+  controller.handle(0s,
+                    quartzarch::ServerList{.is_snapshot = true, .entries = {{.id = server, .number = 0}}});
 
   quartzarch::CallArrived call;
   call.call = 1;
   call.first_choice = 0;
-  call.patience = 3s;
+  call.caller_timeout = 3s;
   for (const auto& action : controller.handle(10ms, call)) {
     if (const auto* setup = std::get_if<quartzarch::SendSetup>(&action)) {
       std::printf("set up call %llu at %d.%d.%d.%d:%d\n", static_cast<unsigned long long>(setup->call),
