--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -210,7 +210,7 @@
   const auto number = in.get<std::uint16_t>();
   const auto seed = in.get<std::uint64_t>();
   const auto json = in.take(in.get<std::uint32_t>());
-  StartUp start;
+  InstanceSettings start;
   try {
     start = parse_settings(json);
   } catch (const SettingsError& error) {
@@ -218,7 +218,7 @@
   }
   instances_.erase(number);
   instances_.emplace(number, Instance{Controller(std::move(start.settings), seed, now_),
-                                      std::move(start.report_fields), start.waits_hinted});
+                                      std::move(start.report_fields), start.retry_hint});
 }
 
 void Session::read_page(Reader& in) {
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-Planner::Planner(Loop& loop, Logger& log, StartUp start, std::uint64_t seed, Capacity capacity)
+Planner::Planner(Loop& loop, Logger& log, InstanceSettings start, std::uint64_t seed, Capacity capacity)
     : loop_(loop),
       log_(log),
       start_(std::move(start)),
@@ -88,7 +88,7 @@
   }
 }
 
-void Planner::reload_settings(const StartUp& fresh) {
+void Planner::reload_settings(const InstanceSettings& fresh) {
   std::vector<CallClass>& table = start_.settings.classes;
   std::vector<std::string>& names = start_.class_names;
   std::vector<bool> kept(names.size(), false);
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -29,11 +29,11 @@
     std::size_t waiting_bytes = 32 * 1024 * 1024;
   };
 
-  Planner(Loop& loop, Logger& log, StartUp start, std::uint64_t seed, Capacity capacity);
+  Planner(Loop& loop, Logger& log, InstanceSettings start, std::uint64_t seed, Capacity capacity);
   void set_capacity(Capacity capacity) { capacity_ = capacity; }
   // Applies new settings at SIGHUP: added, changed and removed classes, and the number of attempts a call may
   // have. A request in progress keeps the class it came with.
-  void reload_settings(const StartUp& fresh);
+  void reload_settings(const InstanceSettings& fresh);
 
   // Applies an update of the list of setup servers.
   void update_servers(const ServerListUpdate& update);
@@ -127,7 +127,7 @@
 
   Loop& loop_;
   Logger& log_;
-  StartUp start_;
+  InstanceSettings start_;
   Controller controller_;
   Servers servers_;
   ServerInventory server_inventory_;
--- a/src/log.hpp
+++ b/src/log.hpp
@@ -1,6 +1,7 @@
-// The program's log: lines on standard error, at most so many a second. Any thread may write.
+// The program's log: rate-limited lines on standard error. Thread-safe.
 //
-// Lines about single calls have a rate limit of their own, so that a flood of them drops none of the others.
+// Lines about single calls have a rate limit of their own, so that a flood of them does not suppress other
+// lines.
 #pragma once
 
 #include <cstdarg>
@@ -13,16 +14,17 @@
 
 class Logger {
  public:
-  explicit Logger(std::FILE* to = stderr) : to_(to) {}
+  explicit Logger(std::FILE* stream = stderr) : stream_(stream) {}
 
-  // Lines go there from now on.
-  void write_to(std::FILE* to) {
+  // Redirects all further lines to `stream`.
+  void write_to(std::FILE* stream) {
     const std::lock_guard lock(mutex_);
-    to_ = to;
+    stream_ = stream;
   }
-  // One line. What exceeds the rate is dropped and counted; the count goes out with the next line.
+  // Writes one line. Lines over the rate limit are dropped and counted; the count is written with the next
+  // line.
   void line(const char* format, ...) __attribute__((format(printf, 2, 3)));
-  // One line about a single call, with a rate limit of its own.
+  // Writes one line about a single call, with a rate limit of its own.
   void call_line(const char* format, ...) __attribute__((format(printf, 2, 3)));
 
  private:
@@ -33,13 +35,14 @@
     double tokens = burst;
     Time refilled{};
 
-    bool take(Time now);
+    // Takes a token if there is one.
+    bool try_take(Time now);
   };
 
   void write(RateLimit& limit, const char* format, std::va_list arguments);
 
   std::mutex mutex_;
-  std::FILE* to_;
+  std::FILE* stream_;
   RateLimit lines_{20, 200};
   RateLimit call_lines_{20, 100};
   unsigned dropped_ = 0;
--- a/src/net/coordinator.cpp
+++ b/src/net/coordinator.cpp
@@ -193,7 +193,7 @@
 
 bool CoordinatorClient::deliver_event() {
   try {
-    const ServerListUpdate update = parse_news(std::exchange(data_, {}));
+    const ServerListUpdate update = parse_fleet_event(std::exchange(data_, {}));
     if (update.index <= last_index_) return true;  // already delivered
     last_index_ = update.index;
     on_update_(update);
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -55,7 +55,7 @@
 Config within_process_limits(Config config) {
   rlimit process_limit{};
   if (::getrlimit(RLIMIT_NOFILE, &process_limit) == 0 && process_limit.rlim_cur < config.limits.sockets)
-    config.limits.sockets = std::max(static_cast<unsigned>(process_limit.rlim_cur), kFewestSockets);
+    config.limits.sockets = std::max(static_cast<unsigned>(process_limit.rlim_cur), kMinSockets);
   return config;
 }
 
@@ -141,7 +141,7 @@
     try {
       std::string text = read_file(config_path_);
       const Config fresh = within_process_limits(parse_config(text));
-      check_again(active_text_, text);
+      check_reload(active_text_, text);
       std::function<void()> take_certificates;
       if (certificates_) {
         reading = certificates_->path();
@@ -237,7 +237,7 @@
 // A process with its own fronts and its own planner.
 void serve_standalone(Loop& loop, Logger& log, Files& files, Service& service, const Config& config,
                       const ServeOptions& options, const std::optional<sip::FrontConfig>& sip) {
-  Planner planner(loop, log, config.start, config.seed, bounds_of(config.limits));
+  Planner planner(loop, log, config.instance, config.seed, bounds_of(config.limits));
   const auto operation = attach_operation(loop, log, planner, files, config, options);
   for (const ServerListUpdate& update : config.known) planner.update_servers(update);
   Fronts fronts(loop, log, planner, config, sip);
@@ -271,7 +271,7 @@
                    [&](const Config& fresh) {
                      coordinator.set_address(fresh.coordinator);
                      planner.set_capacity(bounds_of(fresh.limits));
-                     planner.reload_settings(fresh.start);
+                     planner.reload_settings(fresh.instance);
                      fronts.limit(fresh.limits);
                    }});
   fronts.end_sip_dialogs();
@@ -281,10 +281,10 @@
 void serve_as_planner(Loop& loop, Logger& log, Files& files, Service& service, Config config,
                       const ServeOptions& options, const std::vector<sockaddr_in>& planners) {
   const std::size_t index = *options.planner;
-  Settings& settings = config.start.settings;
+  Settings& settings = config.instance.settings;
   settings.rank = settings.rank * static_cast<unsigned>(planners.size()) + static_cast<unsigned>(index);
   settings.instances *= static_cast<unsigned>(planners.size());
-  Planner planner(loop, log, config.start, config.seed + index, bounds_of(config.limits));
+  Planner planner(loop, log, config.instance, config.seed + index, bounds_of(config.limits));
   const auto operation = attach_operation(loop, log, planner, files, config, options);
   for (const ServerListUpdate& update : config.known) planner.update_servers(update);
   link::Port port(loop, log, planner, planners[index]);
@@ -338,8 +338,8 @@
                .answer_pending = [&] { planners.answer_owed(); },
                .schedule =
                    [&] {
-                     return StopSchedule(config.start.longest_deadline,
-                                         longest_aim_of(config.start.settings.classes));
+                     return StopSchedule(config.instance.longest_deadline,
+                                         longest_aim_of(config.instance.settings.classes));
                    },
                .end_connections = [&] { fronts.end_connections(); },
                .no_connections = [&] { return fronts.no_connections(); },
@@ -367,10 +367,10 @@
   std::optional<sip::FrontConfig> sip;
   if (options.sip) {
     sip = sip::parse_front_config(files.read(options.sip->c_str()), options.certs.has_value());
-    set_default_class(*sip, config.start.class_names);
+    set_default_class(*sip, config.instance.class_names);
   }
   std::vector<sockaddr_in> planners;
-  if (options.levels) planners = parse_levels(files.read(options.levels->c_str()));
+  if (options.levels) planners = parse_planner_addresses(files.read(options.levels->c_str()));
   if (options.planner && *options.planner >= planners.size()) {
     throw ConfigError("--planner is out of range: there is no planner " + std::to_string(*options.planner));
   }
--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -33,7 +33,8 @@
 // to the second one.
 class RetriedCall : public Program {
  protected:
-  RetriedCall() : Program([](StartUp& start) { start.settings.release_guard = milliseconds(300); }) {}
+  RetriedCall()
+      : Program([](InstanceSettings& start) { start.settings.release_guard = milliseconds(300); }) {}
 
   void lose_the_first_attempt(Loss how) {
     planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -104,7 +104,7 @@
 
 class CancelDisabled : public Program {
  protected:
-  CancelDisabled() : Program([](StartUp& start) { start.settings.may_cancel = false; }) {}
+  CancelDisabled() : Program([](InstanceSettings& start) { start.settings.may_cancel = false; }) {}
 };
 
 // Where attempts may not be cancelled, a set-up of which nothing was sent is still dropped.
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -222,7 +222,7 @@
   EXPECT_EQ(config.limits.output_bytes(), 64u << 10);
   EXPECT_EQ(config.known.at(0).hosts.at(0).entry.started, Time{1796136168000000});
   EXPECT_EQ(config.known.at(0).hosts.at(0).entry.availability, Availability::draining);
-  EXPECT_EQ(config.start.class_names.at(0), "voice");
+  EXPECT_EQ(config.instance.class_names.at(0), "voice");
   EXPECT_EQ(config.unknown, (std::vector<std::string>{"sides", "request_classes.hue", "specifics.mood"}));
   for (const char* bad : {"", "{", "[]", "{\"listen\":1}", "{\"listen\":\"x\",\"coordinator\":\"y\"}"}) {
     EXPECT_THROW(parse_config(bad), ConfigError) << bad;
@@ -245,7 +245,7 @@
       {"\"n_instances\":3", "\"n_instances\":0", "line 4: \"settings.n_instances\" is not over 0"},
       {"{\"name\":\"exam\"", "{\"x\":\"exam\"",
        "line 4: \"settings.request_classes\" has a class without a name"},
-      {"\"exam\"", "\"voice\"", "\"request_classes.voice\" is there twice"},
+      {"\"exam\"", "\"voice\"", "\"request_classes.voice\" appears twice"},
       {"\"aim\":900", "\"aim\":0", "line 5: \"request_classes.exam.aim\" is not over 0"},
       {"\"deadline\":7000", "\"deadline\":-1", "line 5: \"request_classes.exam.deadline\" is not over 0"},
       {"\"deadline\":7000", "\"deadline\":1e300",
