--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -21,7 +21,7 @@
 }
 
 template <typename Number>
-std::optional<Number> number_in(std::string_view text) {
+std::optional<Number> parse_number(std::string_view text) {
   Number value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
@@ -83,11 +83,12 @@
 // What no request may have or lack, whatever it asks (8.2).
 bool SipFront::acceptable(const Message& message, ServerTransaction& transaction) {
   const auto uri = parse_uri(message.uri());
-  const bool scheme = uri && (same_word(uri->scheme, "sip") || same_word(uri->scheme, "sips") ||
-                              same_word(uri->scheme, "tel"));
+  const bool scheme =
+      uri && (equals_ignore_case(uri->scheme, "sip") || equals_ignore_case(uri->scheme, "sips") ||
+              equals_ignore_case(uri->scheme, "tel"));
   int status = 0;
   std::string headers;
-  if (!same_word(message.version(), "SIP/2.0")) {
+  if (!equals_ignore_case(message.version(), "SIP/2.0")) {
     status = 505;
   } else if (!scheme) {
     status = uri ? 416 : 400;
@@ -96,8 +97,9 @@
     for (const auto option : message.values("Require"))
       headers += "Unsupported: " + std::string(option) + "\r\n";
   } else if (!message.body().empty() && message.method() == "INVITE" &&
-             !same_word(message.header("Content-Type").substr(0, message.header("Content-Type").find(';')),
-                        "application/sdp")) {
+             !equals_ignore_case(
+                 message.header("Content-Type").substr(0, message.header("Content-Type").find(';')),
+                 "application/sdp")) {
     status = 415;
     headers = kAccept;
   }
@@ -131,9 +133,9 @@
   request.description = message.body();
   request.call_class = message.header("X-Call-Class");
   if (request.call_class.empty()) request.call_class = config_.default_class;
-  request.first_choice = number_in<int>(message.header("X-First-Choice")).value_or(-1);
+  request.first_choice = parse_number<int>(message.header("X-First-Choice")).value_or(-1);
   request.retry = message.header("X-Repeat") == "1";
-  if (const auto seconds = number_in<unsigned>(message.header("Expires"))) {
+  if (const auto seconds = parse_number<unsigned>(message.header("Expires"))) {
     request.caller_timeout = std::chrono::seconds(std::min(*seconds, 86400u));
   }
   transaction.subject = request.call;
@@ -312,9 +314,10 @@
   Hop to = dialog.hop;
   const auto uri = parse_uri(dialog.first_hop);
   TransportKind kind = to.kind;
-  if (uri && same_word(uri->transport, "udp")) kind = TransportKind::udp;
-  if (uri && same_word(uri->transport, "tcp")) kind = TransportKind::tcp;
-  if (uri && (same_word(uri->transport, "tls") || same_word(uri->scheme, "sips"))) kind = TransportKind::tls;
+  if (uri && equals_ignore_case(uri->transport, "udp")) kind = TransportKind::udp;
+  if (uri && equals_ignore_case(uri->transport, "tcp")) kind = TransportKind::tcp;
+  if (uri && (equals_ignore_case(uri->transport, "tls") || equals_ignore_case(uri->scheme, "sips")))
+    kind = TransportKind::tls;
   const std::string port = std::to_string(uri && uri->port != 0 ? uri->port : default_port(kind));
   if (const auto address = uri ? parse_address(std::string(uri->host) + ":" + port) : std::nullopt) {
     to = {kind, *address, kind == to.kind ? to.connection : 0};
--- a/src/front/sip/message.cpp
+++ b/src/front/sip/message.cpp
@@ -7,7 +7,7 @@
 namespace quartzarch::sip {
 namespace {
 
-constexpr std::size_t kMostHeaders = 200;
+constexpr std::size_t kMaxHeaders = 200;
 
 std::string_view trimmed(std::string_view text) {
   while (!text.empty() && std::isspace(static_cast<unsigned char>(text.front()))) text.remove_prefix(1);
@@ -51,7 +51,7 @@
 }
 
 // A whole decimal number, or nothing.
-std::optional<long> whole_number(std::string_view text) {
+std::optional<long> parse_number(std::string_view text) {
   long value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size() || value < 0) return std::nullopt;
@@ -68,7 +68,7 @@
 }
 
 // Where `wanted` stands outside quotes and angle brackets, at or after `from`.
-std::size_t find_outside(std::string_view text, char wanted, std::size_t from = 0) {
+std::size_t find_unquoted(std::string_view text, char wanted, std::size_t from = 0) {
   bool quoted = false, angled = false;
   for (std::size_t i = from; i < text.size(); ++i) {
     const char c = text[i];
@@ -86,13 +86,13 @@
 }
 
 // "host", "host:port" or "[v6]:port".
-bool split_host(std::string_view text, std::string_view& host, int& port) {
+bool split_host_port(std::string_view text, std::string_view& host, int& port) {
   const auto bracket = text.rfind(']');
   const auto colon = text.find(':', bracket == std::string_view::npos ? 0 : bracket);
   host = text.substr(0, colon);
   if (host.empty()) return false;
   if (colon == std::string_view::npos) return true;
-  const auto value = whole_number(text.substr(colon + 1));
+  const auto value = parse_number(text.substr(colon + 1));
   if (!value || *value == 0 || *value > 65535) return false;
   port = static_cast<int>(*value);
   return true;
@@ -100,7 +100,7 @@
 
 }  // namespace
 
-bool same_word(std::string_view a, std::string_view b) {
+bool equals_ignore_case(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) {
     return std::tolower(static_cast<unsigned char>(x)) == std::tolower(static_cast<unsigned char>(y));
   });
@@ -117,8 +117,8 @@
     const std::string_view line = next_line(head);
     const auto colon = line.find(':');
     if (colon == std::string_view::npos) continue;
-    if (!same_word(long_form(trimmed(line.substr(0, colon))), "Content-Length")) continue;
-    return whole_number(trimmed(line.substr(colon + 1))).value_or(-1);
+    if (!equals_ignore_case(long_form(trimmed(line.substr(0, colon))), "Content-Length")) continue;
+    return parse_number(trimmed(line.substr(colon + 1))).value_or(-1);
   }
   return std::nullopt;
 }
@@ -140,7 +140,7 @@
   const auto first = line.find(' ');
   if (first == std::string_view::npos) return false;
   if (line.starts_with("SIP/")) {
-    const auto status = whole_number(line.substr(first + 1, 3));
+    const auto status = parse_number(line.substr(first + 1, 3));
     version_ = line.substr(0, first);
     if (!status || *status < 100 || *status > 699) return false;
     status_ = static_cast<int>(*status);
@@ -160,18 +160,18 @@
     const std::string_view line = next_line(lines);
     if (line.empty()) return true;
     const auto colon = line.find(':');
-    if (colon == std::string_view::npos || headers_.size() >= kMostHeaders) return false;
+    if (colon == std::string_view::npos || headers_.size() >= kMaxHeaders) return false;
     const std::string_view name = trimmed(line.substr(0, colon));
     if (!is_token(name)) return false;
     std::string_view value = line.substr(colon + 1);
     // A line that begins with white space goes on with the one before.
     if (lines.starts_with(' ') || lines.starts_with('\t')) {
-      std::string& whole = unfolded_.emplace_back(trimmed(value));
+      std::string& joined = unfolded_values_.emplace_back(trimmed(value));
       while (lines.starts_with(' ') || lines.starts_with('\t')) {
-        whole += ' ';
-        whole += trimmed(next_line(lines));
+        joined += ' ';
+        joined += trimmed(next_line(lines));
       }
-      value = whole;
+      value = joined;
     }
     headers_.push_back({long_form(name), trimmed(value)});
   }
@@ -180,23 +180,23 @@
 
 std::string_view Message::header(std::string_view name) const {
   for (const Header& header : headers_) {
-    if (same_word(header.name, name)) return header.value;
+    if (equals_ignore_case(header.name, name)) return header.value;
   }
   return {};
 }
 
 bool Message::has(std::string_view name) const {
   return std::any_of(headers_.begin(), headers_.end(),
-                     [name](const Header& header) { return same_word(header.name, name); });
+                     [name](const Header& header) { return equals_ignore_case(header.name, name); });
 }
 
 std::vector<std::string_view> Message::values(std::string_view name) const {
   std::vector<std::string_view> all;
   for (const Header& header : headers_) {
-    if (!same_word(header.name, name)) continue;
+    if (!equals_ignore_case(header.name, name)) continue;
     std::string_view rest = header.value;
     while (!rest.empty()) {
-      const auto comma = find_outside(rest, ',');
+      const auto comma = find_unquoted(rest, ',');
       if (const auto value = trimmed(rest.substr(0, comma)); !value.empty()) all.push_back(value);
       rest.remove_prefix(comma == std::string_view::npos ? rest.size() : comma + 1);
     }
@@ -205,12 +205,13 @@
 }
 
 std::optional<std::string_view> parameter(std::string_view value, std::string_view name) {
-  for (auto at = find_outside(value, ';'); at != std::string_view::npos; at = find_outside(value, ';', at)) {
+  for (auto at = find_unquoted(value, ';'); at != std::string_view::npos;
+       at = find_unquoted(value, ';', at)) {
     ++at;
-    const auto end = find_outside(value, ';', at);
+    const auto end = find_unquoted(value, ';', at);
     const std::string_view item = value.substr(at, end == std::string_view::npos ? end : end - at);
     const auto equals = item.find('=');
-    if (!same_word(trimmed(item.substr(0, equals)), name)) continue;
+    if (!equals_ignore_case(trimmed(item.substr(0, equals)), name)) continue;
     return equals == std::string_view::npos ? std::string_view{} : trimmed(item.substr(equals + 1));
   }
   return std::nullopt;
@@ -235,7 +236,7 @@
   uri.scheme = text.substr(0, colon);
   std::string_view rest = text.substr(colon + 1);
   uri.transport = parameter(rest, "transport").value_or(std::string_view{});
-  if (same_word(uri.scheme, "tel")) {
+  if (equals_ignore_case(uri.scheme, "tel")) {
     uri.user = rest.substr(0, rest.find(';'));
     return uri.user.empty() ? std::nullopt : std::optional(uri);
   }
@@ -244,7 +245,7 @@
     uri.user = uri.user.substr(0, uri.user.find_first_of(":;"));  // no password, no user parameters
     rest.remove_prefix(at + 1);
   }
-  if (!split_host(rest.substr(0, rest.find_first_of(";?")), uri.host, uri.port)) return std::nullopt;
+  if (!split_host_port(rest.substr(0, rest.find_first_of(";?")), uri.host, uri.port)) return std::nullopt;
   return uri;
 }
 
@@ -256,7 +257,7 @@
   if (!protocol.starts_with("SIP/2.0/")) return std::nullopt;
   via.transport = protocol.substr(8);
   const std::string_view rest = value.substr(space);
-  if (!split_host(trimmed(rest.substr(0, rest.find(';'))), via.host, via.port)) return std::nullopt;
+  if (!split_host_port(trimmed(rest.substr(0, rest.find(';'))), via.host, via.port)) return std::nullopt;
   via.branch = parameter(rest, "branch").value_or(std::string_view{});
   return via;
 }
@@ -264,7 +265,7 @@
 std::optional<CSeq> parse_cseq(std::string_view value) {
   const auto space = value.find_first_of(" \t");
   if (space == std::string_view::npos) return std::nullopt;
-  const auto number = whole_number(value.substr(0, space));
+  const auto number = parse_number(value.substr(0, space));
   const auto method = trimmed(value.substr(space));
   if (!number || *number > 0x7fffffff || !is_token(method)) return std::nullopt;
   return CSeq{static_cast<unsigned long>(*number), method};
--- a/src/front/sip/message.hpp
+++ b/src/front/sip/message.hpp
@@ -39,7 +39,7 @@
   std::string_view method_{}, uri_{}, version_{}, body_{};
   int status_ = 0;
   std::vector<Header> headers_{};
-  std::deque<std::string> unfolded_{};
+  std::deque<std::string> unfolded_values_{};
 };
 
 // Where a head ends, its empty line included; npos if it is not whole yet.
@@ -47,7 +47,7 @@
 // The Content-Length a head names; nothing if it names none, -1 if it is no number.
 std::optional<long> content_length(std::string_view head);
 
-bool same_word(std::string_view a, std::string_view b);
+bool equals_ignore_case(std::string_view a, std::string_view b);
 
 // The value of a parameter behind a header's value or a URI: ";branch=z9hG4bK1" -> "z9hG4bK1". Nothing if it
 // is not there, empty if it has no value.
