--- a/src/front/sip/tls.cpp
+++ b/src/front/sip/tls.cpp
@@ -11,7 +11,7 @@
 namespace quartzarch::sip {
 namespace {
 
-constexpr std::size_t kMostHeld = 256 * 1024;  // until a handshake is done
+constexpr std::size_t kMaxPendingPlain = 256 * 1024;  // until a handshake is done
 
 std::string last_error() {
   char reason[256] = "";
@@ -26,10 +26,10 @@
                        std::string ca_file)
     : log_(log),
       registry_(registry ? std::move(registry) : std::make_shared<tls::Registry>()),
-      certificate_(std::move(certificate)),
+      certificate_file_(std::move(certificate)),
       client_(SSL_CTX_new(TLS_client_method())) {
-  if (!certificate_.empty()) {
-    stamp_ = stamp();
+  if (!certificate_file_.empty()) {
+    file_version_ = file_version();
     load();
   }
   SSL_CTX_set_min_proto_version(client_.get(), TLS1_2_VERSION);
@@ -41,30 +41,30 @@
 }
 
 void TlsContext::load() {
-  std::ifstream file(certificate_);
+  std::ifstream file(certificate_file_);
   std::ostringstream text;
   text << file.rdbuf();
   try {
     if (!file) throw tls::TlsError("cannot be read");
-    registry_->put("file " + certificate_, text.str());
+    registry_->put("file " + certificate_file_, text.str());
   } catch (const tls::TlsError& error) {
-    throw std::runtime_error(certificate_ + " cannot be used: " + error.what());
+    throw std::runtime_error(certificate_file_ + " cannot be used: " + error.what());
   }
 }
 
-std::string TlsContext::stamp() const {
+std::string TlsContext::file_version() const {
   struct stat info {};
-  if (::stat(certificate_.c_str(), &info) != 0) return {};
+  if (::stat(certificate_file_.c_str(), &info) != 0) return {};
   return std::to_string(info.st_ino) + "." + std::to_string(info.st_mtim.tv_sec) + "." +
          std::to_string(info.st_mtim.tv_nsec) + "." + std::to_string(info.st_size);
 }
 
 void TlsContext::reload_if_changed() {
-  const std::string now = stamp();
-  if (now.empty() || std::exchange(stamp_, now) == now) return;
+  const std::string current = file_version();
+  if (current.empty() || std::exchange(file_version_, current) == current) return;
   try {
     load();
-    log_.line("tls: certificate %s read again", certificate_.c_str());
+    log_.line("tls: certificate %s read again", certificate_file_.c_str());
   } catch (const std::runtime_error& error) {
     log_.line("tls: %s; the old one goes on", error.what());
   }
@@ -84,41 +84,41 @@
   std::unique_ptr<TlsSession> session(new TlsSession(context));
   SSL_set_connect_state(session->ssl_.get());
   X509_VERIFY_PARAM_set1_ip_asc(SSL_get0_param(session->ssl_.get()), peer.c_str());
-  session->step();
+  session->advance();
   return session;
 }
 
 bool TlsSession::feed(std::string_view ciphertext) {
   BIO_write(SSL_get_rbio(ssl_.get()), ciphertext.data(), static_cast<int>(ciphertext.size()));
-  return step();
+  return advance();
 }
 
 bool TlsSession::write(std::string_view plain) {
-  if (held_.size() + plain.size() > kMostHeld) return false;
-  held_ += plain;
-  return step();
+  if (pending_plain_.size() + plain.size() > kMaxPendingPlain) return false;
+  pending_plain_ += plain;
+  return advance();
 }
 
 // As far as it goes with what has come: the handshake, what is held, what can be read.
-bool TlsSession::step() {
+bool TlsSession::advance() {
   ERR_clear_error();
   SSL* const ssl = ssl_.get();
-  const auto waits = [ssl](int result) { return SSL_get_error(ssl, result) == SSL_ERROR_WANT_READ; };
+  const auto wants_input = [ssl](int result) { return SSL_get_error(ssl, result) == SSL_ERROR_WANT_READ; };
   if (!SSL_is_init_finished(ssl)) {
     const int result = SSL_do_handshake(ssl);
-    if (result != 1) return waits(result);
+    if (result != 1) return wants_input(result);
     if (was_challenge()) return false;  // no data is exchanged on it (RFC 8737, 3)
   }
-  if (!held_.empty()) {
-    const int result = SSL_write(ssl, held_.data(), static_cast<int>(held_.size()));
-    if (result <= 0) return waits(result);
-    held_.clear();
+  if (!pending_plain_.empty()) {
+    const int result = SSL_write(ssl, pending_plain_.data(), static_cast<int>(pending_plain_.size()));
+    if (result <= 0) return wants_input(result);
+    pending_plain_.clear();
   }
   for (;;) {
     char bytes[16 * 1024];
     const int result = SSL_read(ssl, bytes, sizeof bytes);
-    if (result <= 0) return waits(result);
-    plain_.append(bytes, static_cast<std::size_t>(result));
+    if (result <= 0) return wants_input(result);
+    received_plain_.append(bytes, static_cast<std::size_t>(result));
   }
 }
 
--- a/src/front/sip/tls.hpp
+++ b/src/front/sip/tls.hpp
@@ -25,18 +25,18 @@
 
   // One that cannot be used is told once, and the one at hand goes on.
   void reload_if_changed();
-  bool watches() const { return !certificate_.empty(); }
+  bool has_certificate_file() const { return !certificate_file_.empty(); }
   SSL_CTX* server() const { return registry_->server(); }
   SSL_CTX* client() const { return client_.get(); }
 
  private:
   void load();
-  std::string stamp() const;
+  std::string file_version() const;
 
   Logger& log_;
   std::shared_ptr<tls::Registry> registry_;
-  std::string certificate_;
-  std::string stamp_{};
+  std::string certificate_file_;
+  std::string file_version_{};
   std::unique_ptr<SSL_CTX, tls::FreeSsl> client_{};
 };
 
@@ -51,17 +51,17 @@
   // What was written goes out once the handshake is done.
   bool write(std::string_view plain);
   // What has become readable, and what is to be sent, since the last time.
-  std::string take_plain() { return std::exchange(plain_, {}); }
+  std::string take_plain() { return std::exchange(received_plain_, {}); }
   std::string take_ciphertext();
   // It was an authority's look at a challenge's answer (RFC 8737), and is over.
   bool was_challenge() const { return tls::Registry::was_challenge(ssl_.get()); }
 
  private:
   explicit TlsSession(SSL_CTX* context);
-  bool step();
+  bool advance();
 
   std::unique_ptr<SSL, tls::FreeSsl> ssl_;
-  std::string plain_{}, held_{};
+  std::string received_plain_{}, pending_plain_{};
 };
 
 }  // namespace quartzarch::sip
--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -49,7 +49,7 @@
                                                 listening.tls_ca);
     tls_ = std::make_unique<Listener>(*this, TransportKind::tls, listen_on(*listening.tls));
     loop_.watch(*tls_, Priority::callers);
-    if (tls_context_->watches()) look_at_certificate();
+    if (tls_context_->has_certificate_file()) look_at_certificate();
   }
   sweep();
 }
