--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -36,10 +36,10 @@
       core_(core),
       config_(std::move(config)),
       random_(seed),
-      transactions_(loop, log, config_.timers, *this, config_.most_transactions),
+      transactions_(loop, log, config_.timers, *this, config_.max_transactions),
       transport_(loop, log, config_.listening, config_.most_connections,
                  [this](const Message& message, const Hop& from) { transactions_.receive(message, from); }) {
-  transactions_.use(transport_);
+  transactions_.set_transport(transport_);
 }
 
 SipFront::~SipFront() {
@@ -64,7 +64,7 @@
 
 // ---- Requests
 
-void SipFront::requested(const Message& message, ServerTransaction& transaction) {
+void SipFront::on_request(const Message& message, ServerTransaction& transaction) {
   transaction.to_tag = new_tag();
   if (message.method() == "CANCEL") return take_cancel(transaction);
   if (!acceptable(message, transaction)) return;
@@ -109,7 +109,7 @@
 }
 
 void SipFront::take_invite(const Message& message, ServerTransaction& transaction) {
-  const Received& received = transaction.request();
+  const RequestInfo& received = transaction.request();
   // The same INVITE by another way (8.2.2.2): one of them is enough.
   const std::string merge_key =
       received.call_id + '|' + std::string(tag_of(received.from)) + '|' + received.cseq;
@@ -147,7 +147,7 @@
 
 // The dialog's state as its 2xx will establish it (12.1.1).
 void SipFront::open_dialog(const Message& message, ServerTransaction& transaction, CallId call) {
-  const Received& received = transaction.request();
+  const RequestInfo& received = transaction.request();
   Dialog& dialog = dialogs_[call];
   dialog.call = call;
   dialog.invite = transaction.key();
@@ -165,7 +165,7 @@
 }
 
 void SipFront::take_inside(const Message& message, ServerTransaction& transaction) {
-  const Received& received = transaction.request();
+  const RequestInfo& received = transaction.request();
   Dialog* const dialog = find(dialog_id(received.call_id, tag_of(received.to), tag_of(received.from)));
   if (!dialog) return transactions_.respond(transaction, 481);
   // Of two requests the later one was answered already (12.2.2).
@@ -243,24 +243,25 @@
   // Until the ACK comes, on whatever transport (13.3.1.4).
   dialog->interval = config_.timers.t1;
   dialog->resend = loop_.at(loop_.now() + dialog->interval, [this, call] { resend_answer(call); });
-  dialog->give_up = loop_.at(loop_.now() + config_.timers.longest(), [this, call] { give_up(call); });
+  dialog->give_up =
+      loop_.at(loop_.now() + config_.timers.transaction_timeout(), [this, call] { give_up(call); });
 }
 
 void SipFront::resend_answer(CallId call) {
   Dialog* const dialog = find(call);
   ServerTransaction* const invite = dialog ? transactions_.find(dialog->invite) : nullptr;
   if (!invite) return;
-  transactions_.repeat(*invite);
+  transactions_.resend_response(*invite);
   dialog->interval = std::min(dialog->interval * 2, config_.timers.t2);
   dialog->resend = loop_.at(loop_.now() + dialog->interval, [this, call] { resend_answer(call); });
 }
 
-void SipFront::asked_again(ServerTransaction& transaction) {
+void SipFront::on_invite_retransmitted(ServerTransaction& transaction) {
   const Dialog* const dialog = find(transaction.subject);
-  if (dialog && !dialog->acknowledged) transactions_.repeat(transaction);
+  if (dialog && !dialog->acknowledged) transactions_.resend_response(transaction);
 }
 
-void SipFront::forgotten(ServerTransaction&) {}
+void SipFront::on_terminated(ServerTransaction&) {}
 
 // The ACK never came: the caller cannot have the call.
 void SipFront::give_up(CallId call) {
@@ -273,7 +274,7 @@
   if (!over) core_.release(call, cause::kTemporary);
 }
 
-void SipFront::acknowledged(const Message& message) {
+void SipFront::on_ack(const Message& message) {
   Dialog* const dialog = find(
       dialog_id(message.header("Call-ID"), tag_of(message.header("To")), tag_of(message.header("From"))));
   const auto cseq = parse_cseq(message.header("CSeq"));
@@ -332,7 +333,7 @@
   transactions_.request(to, "BYE", target, headers, call);
 }
 
-void SipFront::responded(std::uint64_t, int status) {
+void SipFront::on_response(std::uint64_t, int status) {
   // Whatever it says, the dialog is over (15.1.1).
   if (status == 408) log_.line("sip: a BYE got no answer");
 }
--- a/src/front/sip/front.hpp
+++ b/src/front/sip/front.hpp
@@ -15,7 +15,7 @@
   std::string default_class{};  // of an INVITE that names none
   Timers timers{};
   std::size_t most_connections = 256;
-  std::size_t most_transactions = 20000;
+  std::size_t max_transactions = 20000;
 };
 
 class SipFront : public Front, private Transactions::User {
@@ -56,11 +56,11 @@
     std::optional<Loop::TimerId> resend{}, give_up{};
   };
 
-  void requested(const Message& message, ServerTransaction& transaction) override;
-  void acknowledged(const Message& message) override;
-  void asked_again(ServerTransaction& transaction) override;
-  void forgotten(ServerTransaction& transaction) override;
-  void responded(std::uint64_t subject, int status) override;
+  void on_request(const Message& message, ServerTransaction& transaction) override;
+  void on_ack(const Message& message) override;
+  void on_invite_retransmitted(ServerTransaction& transaction) override;
+  void on_terminated(ServerTransaction& transaction) override;
+  void on_response(std::uint64_t subject, int status) override;
 
   bool acceptable(const Message& message, ServerTransaction& transaction);
   void take_invite(const Message& message, ServerTransaction& transaction);
--- a/src/front/sip/transactions.cpp
+++ b/src/front/sip/transactions.cpp
@@ -8,7 +8,7 @@
 namespace quartzarch::sip {
 namespace {
 
-constexpr std::string_view kCookie = "z9hG4bK";
+constexpr std::string_view kBranchCookie = "z9hG4bK";
 
 std::string address_of(const sockaddr_in& address) {
   const std::string text = address_text(address);
@@ -17,12 +17,12 @@
 
 // 17.2.3: the branch, the sent-by and the method, an ACK counting as its INVITE. Without the cookie, as older
 // clients send it, what identifies the request instead.
-std::string key_of(const Message& message, std::string_view method) {
+std::string transaction_key(const Message& message, std::string_view method) {
   const auto values = message.values("Via");
   const auto via = parse_via(values.front());
   std::string key(method);
   key += '|' + std::string(via->host) + ':' + std::to_string(via->port) + '|';
-  if (via->branch.starts_with(kCookie)) return key + std::string(via->branch);
+  if (via->branch.starts_with(kBranchCookie)) return key + std::string(via->branch);
   const auto cseq = parse_cseq(message.header("CSeq"));
   return key + std::string(message.header("Call-ID")) + '|' + std::string(tag_of(message.header("From"))) +
          '|' + std::to_string(cseq->number) + '|' + std::string(via->branch);
@@ -48,8 +48,8 @@
   return via.host == seen ? line : line + ";received=" + seen;
 }
 
-Received copy_of(const Message& message, const Hop& from) {
-  Received request;
+RequestInfo copy_request(const Message& message, const Hop& from) {
+  RequestInfo request;
   request.method = message.method();
   request.uri = message.uri();
   const auto vias = message.values("Via");
@@ -70,7 +70,7 @@
 }
 
 // What no transaction can be made of.
-bool complete(const Message& message) {
+bool has_required_headers(const Message& message) {
   const auto vias = message.values("Via");
   const auto cseq = parse_cseq(message.header("CSeq"));
   return !vias.empty() && parse_via(vias.front()) && cseq && cseq->method == message.method() &&
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-const char* reason_of(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 100:
       return "Trying";
@@ -125,10 +125,10 @@
   }
 }
 
-std::string response_head(const Received& request, int status, const std::string& to_tag,
+std::string response_head(const RequestInfo& request, int status, const std::string& to_tag,
                           const std::string& headers, std::size_t body_size) {
-  std::string head = "SIP/2.0 " + std::to_string(status) + " " + reason_of(status) + "\r\n" + request.vias +
-                     "From: " + request.from + "\r\nTo: " + request.to;
+  std::string head = "SIP/2.0 " + std::to_string(status) + " " + reason_phrase(status) + "\r\n" +
+                     request.vias + "From: " + request.from + "\r\nTo: " + request.to;
   if (status != 100 && !to_tag.empty() && tag_of(request.to).empty()) head += ";tag=" + to_tag;
   head += "\r\nCall-ID: " + request.call_id + "\r\nCSeq: " + request.cseq + "\r\n";
   return head + headers + "Content-Length: " + std::to_string(body_size) + "\r\n\r\n";
@@ -147,13 +147,13 @@
 
 void Transactions::receive(const Message& message, const Hop& from) {
   if (!message.is_request()) return receive_response(message);
-  if (!complete(message)) {
+  if (!has_required_headers(message)) {
     log_.line("sip: incomplete %.*s from %s", static_cast<int>(message.method().size()),
               message.method().data(), address_text(from.address).c_str());
     // As much of an answer as can be given; an ACK gets none.
     const auto vias = message.values("Via");
     if (message.method() == "ACK" || vias.empty() || !parse_via(vias.front())) return;
-    Received request;
+    RequestInfo request;
     const auto top = *parse_via(vias.front());
     request.reply_to = reply_hop(top, vias.front(), from);
     request.vias = "Via: " + completed_via(vias.front(), top, from) + "\r\n";
@@ -161,33 +161,33 @@
     request.to = message.header("To");
     request.call_id = message.header("Call-ID");
     request.cseq = message.header("CSeq");
-    return refuse_unkept(request, 400);
+    return respond_stateless(request, 400);
   }
   receive_request(message, from);
 }
 
 void Transactions::receive_request(const Message& message, const Hop& from) {
   const bool ack = message.method() == "ACK";
-  const std::string key = key_of(message, ack ? "INVITE" : message.method());
+  const std::string key = transaction_key(message, ack ? "INVITE" : message.method());
   if (ack) return receive_ack(message, key);
   const auto found = servers_.find(key);
   if (found != servers_.end()) {
     // A retransmission: it gets what there is, on the way by which it came, and nothing happens twice.
     ServerTransaction& known = found->second;
-    known.request_.reply_to = copy_of(message, from).reply_to;
-    if (known.state_ == ServerTransaction::State::accepted) return user_.asked_again(known);
+    known.request_.reply_to = copy_request(message, from).reply_to;
+    if (known.state_ == ServerTransaction::State::accepted) return user_.on_invite_retransmitted(known);
     if (!known.head_.empty() && known.state_ != ServerTransaction::State::confirmed) send(known);
     return;
   }
   // What there is no room for is answered without being kept.
-  if (size() >= most_) return refuse_unkept(copy_of(message, from), 503);
+  if (size() >= max_transactions_) return respond_stateless(copy_request(message, from), 503);
   ServerTransaction& transaction = servers_[key];
   transaction.key_ = key;
-  transaction.request_ = copy_of(message, from);
-  user_.requested(message, transaction);
+  transaction.request_ = copy_request(message, from);
+  user_.on_request(message, transaction);
 }
 
-void Transactions::refuse_unkept(const Received& request, int status) {
+void Transactions::respond_stateless(const RequestInfo& request, int status) {
   const std::string headers = status == 503 ? "Retry-After: 1\r\n" : "";
   transport_->send(request.reply_to, response_head(request, status, "unkept", headers, 0), {});
 }
@@ -195,7 +195,7 @@
 void Transactions::receive_ack(const Message& message, const std::string& key) {
   const auto found = servers_.find(key);
   if (found == servers_.end() || found->second.state_ == ServerTransaction::State::accepted) {
-    return user_.acknowledged(message);
+    return user_.on_ack(message);
   }
   ServerTransaction& transaction = found->second;
   if (transaction.state_ != ServerTransaction::State::completed) return;
@@ -209,7 +209,7 @@
                            const std::string& body) {
   using State = ServerTransaction::State;
   if (transaction.state_ != State::proceeding) return;
-  const Received& request = transaction.request_;
+  const RequestInfo& request = transaction.request_;
   const std::string routes = status >= 200 && status < 300 ? request.record_routes : std::string{};
   transaction.head_ = response_head(request, status, transaction.to_tag, routes + headers, body.size());
   transaction.body_ = body;
@@ -218,49 +218,50 @@
   const bool reliable = request.reply_to.reliable();
   if (!transaction.is_invite()) {
     transaction.state_ = State::completed;
-    return end_after(transaction, reliable ? Duration{0} : timers_.longest());  // timer J
+    return end_after(transaction, reliable ? Duration{0} : timers_.transaction_timeout());  // timer J
   }
   if (status < 300) {
     transaction.state_ = State::accepted;
-    return end_after(transaction, timers_.longest());  // timer L
+    return end_after(transaction, timers_.transaction_timeout());  // timer L
   }
   transaction.state_ = State::completed;
   if (!reliable) {
     transaction.interval_ = timers_.t1;
     transaction.resend_ =
-        loop_.at(loop_.now() + timers_.t1, [this, key = transaction.key_] { resend_failure(key); });
+        loop_.at(loop_.now() + timers_.t1, [this, key = transaction.key_] { resend_failure_response(key); });
   }
-  end_after(transaction, timers_.longest());  // timer H
+  end_after(transaction, timers_.transaction_timeout());  // timer H
 }
 
-void Transactions::repeat(const ServerTransaction& transaction) { send(transaction); }
+void Transactions::resend_response(const ServerTransaction& transaction) { send(transaction); }
 
 void Transactions::send(const ServerTransaction& transaction) {
   transport_->send(transaction.request_.reply_to, transaction.head_, transaction.body_);
 }
 
 // Timer G.
-void Transactions::resend_failure(const std::string& key) {
+void Transactions::resend_failure_response(const std::string& key) {
   const auto found = servers_.find(key);
   if (found == servers_.end()) return;
   ServerTransaction& transaction = found->second;
   send(transaction);
   transaction.interval_ = std::min(transaction.interval_ * 2, timers_.t2);
-  transaction.resend_ = loop_.at(loop_.now() + transaction.interval_, [this, key] { resend_failure(key); });
+  transaction.resend_ =
+      loop_.at(loop_.now() + transaction.interval_, [this, key] { resend_failure_response(key); });
 }
 
 void Transactions::end_after(ServerTransaction& transaction, Duration time) {
   if (transaction.end_) loop_.cancel(*transaction.end_);
-  transaction.end_ = loop_.at(loop_.now() + time, [this, key = transaction.key_] { forget(key); });
+  transaction.end_ = loop_.at(loop_.now() + time, [this, key = transaction.key_] { terminate(key); });
 }
 
-void Transactions::forget(const std::string& key) {
+void Transactions::terminate(const std::string& key) {
   const auto found = servers_.find(key);
   if (found == servers_.end()) return;
   if (found->second.resend_) loop_.cancel(*found->second.resend_);
-  ServerTransaction gone = std::move(found->second);
+  ServerTransaction terminated = std::move(found->second);
   servers_.erase(found);
-  user_.forgotten(gone);
+  user_.on_terminated(terminated);
 }
 
 ServerTransaction* Transactions::find(const std::string& key) {
@@ -282,7 +283,7 @@
 void Transactions::request(const Hop& to, const std::string& method, const std::string& uri,
                            const std::string& headers, std::uint64_t subject) {
   const std::string branch =
-      std::string(kCookie) + std::to_string(loop_.now().count()) + "." + std::to_string(++last_branch_);
+      std::string(kBranchCookie) + std::to_string(loop_.now().count()) + "." + std::to_string(++last_branch_);
   Client& client = clients_[branch];
   client.to = to;
   client.subject = subject;
@@ -295,7 +296,8 @@
     client.resend = loop_.at(loop_.now() + timers_.t1, [this, branch] { resend_request(branch); });
   }
   // Timer F.
-  client.end = loop_.at(loop_.now() + timers_.longest(), [this, branch] { finish_client(branch, 408); });
+  client.end =
+      loop_.at(loop_.now() + timers_.transaction_timeout(), [this, branch] { finish_client(branch, 408); });
 }
 
 // Timer E.
@@ -338,7 +340,7 @@
     client.end = loop_.at(loop_.now() + timers_.t4,
                           [this, branch = std::string(branch)] { finish_client(branch, 0); });
   }
-  user_.responded(subject, status);
+  user_.on_response(subject, status);
 }
 
 }  // namespace quartzarch::sip
--- a/src/front/sip/transactions.hpp
+++ b/src/front/sip/transactions.hpp
@@ -17,11 +17,11 @@
   Duration t1 = std::chrono::milliseconds(500);
   Duration t2 = std::chrono::milliseconds(4000);
   Duration t4 = std::chrono::milliseconds(5000);
-  Duration longest() const { return 64 * t1; }  // B, F, H, J, L
+  Duration transaction_timeout() const { return 64 * t1; }  // B, F, H, J, L
 };
 
 // A request as its responses and its dialog need it, copied out of the message.
-struct Received {
+struct RequestInfo {
   std::string method{}, uri{};
   std::string vias{};  // as header lines, the topmost completed with received and rport
   std::string from{}, to{}, call_id{}, cseq{}, record_routes{};
@@ -33,7 +33,7 @@
 class ServerTransaction {
  public:
   const std::string& key() const { return key_; }
-  const Received& request() const { return request_; }
+  const RequestInfo& request() const { return request_; }
   bool is_invite() const { return request_.method == "INVITE"; }
   bool answered() const { return state_ != State::proceeding; }
   // Of the To of every response but 100.
@@ -46,7 +46,7 @@
   enum class State { proceeding, accepted, completed, confirmed };
 
   std::string key_{};
-  Received request_{};
+  RequestInfo request_{};
   State state_ = State::proceeding;
   std::string head_{}, body_{};  // the last response
   Duration interval_{};          // timer G
@@ -59,28 +59,28 @@
    public:
     virtual ~User() = default;
     // A new request, never a retransmission.
-    virtual void requested(const Message& message, ServerTransaction& transaction) = 0;
+    virtual void on_request(const Message& message, ServerTransaction& transaction) = 0;
     // An ACK that belongs to no failure: of a 2xx.
-    virtual void acknowledged(const Message& message) = 0;
+    virtual void on_ack(const Message& message) = 0;
     // The INVITE was retransmitted after its 2xx.
-    virtual void asked_again(ServerTransaction& transaction) = 0;
-    virtual void forgotten(ServerTransaction& transaction) = 0;
+    virtual void on_invite_retransmitted(ServerTransaction& transaction) = 0;
+    virtual void on_terminated(ServerTransaction& transaction) = 0;
     // A request of ours got its final response; 408 if none came.
-    virtual void responded(std::uint64_t subject, int status) = 0;
+    virtual void on_response(std::uint64_t subject, int status) = 0;
   };
 
-  Transactions(Loop& loop, Logger& log, Timers timers, User& user, std::size_t most)
-      : loop_(loop), log_(log), timers_(timers), user_(user), most_(most) {}
+  Transactions(Loop& loop, Logger& log, Timers timers, User& user, std::size_t max_transactions)
+      : loop_(loop), log_(log), timers_(timers), user_(user), max_transactions_(max_transactions) {}
   ~Transactions();
 
-  void use(Transport& transport) { transport_ = &transport; }
+  void set_transport(Transport& transport) { transport_ = &transport; }
   void receive(const Message& message, const Hop& from);
 
   // `headers` are whole lines. A response after a final one is ignored.
   void respond(ServerTransaction& transaction, int status, const std::string& headers = {},
                const std::string& body = {});
   // The 2xx once more: its retransmission is the user's affair.
-  void repeat(const ServerTransaction& transaction);
+  void resend_response(const ServerTransaction& transaction);
   ServerTransaction* find(const std::string& key);
   // The INVITE that a CANCEL is about.
   ServerTransaction* cancelled_by(const ServerTransaction& cancel);
@@ -106,27 +106,27 @@
   void receive_request(const Message& message, const Hop& from);
   void receive_response(const Message& message);
   void receive_ack(const Message& message, const std::string& key);
-  void refuse_unkept(const Received& request, int status);
+  void respond_stateless(const RequestInfo& request, int status);
   void send(const ServerTransaction& transaction);
-  void resend_failure(const std::string& key);
+  void resend_failure_response(const std::string& key);
   void resend_request(const std::string& branch);
   void end_after(ServerTransaction& transaction, Duration time);
-  void forget(const std::string& key);
+  void terminate(const std::string& key);
   void finish_client(const std::string& branch, int status);
 
   Loop& loop_;
   Logger& log_;
   Timers timers_;
   User& user_;
-  std::size_t most_;
+  std::size_t max_transactions_;
   Transport* transport_ = nullptr;
   std::map<std::string, ServerTransaction> servers_;
   std::map<std::string, Client> clients_;
   std::uint64_t last_branch_ = 0;
 };
 
-const char* reason_of(int status);
-std::string response_head(const Received& request, int status, const std::string& to_tag,
+const char* reason_phrase(int status);
+std::string response_head(const RequestInfo& request, int status, const std::string& to_tag,
                           const std::string& headers, std::size_t body_size);
 
 }  // namespace quartzarch::sip
