--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -37,7 +37,7 @@
       config_(std::move(config)),
       random_(seed),
       transactions_(loop, log, config_.timers, *this, config_.max_transactions),
-      transport_(loop, log, config_.listening, config_.most_connections,
+      transport_(loop, log, config_.listening, config_.max_connections,
                  [this](const Message& message, const Hop& from) { transactions_.receive(message, from); }) {
   transactions_.set_transport(transport_);
 }
--- a/src/front/sip/front.hpp
+++ b/src/front/sip/front.hpp
@@ -11,10 +11,10 @@
 namespace quartzarch::sip {
 
 struct FrontConfig {
-  Listening listening{};
+  ListenConfig listening{};
   std::string default_class{};  // of an INVITE that names none
   Timers timers{};
-  std::size_t most_connections = 256;
+  std::size_t max_connections = 256;
   std::size_t max_transactions = 20000;
 };
 
--- a/src/front/sip/front_config.cpp
+++ b/src/front/sip/front_config.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-FrontConfig parse_front_config(std::string_view toml, bool certificates_kept) {
+FrontConfig parse_front_config(std::string_view toml, bool has_certificate_store) {
   FrontConfig config;
   try {
     const toml::table table = toml::parse(toml);
@@ -38,14 +38,14 @@
     const auto t1 = value<std::int64_t>(table, "t1_ms").value_or(500);
     if (connections < 1 || connections > 100000) throw ConfigError("\"connections\" is out of range");
     if (t1 < 1 || t1 > 60000) throw ConfigError("\"t1_ms\" is out of range");
-    config.most_connections = static_cast<std::size_t>(connections);
+    config.max_connections = static_cast<std::size_t>(connections);
     config.timers.t1 = std::chrono::milliseconds(t1);
   } catch (const toml::parse_error& error) {
     throw ConfigError("no TOML: " + std::string(error.description()));
   }
-  const Listening& at = config.listening;
+  const ListenConfig& at = config.listening;
   if (!at.udp && !at.tcp && !at.tls) throw ConfigError("none of \"udp\", \"tcp\" and \"tls\" is given");
-  if (at.tls && at.tls_certificate.empty() && !certificates_kept)
+  if (at.tls && at.tls_certificate.empty() && !has_certificate_store)
     throw ConfigError("\"tls\" needs \"tls_certificate\"");
   return config;
 }
--- a/src/front/sip/front_config.hpp
+++ b/src/front/sip/front_config.hpp
@@ -10,6 +10,6 @@
 
 // Throws ConfigError with one plain line. `certificates_kept`: the program keeps certificates of its own, so
 // TLS needs no file.
-FrontConfig parse_front_config(std::string_view toml, bool certificates_kept = false);
+FrontConfig parse_front_config(std::string_view toml, bool has_certificate_store = false);
 
 }  // namespace quartzarch::sip
--- a/src/front/sip/transactions.cpp
+++ b/src/front/sip/transactions.cpp
@@ -287,8 +287,8 @@
   Client& client = clients_[branch];
   client.to = to;
   client.subject = subject;
-  client.head = method + " " + uri + " SIP/2.0\r\nVia: SIP/2.0/" + std::string(name_of(to.kind)) + " " +
-                address_text(transport_->local(to.kind)) + ";branch=" + branch + "\r\n" + headers +
+  client.head = method + " " + uri + " SIP/2.0\r\nVia: SIP/2.0/" + std::string(transport_name(to.kind)) +
+                " " + address_text(transport_->local(to.kind)) + ";branch=" + branch + "\r\n" + headers +
                 "Max-Forwards: 70\r\nContent-Length: 0\r\n\r\n";
   transport_->send(to, client.head, {});
   if (!to.reliable()) {
--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -10,16 +10,16 @@
 namespace quartzarch::sip {
 namespace {
 
-constexpr std::size_t kLongestHead = 16 * 1024;
-constexpr std::size_t kLongestBody = 16 * 1024;
+constexpr std::size_t kMaxHeadBytes = 16 * 1024;
+constexpr std::size_t kMaxBodyBytes = 16 * 1024;
 constexpr Duration kConnectTimeout = std::chrono::seconds(4);
-constexpr int kDatagramsAtOnce = 64;
-constexpr std::size_t kMostUndelivered = 64;
+constexpr int kMaxDatagramsPerPass = 64;
+constexpr std::size_t kUnconfirmedPruneSize = 64;
 // Nothing takes longer than this on its way, be it the rest of a message or the first one of a connection
 // that a gateway made.
-constexpr Duration kLongestStall = std::chrono::seconds(3);
-constexpr Duration kSweep = std::chrono::seconds(1);
-constexpr Duration kCertificateLook = std::chrono::seconds(1);
+constexpr Duration kStallTimeout = std::chrono::seconds(3);
+constexpr Duration kStallCheckInterval = std::chrono::seconds(1);
+constexpr Duration kCertificateCheckInterval = std::chrono::seconds(1);
 
 bool same_address(const sockaddr_in& a, const sockaddr_in& b) {
   return a.sin_addr.s_addr == b.sin_addr.s_addr && a.sin_port == b.sin_port;
@@ -27,15 +27,15 @@
 
 }  // namespace
 
-const char* name_of(TransportKind kind) {
+const char* transport_name(TransportKind kind) {
   return kind == TransportKind::udp ? "UDP" : kind == TransportKind::tcp ? "TCP" : "TLS";
 }
 
 int default_port(TransportKind kind) { return kind == TransportKind::tls ? 5061 : 5060; }
 
-Transport::Transport(Loop& loop, Logger& log, const Listening& listening, std::size_t most_connections,
+Transport::Transport(Loop& loop, Logger& log, const ListenConfig& listening, std::size_t max_connections,
                      OnMessage on_message)
-    : loop_(loop), log_(log), most_connections_(most_connections), on_message_(std::move(on_message)) {
+    : loop_(loop), log_(log), max_connections_(max_connections), on_message_(std::move(on_message)) {
   if (listening.udp) {
     udp_ = bind_udp(*listening.udp);
     loop_.watch(*this, Priority::callers);
@@ -49,13 +49,13 @@
                                                 listening.tls_ca);
     tls_ = std::make_unique<Listener>(*this, TransportKind::tls, listen_on(*listening.tls));
     loop_.watch(*tls_, Priority::callers);
-    if (tls_context_->has_certificate_file()) look_at_certificate();
+    if (tls_context_->has_certificate_file()) check_certificate();
   }
-  sweep();
+  close_stalled();
 }
 
 Transport::~Transport() {
-  loop_.cancel(sweep_timer_);
+  loop_.cancel(stall_check_timer_);
   if (certificate_timer_) loop_.cancel(*certificate_timer_);
   loop_.unwatch(*this);
   if (tcp_) loop_.unwatch(*tcp_);
@@ -63,9 +63,9 @@
   for (auto& [id, connection] : connections_) connection.stream->close();
 }
 
-void Transport::look_at_certificate() {
+void Transport::check_certificate() {
   tls_context_->reload_if_changed();
-  certificate_timer_ = loop_.at(loop_.now() + kCertificateLook, [this] { look_at_certificate(); });
+  certificate_timer_ = loop_.at(loop_.now() + kCertificateCheckInterval, [this] { check_certificate(); });
 }
 
 sockaddr_in Transport::local(TransportKind kind) const {
@@ -81,7 +81,7 @@
 // ---- UDP
 
 void Transport::on_ready(short) {
-  for (int i = 0; i < kDatagramsAtOnce; ++i) {
+  for (int i = 0; i < kMaxDatagramsPerPass; ++i) {
     std::array<char, 65536> bytes;
     Hop from;
     socklen_t size = sizeof from.address;
@@ -96,12 +96,13 @@
     const std::string_view rest = head == std::string_view::npos ? datagram : datagram.substr(head);
     // Without a Content-Length the body goes up to the end of the datagram; bytes beyond it are discarded,
     // and a body that falls short of it is an error (18.3).
-    const bool named = head != std::string_view::npos && content_length(datagram.substr(0, head)).has_value();
-    const bool good = length >= 0 && static_cast<std::size_t>(length) <= rest.size();
-    const auto message = good
-                             ? Message::parse(datagram.substr(0, head),
-                                              named ? rest.substr(0, static_cast<std::size_t>(length)) : rest)
-                             : std::nullopt;
+    const bool has_length =
+        head != std::string_view::npos && content_length(datagram.substr(0, head)).has_value();
+    const bool valid = length >= 0 && static_cast<std::size_t>(length) <= rest.size();
+    const auto message =
+        valid ? Message::parse(datagram.substr(0, head),
+                               has_length ? rest.substr(0, static_cast<std::size_t>(length)) : rest)
+              : std::nullopt;
     if (!message) {
       log_.line("sip: malformed datagram from %s, dropped", address_text(from.address).c_str());
       continue;
@@ -133,24 +134,24 @@
 // ---- TCP
 
 void Transport::accept_all(Acceptor& acceptor, TransportKind kind) {
-  while (room()) {
+  while (has_capacity()) {
     sockaddr_in peer{};
     Fd fd = acceptor.accept(&peer);
     if (!fd) {
       if (!acceptor.paused()) return;
       log_.line("sip: no descriptor left, connections have to wait");
-      return make_room();
+      return close_least_recently_used();
     }
     Connection& connection = add(
         std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers),
         peer, kind);
     if (kind == TransportKind::tls) connection.tls = TlsSession::accepting(tls_context_->server());
   }
-  make_room();
+  close_least_recently_used();
 }
 
 // The connection that has been quiet for longest goes: what is still owed on it goes out on a new one.
-void Transport::make_room() {
+void Transport::close_least_recently_used() {
   const auto oldest =
       std::min_element(connections_.begin(), connections_.end(), [](const auto& a, const auto& b) {
         return a.second.stream->last_used() < b.second.stream->last_used();
@@ -169,25 +170,26 @@
   connection.stream = std::move(stream);
   connection.peer = peer;
   connection.kind = kind;
-  connection.came = loop_.now();
+  connection.opened_at = loop_.now();
   return connection;
 }
 
 // Half a message, and a connection on which none ever comes, are not kept: hundreds of them would use up what
 // the gateways need. One that has spoken may be quiet for as long as there is room.
-void Transport::sweep() {
-  std::vector<std::shared_ptr<Stream>> over;
+void Transport::close_stalled() {
+  std::vector<std::shared_ptr<Stream>> stalled;
   for (const auto& [id, connection] : connections_) {
-    const Time since = connection.cut_short.value_or(connection.spoke ? loop_.now() : connection.came);
-    if (loop_.now() - since > kLongestStall) over.push_back(connection.stream);
+    const Time since = connection.incomplete_since.value_or(
+        connection.received_message ? loop_.now() : connection.opened_at);
+    if (loop_.now() - since > kStallTimeout) stalled.push_back(connection.stream);
   }
-  for (const auto& stream : over) {
-    if (Connection* const connection = of(*stream)) drop(*connection, "nothing whole");
+  for (const auto& stream : stalled) {
+    if (Connection* const connection = connection_of(*stream)) drop(*connection, "nothing whole");
   }
-  sweep_timer_ = loop_.at(loop_.now() + kSweep, [this] { sweep(); });
+  stall_check_timer_ = loop_.at(loop_.now() + kStallCheckInterval, [this] { close_stalled(); });
 }
 
-Transport::Connection* Transport::of(const Stream& stream) {
+Transport::Connection* Transport::connection_of(const Stream& stream) {
   for (auto& [id, connection] : connections_) {
     if (connection.stream.get() == &stream) return &connection;
   }
@@ -201,23 +203,23 @@
     if (connection.kind == to.kind && same_address(connection.peer, to.address)) return &connection;
   }
   if (to.address.sin_port == 0 || (to.kind == TransportKind::tls && !tls_context_)) return nullptr;
-  if (!room()) make_room();
-  Connection& made = add(std::make_shared<Stream>(loop_, to.address, kConnectTimeout,
-                                                  static_cast<Stream::Owner&>(*this), Priority::callers),
-                         to.address, to.kind);
-  made.spoke = true;  // it is ours: only responses come on it
+  if (!has_capacity()) close_least_recently_used();
+  Connection& opened = add(std::make_shared<Stream>(loop_, to.address, kConnectTimeout,
+                                                    static_cast<Stream::Owner&>(*this), Priority::callers),
+                           to.address, to.kind);
+  opened.received_message = true;  // it is ours: only responses come on it
   if (to.kind == TransportKind::tls) {
     const std::string peer = address_text(to.address);
-    made.tls = TlsSession::connecting(tls_context_->client(), peer.substr(0, peer.rfind(':')));
-    made.stream->send({made.tls->take_ciphertext(), {}, 0});
+    opened.tls = TlsSession::connecting(tls_context_->client(), peer.substr(0, peer.rfind(':')));
+    opened.stream->send({opened.tls->take_ciphertext(), {}, 0});
   }
-  return &made;
+  return &opened;
 }
 
-void Transport::queue(Connection& connection, Undelivered message) {
-  if (connection.undelivered.size() >= kMostUndelivered) {
+void Transport::queue(Connection& connection, UnconfirmedMessage message) {
+  if (connection.unconfirmed.size() >= kUnconfirmedPruneSize) {
     const auto& unsent = connection.stream->unsent();
-    std::erase_if(connection.undelivered, [&](const auto& item) {
+    std::erase_if(connection.unconfirmed, [&](const auto& item) {
       return std::none_of(unsent.begin(), unsent.end(),
                           [&](const Segment& s) { return s.tag == item.first; });
     });
@@ -228,66 +230,67 @@
   } else if (connection.tls->write(message.head + message.body)) {
     connection.stream->send({connection.tls->take_ciphertext(), {}, tag});
   }
-  connection.undelivered.emplace(tag, std::move(message));
+  connection.unconfirmed.emplace(tag, std::move(message));
 }
 
 void Transport::on_data(Stream& stream) {
-  Connection* const connection = of(stream);
+  Connection* const connection = connection_of(stream);
   if (!connection) return;
   const std::uint64_t id = connection->id;
   if (connection->tls && !decrypt(*connection)) {
     return drop(*connection, connection->tls->was_challenge() ? "an authority's challenge" : "TLS broken");
   }
   // Handling a message may take connections away, this one too: it is looked up anew afterwards.
-  const std::string plain = std::exchange(connection->plain, {});
+  const std::string decrypted = std::exchange(connection->decrypted, {});
   const bool secure = connection->tls != nullptr;
-  const auto taken = take(id, secure ? std::string_view(plain) : stream.input());
-  const auto still = connections_.find(id);
-  if (still == connections_.end()) return;
-  if (!taken) return drop(still->second, "malformed message");
-  const bool whole = *taken == (secure ? plain.size() : stream.input().size());
-  if (whole) still->second.cut_short.reset();
-  if (!whole && (*taken > 0 || !still->second.cut_short)) still->second.cut_short = loop_.now();
+  const auto consumed = consume_messages(id, secure ? std::string_view(decrypted) : stream.input());
+  const auto current = connections_.find(id);
+  if (current == connections_.end()) return;
+  if (!consumed) return drop(current->second, "malformed message");
+  const bool complete = *consumed == (secure ? decrypted.size() : stream.input().size());
+  if (complete) current->second.incomplete_since.reset();
+  if (!complete && (*consumed > 0 || !current->second.incomplete_since))
+    current->second.incomplete_since = loop_.now();
   if (secure) {
-    still->second.plain = plain.substr(*taken);
+    current->second.decrypted = decrypted.substr(*consumed);
   } else {
-    stream.consume(*taken);
+    stream.consume(*consumed);
   }
 }
 
 bool Transport::decrypt(Connection& connection) {
   Stream& stream = *connection.stream;
   const std::string_view input = stream.input();
-  const bool good = connection.tls->feed(input);
+  const bool valid = connection.tls->feed(input);
   stream.consume(input.size());
   if (std::string out = connection.tls->take_ciphertext(); !out.empty()) stream.send({std::move(out), {}, 0});
-  connection.plain += connection.tls->take_plain();
-  return good;
+  connection.decrypted += connection.tls->take_plain();
+  return valid;
 }
 
-std::optional<std::size_t> Transport::take(std::uint64_t id, std::string_view bytes) {
-  std::size_t taken = 0;
+std::optional<std::size_t> Transport::consume_messages(std::uint64_t id, std::string_view bytes) {
+  std::size_t consumed = 0;
   while (connections_.count(id) > 0) {
-    const auto start = bytes.find_first_not_of("\r\n", taken);  // keep-alives between messages
+    const auto start = bytes.find_first_not_of("\r\n", consumed);  // keep-alives between messages
     if (start == std::string_view::npos) return bytes.size();
-    taken = start;
-    const std::string_view input = bytes.substr(taken);
+    consumed = start;
+    const std::string_view input = bytes.substr(consumed);
     const std::size_t head = head_length(input);
-    if (head == std::string_view::npos && input.size() <= kLongestHead) return taken;
+    if (head == std::string_view::npos && input.size() <= kMaxHeadBytes) return consumed;
     // On a stream the Content-Length alone tells where a message ends: without one there is no way on.
     const auto length = head == std::string_view::npos ? std::nullopt : content_length(input.substr(0, head));
-    const bool framed = length && *length >= 0 && static_cast<std::size_t>(*length) <= kLongestBody;
+    const bool framed = length && *length >= 0 && static_cast<std::size_t>(*length) <= kMaxBodyBytes;
     if (!framed) return std::nullopt;
     const std::size_t body = static_cast<std::size_t>(*length);
-    if (input.size() < head + body) return taken;
+    if (input.size() < head + body) return consumed;
     const auto message = Message::parse(input.substr(0, head), input.substr(head, body));
     if (!message) return std::nullopt;
     Connection& connection = connections_.at(id);
-    connection.spoke = true;
+    connection.received_message = true;
     on_message_(*message, Hop{connection.kind, connection.peer, id});
-    taken += head + body;
+    consumed += head + body;
   }
-  return taken;
+  return consumed;
 }
 
 void Transport::drop(Connection& connection, const char* why) {
@@ -298,20 +301,21 @@
 }
 
 void Transport::on_disconnected(Stream& stream, DisconnectReason) {
-  Connection* const found = of(stream);
+  Connection* const found = connection_of(stream);
   if (!found) return;
-  const Connection gone = std::move(*found);
-  connections_.erase(gone.id);
-  loop_.keep_until_pass_end(gone.stream);
+  const Connection lost = std::move(*found);
+  connections_.erase(lost.id);
+  loop_.keep_until_pass_end(lost.stream);
   if (!stream.was_connected()) {
-    log_.line("sip: no connection to %s", address_text(gone.peer).c_str());
+    log_.line("sip: no connection to %s", address_text(lost.peer).c_str());
     return;  // its timers decide what becomes of what was to be sent
   }
   // What did not leave in full is sent again as a whole, to where a new connection may be made.
   for (const Segment& segment : stream.unsent()) {
-    const auto message = gone.undelivered.find(segment.tag);
-    if (message == gone.undelivered.end() || same_address(message->second.elsewhere, gone.peer)) continue;
-    send({gone.kind, message->second.elsewhere, 0}, message->second.head, message->second.body);
+    const auto message = lost.unconfirmed.find(segment.tag);
+    if (message == lost.unconfirmed.end() || same_address(message->second.fallback_address, lost.peer))
+      continue;
+    send({lost.kind, message->second.fallback_address, 0}, message->second.head, message->second.body);
   }
 }
 
--- a/src/front/sip/transport.hpp
+++ b/src/front/sip/transport.hpp
@@ -23,14 +23,14 @@
   bool reliable() const { return kind != TransportKind::udp; }
 };
 
-struct Listening {
+struct ListenConfig {
   std::optional<sockaddr_in> udp{}, tcp{}, tls{};
   std::string tls_certificate{}, tls_ca{};
   std::shared_ptr<tls::Registry> certificates{};  // kept by the program itself; null: the file's alone
 };
 
 // "UDP", and the port where none is named.
-const char* name_of(TransportKind kind);
+const char* transport_name(TransportKind kind);
 int default_port(TransportKind kind);
 
 class Transport : private IoHandler, private Stream::Owner {
@@ -39,7 +39,7 @@
 
   // Throws std::system_error if an address cannot be listened on, std::runtime_error if the certificate is
   // bad.
-  Transport(Loop& loop, Logger& log, const Listening& listening, std::size_t most_connections,
+  Transport(Loop& loop, Logger& log, const ListenConfig& listening, std::size_t max_connections,
             OnMessage on_message);
   ~Transport() override;
 
@@ -56,7 +56,7 @@
         : transport_(transport), kind_(kind), acceptor_(transport.loop_, std::move(fd)) {}
     const Fd& fd() const { return acceptor_.fd(); }
     int descriptor() const override { return fd().get(); }
-    short interest() const override { return transport_.room() && !acceptor_.paused() ? POLLIN : 0; }
+    short interest() const override { return transport_.has_capacity() && !acceptor_.paused() ? POLLIN : 0; }
     void on_ready(short) override { transport_.accept_all(acceptor_, kind_); }
 
    private:
@@ -64,8 +64,8 @@
     TransportKind kind_;
     Acceptor acceptor_;
   };
-  struct Undelivered {
-    sockaddr_in elsewhere{};
+  struct UnconfirmedMessage {
+    sockaddr_in fallback_address{};
     std::string head{}, body{};
   };
   struct Connection {
@@ -74,13 +74,13 @@
     sockaddr_in peer{};
     TransportKind kind = TransportKind::tcp;
     // What may not have been written in full, by its tag, and where it goes if the connection is lost.
-    std::map<std::uint64_t, Undelivered> undelivered{};
+    std::map<std::uint64_t, UnconfirmedMessage> unconfirmed{};
     std::unique_ptr<TlsSession> tls{};
-    std::string plain{};  // what TLS has made readable and is no whole message yet
-    Time came{};
-    bool spoke = false;  // a whole message came
+    std::string decrypted{};  // what TLS has made readable and is no whole message yet
+    Time opened_at{};
+    bool received_message = false;  // a whole message came
     std::optional<Time>
-        cut_short{};  // since when a message, or the TLS before it, has been waiting for its rest
+        incomplete_since{};  // since when a message, or the TLS before it, has been waiting for its rest
   };
 
   int descriptor() const override { return udp_.get(); }
@@ -89,29 +89,29 @@
   void on_data(Stream& stream) override;
   void on_disconnected(Stream& stream, DisconnectReason how) override;
 
-  bool room() const { return connections_.size() < most_connections_; }
+  bool has_capacity() const { return connections_.size() < max_connections_; }
   void accept_all(Acceptor& acceptor, TransportKind kind);
-  void sweep();
-  void make_room();
-  Connection* of(const Stream& stream);
+  void close_stalled();
+  void close_least_recently_used();
+  Connection* connection_of(const Stream& stream);
   Connection& add(std::shared_ptr<Stream> stream, const sockaddr_in& peer, TransportKind kind);
   Connection* connection_to(const Hop& to);
-  void queue(Connection& connection, Undelivered message);
+  void queue(Connection& connection, UnconfirmedMessage message);
   bool decrypt(Connection& connection);
   // Takes whole messages off the front; the bytes they took, nothing if one is malformed.
-  std::optional<std::size_t> take(std::uint64_t connection, std::string_view bytes);
+  std::optional<std::size_t> consume_messages(std::uint64_t connection, std::string_view bytes);
   void drop(Connection& connection, const char* why);
-  void look_at_certificate();
+  void check_certificate();
 
   Loop& loop_;
   Logger& log_;
-  std::size_t most_connections_;
+  std::size_t max_connections_;
   OnMessage on_message_;
   Fd udp_;
   std::unique_ptr<TlsContext> tls_context_;
   std::unique_ptr<Listener> tcp_, tls_;
   std::optional<Loop::TimerId> certificate_timer_{};
-  Loop::TimerId sweep_timer_ = 0;
+  Loop::TimerId stall_check_timer_ = 0;
   std::map<std::uint64_t, Connection> connections_;
   std::uint64_t last_connection_ = 0;
   std::uint64_t last_tag_ = 0;
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -192,7 +192,7 @@
     const auto seed = config.seed ^ static_cast<std::uint64_t>(unix_time().count());
     if (!sip) return;
     sip::FrontConfig bounded = *sip;
-    bounded.most_connections = std::min(bounded.most_connections, config.limits.gateways());
+    bounded.max_connections = std::min(bounded.max_connections, config.limits.gateways());
     sip_.emplace(loop, log, core, bounded, seed);
   }
   void limit(const Limits& limits) { binary_.limit(limits.callers(), limits.output_bytes()); }
--- a/standin/node/node.hpp
+++ b/standin/node/node.hpp
@@ -17,7 +17,7 @@
  public:
   struct Options {
     std::vector<sockaddr_in> servers{};  // setup servers, numbered from 0
-    sip::Listening listening{};          // port 0: any
+    sip::ListenConfig listening{};       // port 0: any
     std::vector<std::string> class_names{"voice"};
     Duration aim = std::chrono::milliseconds(1500), deadline = std::chrono::seconds(20);
   };
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -47,7 +47,7 @@
   static std::string request(const Peer& peer, TransportKind kind, const std::string& method, int cseq,
                              const std::string& branch, const std::string& headers = {},
                              const std::string& body = {}, const std::string& to_tag = {}) {
-    const std::string transport = sip::name_of(kind);
+    const std::string transport = sip::transport_name(kind);
     return method + " sip:7f3a9c21e0b4d655@lab SIP/2.0\r\nVia: SIP/2.0/" + transport + " " + peer.address() +
            ";branch=z9hG4bK" + branch +
            "\r\nMax-Forwards: 70\r\nFrom: <sip:gw@lab>;tag=g\r\nTo: <sip:7f@lab>" +
@@ -370,7 +370,7 @@
   sip::FrontConfig config;
   config.listening.tcp = any_port();
   config.default_class = "voice";
-  config.most_connections = 2;
+  config.max_connections = 2;
   sip_front = std::make_unique<sip::SipFront>(loop, log, *planner, config, 7);
   Listener home;
   Peer silent = gateway(TransportKind::tcp);
