--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -14,7 +14,7 @@
 constexpr const char* kAccept = "Accept: application/sdp\r\n";
 constexpr std::string_view kKnownMethods[] = {"REGISTER", "UPDATE", "INFO",    "PRACK",  "SUBSCRIBE",
                                               "NOTIFY",   "REFER",  "MESSAGE", "PUBLISH"};
-constexpr Duration kAtLeastAway = std::chrono::seconds(1);
+constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 
 std::string dialog_id(std::string_view call_id, std::string_view local_tag, std::string_view remote_tag) {
   return std::string(call_id) + '|' + std::string(local_tag) + '|' + std::string(remote_tag);
@@ -44,8 +44,8 @@
 
 SipFront::~SipFront() {
   for (auto& [call, dialog] : dialogs_) {
-    if (dialog.resend) loop_.cancel(*dialog.resend);
-    if (dialog.give_up) loop_.cancel(*dialog.give_up);
+    if (dialog.resend_timer) loop_.cancel(*dialog.resend_timer);
+    if (dialog.ack_timer) loop_.cancel(*dialog.ack_timer);
   }
 }
 
@@ -66,10 +66,10 @@
 
 void SipFront::on_request(const Message& message, ServerTransaction& transaction) {
   transaction.to_tag = new_tag();
-  if (message.method() == "CANCEL") return take_cancel(transaction);
+  if (message.method() == "CANCEL") return handle_cancel(transaction);
   if (!acceptable(message, transaction)) return;
-  if (!tag_of(message.header("To")).empty()) return take_inside(message, transaction);
-  if (message.method() == "INVITE") return take_invite(message, transaction);
+  if (!tag_of(message.header("To")).empty()) return handle_in_dialog(message, transaction);
+  if (message.method() == "INVITE") return handle_invite(message, transaction);
   if (message.method() == "OPTIONS") {
     return transactions_.respond(transaction, core_.ready() ? 200 : 503,
                                  std::string(core_.ready() ? "" : "Retry-After: 1\r\n") + kAllow + kAccept);
@@ -108,7 +108,7 @@
   return false;
 }
 
-void SipFront::take_invite(const Message& message, ServerTransaction& transaction) {
+void SipFront::handle_invite(const Message& message, ServerTransaction& transaction) {
   const RequestInfo& received = transaction.request();
   // The same INVITE by another way (8.2.2.2): one of them is enough.
   const std::string merge_key =
@@ -150,28 +150,28 @@
   const RequestInfo& received = transaction.request();
   Dialog& dialog = dialogs_[call];
   dialog.call = call;
-  dialog.invite = transaction.key();
+  dialog.invite_key = transaction.key();
   dialog.call_id = received.call_id;
   dialog.local = received.to + ";tag=" + transaction.to_tag;
   dialog.remote = received.from;
   dialog.invite_cseq = dialog.remote_cseq = received.cseq_number;
   dialog.id = dialog_id(received.call_id, transaction.to_tag, tag_of(received.from));
   dialog.target = uri_of(message.values("Contact").front());
-  dialog.hop = received.reply_to;
+  dialog.invite_hop = received.reply_to;
   const auto routes = message.values("Record-Route");
   for (const auto route : routes) dialog.routes += "Route: " + std::string(route) + "\r\n";
   dialog.first_hop = routes.empty() ? dialog.target : std::string(uri_of(routes.front()));
-  by_id_[dialog.id] = call;
+  by_dialog_id_[dialog.id] = call;
 }
 
-void SipFront::take_inside(const Message& message, ServerTransaction& transaction) {
+void SipFront::handle_in_dialog(const Message& message, ServerTransaction& transaction) {
   const RequestInfo& received = transaction.request();
   Dialog* const dialog = find(dialog_id(received.call_id, tag_of(received.to), tag_of(received.from)));
   if (!dialog) return transactions_.respond(transaction, 481);
   // Of two requests the later one was answered already (12.2.2).
   if (received.cseq_number < dialog->remote_cseq) return transactions_.respond(transaction, 500);
   dialog->remote_cseq = received.cseq_number;
-  if (message.method() == "BYE") return take_bye(*dialog, transaction);
+  if (message.method() == "BYE") return handle_bye(*dialog, transaction);
   if (message.method() == "INVITE") {
     // What a call was set up with is not changed; the call itself goes on.
     return dialog->acknowledged ? transactions_.respond(transaction, 488)
@@ -182,7 +182,7 @@
   transactions_.respond(transaction, 405, kAllow);
 }
 
-void SipFront::take_cancel(ServerTransaction& transaction) {
+void SipFront::handle_cancel(ServerTransaction& transaction) {
   ServerTransaction* const invite = transactions_.cancelled_by(transaction);
   if (!invite) return transactions_.respond(transaction, 481);
   transaction.to_tag = invite->to_tag;
@@ -194,14 +194,14 @@
   core_.cancel(call);
 }
 
-void SipFront::take_bye(Dialog& dialog, ServerTransaction& transaction) {
+void SipFront::handle_bye(Dialog& dialog, ServerTransaction& transaction) {
   transactions_.respond(transaction, 200);
   const CallId call = dialog.call;
-  const bool answered = dialog.answered, over = dialog.over.has_value();
+  const bool answered = dialog.answered, ended = dialog.end_cause.has_value();
   // A BYE before the answer ends the call like a CANCEL (15.1.2).
   if (!answered) fail_invite(call, 487);
   erase(call);
-  if (over) return;
+  if (ended) return;
   if (answered) {
     core_.release(call, cause::kNormal);
   } else {
@@ -217,43 +217,45 @@
 }
 
 SipFront::Dialog* SipFront::find(const std::string& id) {
-  const auto found = by_id_.find(id);
-  return found == by_id_.end() ? nullptr : find(found->second);
+  const auto found = by_dialog_id_.find(id);
+  return found == by_dialog_id_.end() ? nullptr : find(found->second);
 }
 
 void SipFront::erase(CallId call) {
   const auto found = dialogs_.find(call);
   if (found == dialogs_.end()) return;
   Dialog& dialog = found->second;
-  if (dialog.resend) loop_.cancel(*dialog.resend);
-  if (dialog.give_up) loop_.cancel(*dialog.give_up);
-  by_id_.erase(dialog.id);
+  if (dialog.resend_timer) loop_.cancel(*dialog.resend_timer);
+  if (dialog.ack_timer) loop_.cancel(*dialog.ack_timer);
+  by_dialog_id_.erase(dialog.id);
   by_merge_key_.erase(dialog.merge_key);
   dialogs_.erase(found);
 }
 
 void SipFront::answer(CallId call, std::string description) {
   Dialog* const dialog = find(call);
-  ServerTransaction* const invite = dialog ? transactions_.find(dialog->invite) : nullptr;
+  ServerTransaction* const invite = dialog ? transactions_.find(dialog->invite_key) : nullptr;
   if (!invite) return core_.release(call, cause::kTemporary);
   dialog->answered = true;
-  std::string headers = contact(dialog->hop.kind) + kAllow;
+  std::string headers = contact(dialog->invite_hop.kind) + kAllow;
   if (!description.empty()) headers += "Content-Type: application/sdp\r\n";
   transactions_.respond(*invite, 200, headers, description);
   // Until the ACK comes, on whatever transport (13.3.1.4).
-  dialog->interval = config_.timers.t1;
-  dialog->resend = loop_.at(loop_.now() + dialog->interval, [this, call] { resend_answer(call); });
-  dialog->give_up =
-      loop_.at(loop_.now() + config_.timers.transaction_timeout(), [this, call] { give_up(call); });
+  dialog->resend_interval = config_.timers.t1;
+  dialog->resend_timer =
+      loop_.at(loop_.now() + dialog->resend_interval, [this, call] { resend_answer(call); });
+  dialog->ack_timer =
+      loop_.at(loop_.now() + config_.timers.transaction_timeout(), [this, call] { on_ack_timeout(call); });
 }
 
 void SipFront::resend_answer(CallId call) {
   Dialog* const dialog = find(call);
-  ServerTransaction* const invite = dialog ? transactions_.find(dialog->invite) : nullptr;
+  ServerTransaction* const invite = dialog ? transactions_.find(dialog->invite_key) : nullptr;
   if (!invite) return;
   transactions_.resend_response(*invite);
-  dialog->interval = std::min(dialog->interval * 2, config_.timers.t2);
-  dialog->resend = loop_.at(loop_.now() + dialog->interval, [this, call] { resend_answer(call); });
+  dialog->resend_interval = std::min(dialog->resend_interval * 2, config_.timers.t2);
+  dialog->resend_timer =
+      loop_.at(loop_.now() + dialog->resend_interval, [this, call] { resend_answer(call); });
 }
 
 void SipFront::on_invite_retransmitted(ServerTransaction& transaction) {
@@ -264,14 +266,14 @@
 void SipFront::on_terminated(ServerTransaction&) {}
 
 // The ACK never came: the caller cannot have the call.
-void SipFront::give_up(CallId call) {
+void SipFront::on_ack_timeout(CallId call) {
   Dialog* const dialog = find(call);
   if (!dialog) return;
-  dialog->give_up.reset();
+  dialog->ack_timer.reset();
   log_.line("sip: no ACK for call %s, ended", dialog->call_id.c_str());
-  const bool over = dialog->over.has_value();
-  say_bye(*dialog);
-  if (!over) core_.release(call, cause::kTemporary);
+  const bool ended = dialog->end_cause.has_value();
+  send_bye(*dialog);
+  if (!ended) core_.release(call, cause::kTemporary);
 }
 
 void SipFront::on_ack(const Message& message) {
@@ -280,24 +282,24 @@
   const auto cseq = parse_cseq(message.header("CSeq"));
   if (!dialog || !dialog->answered || cseq->number != dialog->invite_cseq) return;
   dialog->acknowledged = true;
-  if (dialog->resend) loop_.cancel(*std::exchange(dialog->resend, std::nullopt));
-  if (dialog->give_up) loop_.cancel(*std::exchange(dialog->give_up, std::nullopt));
-  if (dialog->over) say_bye(*dialog);
+  if (dialog->resend_timer) loop_.cancel(*std::exchange(dialog->resend_timer, std::nullopt));
+  if (dialog->ack_timer) loop_.cancel(*std::exchange(dialog->ack_timer, std::nullopt));
+  if (dialog->end_cause) send_bye(*dialog);
 }
 
 void SipFront::fail_invite(CallId call, int status, const std::string& headers) {
   const Dialog* const dialog = find(call);
   if (!dialog) return;
-  if (ServerTransaction* const invite = transactions_.find(dialog->invite)) {
+  if (ServerTransaction* const invite = transactions_.find(dialog->invite_key)) {
     transactions_.respond(*invite, status, headers);
   }
   erase(call);
 }
 
 void SipFront::refuse(CallId call, std::optional<Duration> retry_after) {
-  const auto away =
-      std::max(retry_after.value_or(Duration{0}), kAtLeastAway) + std::chrono::milliseconds(999);
-  fail_invite(call, 503, "Retry-After: " + std::to_string(away / std::chrono::seconds(1)) + "\r\n");
+  const auto wait =
+      std::max(retry_after.value_or(Duration{0}), kMinRetryAfter) + std::chrono::milliseconds(999);
+  fail_invite(call, 503, "Retry-After: " + std::to_string(wait / std::chrono::seconds(1)) + "\r\n");
 }
 
 void SipFront::fail(CallId call, Failure why) { fail_invite(call, why == Failure::timed_out ? 504 : 500); }
@@ -305,14 +307,14 @@
 void SipFront::call_ended(CallId call, int cause) {
   Dialog* const dialog = find(call);
   if (!dialog) return;
-  dialog->over = cause;
-  if (dialog->acknowledged) say_bye(*dialog);  // else with the ACK, or when that is given up (15)
+  dialog->end_cause = cause;
+  if (dialog->acknowledged) send_bye(*dialog);  // else with the ACK, or when that is given up (15)
 }
 
 // To the first route or the peer's Contact, on the way the INVITE came where that is no address.
-void SipFront::say_bye(Dialog& dialog) {
+void SipFront::send_bye(Dialog& dialog) {
   const CallId call = dialog.call;
-  Hop to = dialog.hop;
+  Hop to = dialog.invite_hop;
   const auto uri = parse_uri(dialog.first_hop);
   TransportKind kind = to.kind;
   if (uri && equals_ignore_case(uri->transport, "udp")) kind = TransportKind::udp;
@@ -324,7 +326,7 @@
     to = {kind, *address, kind == to.kind ? to.connection : 0};
   }
   const std::string reason =
-      dialog.over ? "Reason: Q.850;cause=" + std::to_string(*dialog.over) + "\r\n" : "";
+      dialog.end_cause ? "Reason: Q.850;cause=" + std::to_string(*dialog.end_cause) + "\r\n" : "";
   const std::string headers =
       "From: " + dialog.local + "\r\nTo: " + dialog.remote + "\r\nCall-ID: " + dialog.call_id +
       "\r\nCSeq: " + std::to_string(++dialog.local_cseq) + " BYE\r\n" + dialog.routes + reason;
@@ -338,7 +340,7 @@
   if (status == 408) log_.line("sip: a BYE got no answer");
 }
 
-void SipFront::hang_up() {
+void SipFront::end_all_calls() {
   std::vector<CallId> calls;
   for (const auto& [call, dialog] : dialogs_) {
     if (dialog.answered) calls.push_back(call);
@@ -346,9 +348,9 @@
   std::sort(calls.begin(), calls.end());
   for (const CallId call : calls) {
     Dialog& dialog = dialogs_.at(call);
-    const bool over = dialog.over.has_value();
-    say_bye(dialog);
-    if (!over) core_.release(call, cause::kNormal);
+    const bool ended = dialog.end_cause.has_value();
+    send_bye(dialog);
+    if (!ended) core_.release(call, cause::kNormal);
   }
 }
 
--- a/src/front/sip/front.hpp
+++ b/src/front/sip/front.hpp
@@ -27,7 +27,7 @@
   sockaddr_in address(TransportKind kind) const { return transport_.local(kind); }
   // Ends every call that stands: nothing of a dialog outlives the process. Then idle() tells when that is
   // done.
-  void hang_up();
+  void end_all_calls();
   bool idle() const { return transactions_.clients_done() && transport_.flushed(); }
   std::size_t dialogs() const { return dialogs_.size(); }
 
@@ -40,20 +40,20 @@
   // A call from its INVITE on; a dialog once it was answered.
   struct Dialog {
     CallId call = 0;
-    std::string invite{};                      // key of the INVITE's transaction
+    std::string invite_key{};                  // key of the INVITE's transaction
     std::string merge_key{};                   // what copies of the INVITE on other ways have in common
     std::string id{};                          // Call-ID and both tags
     std::string local{}, remote{}, call_id{};  // To and From as the INVITE's responses have them
     std::string target{};                      // the peer's Contact
     std::string routes{};                      // as Route header lines
     std::string first_hop{};                   // the URI that requests of ours go to
-    Hop hop{};                                 // the way the INVITE came
+    Hop invite_hop{};                          // the way the INVITE came
     unsigned long invite_cseq = 0, remote_cseq = 0, local_cseq = 0;
     bool answered = false;
     bool acknowledged = false;
-    std::optional<int> over{};  // the call is over; the BYE waits for the ACK
-    Duration interval{};
-    std::optional<Loop::TimerId> resend{}, give_up{};
+    std::optional<int> end_cause{};  // the call is over; the BYE waits for the ACK
+    Duration resend_interval{};
+    std::optional<Loop::TimerId> resend_timer{}, ack_timer{};
   };
 
   void on_request(const Message& message, ServerTransaction& transaction) override;
@@ -63,16 +63,16 @@
   void on_response(std::uint64_t subject, int status) override;
 
   bool acceptable(const Message& message, ServerTransaction& transaction);
-  void take_invite(const Message& message, ServerTransaction& transaction);
-  void take_inside(const Message& message, ServerTransaction& transaction);
-  void take_cancel(ServerTransaction& transaction);
-  void take_bye(Dialog& dialog, ServerTransaction& transaction);
+  void handle_invite(const Message& message, ServerTransaction& transaction);
+  void handle_in_dialog(const Message& message, ServerTransaction& transaction);
+  void handle_cancel(ServerTransaction& transaction);
+  void handle_bye(Dialog& dialog, ServerTransaction& transaction);
   void open_dialog(const Message& message, ServerTransaction& transaction, CallId call);
   Dialog* find(CallId call);
   Dialog* find(const std::string& id);
   void resend_answer(CallId call);
-  void give_up(CallId call);
-  void say_bye(Dialog& dialog);
+  void on_ack_timeout(CallId call);
+  void send_bye(Dialog& dialog);
   void erase(CallId call);
   std::string new_tag();
   std::string contact(TransportKind kind) const;
@@ -86,7 +86,7 @@
   Transactions transactions_;
   Transport transport_;
   std::unordered_map<CallId, Dialog> dialogs_;
-  std::map<std::string, CallId> by_id_;
+  std::map<std::string, CallId> by_dialog_id_;
   std::map<std::string, CallId> by_merge_key_;
 };
 
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -207,7 +207,7 @@
   // protocol continue.
   void end_sip_dialogs() {
     if (!sip_) return;
-    sip_->hang_up();
+    sip_->end_all_calls();
     for (const Time until = loop_.now() + kByeTimeout; !sip_->idle() && loop_.now() < until;) {
       loop_.pass(milliseconds(20));
     }
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -400,7 +400,7 @@
   Peer peer = gateway(TransportKind::udp);
   std::string call;
   stand(peer, TransportKind::udp, &call);
-  sip_front->hang_up();
+  sip_front->end_all_calls();
   wait_to_receive(peer, "BYE sip:");
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
   EXPECT_EQ(sip_front->dialogs(), 0u);
