--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -38,8 +38,8 @@
     link::LinkMessage message;
     std::size_t length = 0;
     const auto taken = link::decode(stream.input(), message, length);
-    if (taken == link::Taken::part) return;
-    if (taken == link::Taken::whole) answer_.assign(message.values.begin(), message.values.end());
+    if (taken == link::DecodeResult::incomplete) return;
+    if (taken == link::DecodeResult::complete) answer_.assign(message.values.begin(), message.values.end());
     over_ = true;
   }
   void on_disconnected(Stream&, DisconnectReason) override { over_ = true; }
--- a/src/link/message.hpp
+++ b/src/link/message.hpp
@@ -15,10 +15,19 @@
 
 namespace quartzarch::link {
 
-enum class Type : std::uint8_t { request = 1, cancel, release, answer, refuse, fail, over, state };
+enum class MessageType : std::uint8_t {
+  request = 1,
+  cancel,
+  release,
+  answer,
+  refuse,
+  fail,
+  call_ended,
+  readiness
+};
 
 struct LinkMessage {
-  Type type{};
+  MessageType type{};
   CallId call = 0;
   std::vector<std::string_view> values{};
 
@@ -27,16 +36,17 @@
 };
 
 // A text ends up as the segment's body if it is the last value.
-Segment encode(Type type, CallId call, const std::vector<std::string>& values = {}, std::string body = {});
+Segment encode(MessageType type, CallId call, const std::vector<std::string>& values = {},
+               std::string body = {});
 Segment encode(Request request, Time now);
 std::optional<Request> decode_request(const LinkMessage& message, Time now);
 
-enum class Taken { whole, part, malformed };
+enum class DecodeResult { complete, incomplete, malformed };
 // Of all that follows a message's length.
-inline constexpr std::size_t kLongestMessage = 64 * 1024;
+inline constexpr std::size_t kMaxFrameBytes = 64 * 1024;
 // Reads one message off the front of `bytes`; `length` is what it took.
-Taken decode(std::string_view bytes, LinkMessage& message, std::size_t& length,
-             std::size_t longest = kLongestMessage);
+DecodeResult decode(std::string_view bytes, LinkMessage& message, std::size_t& length,
+                    std::size_t max_size = kMaxFrameBytes);
 // The call and type of a segment that was encoded here.
 LinkMessage decode_head(const Segment& segment);
 
--- a/src/link/planners.cpp
+++ b/src/link/planners.cpp
@@ -114,7 +114,7 @@
   if (found == calls_.end() || !found->second.open) return;
   settle(call);
   if (Planner& planner = planners_[found->second.planner]; planner.ready) {
-    planner.stream->send(encode(Type::cancel, call));
+    planner.stream->send(encode(MessageType::cancel, call));
   }
   calls_.erase(found);
 }
@@ -134,7 +134,7 @@
 
 void Planners::release_at(std::size_t at, CallId call, int cause) {
   Planner& planner = planners_[at];
-  Segment segment = encode(Type::release, call, {std::to_string(cause)});
+  Segment segment = encode(MessageType::release, call, {std::to_string(cause)});
   if (planner.ready) {
     planner.stream->send(std::move(segment));
   } else if (planner.waiting.size() < kMostWaiting) {
@@ -150,11 +150,11 @@
   while (stream.alive()) {
     LinkMessage message;
     std::size_t length = 0;
-    const Taken taken = decode(stream.input(), message, length);
-    if (taken == Taken::part) return;
+    const DecodeResult result = decode(stream.input(), message, length);
+    if (result == DecodeResult::incomplete) return;
     const std::size_t planner = of(stream);
     if (planner == planners_.size()) return;
-    if (taken == Taken::malformed || !take(planner, message)) {
+    if (result == DecodeResult::malformed || !take(planner, message)) {
       log_.line("link: malformed message from planner %zu, connection closed", planner);
       stream.close();
       return on_disconnected(stream, DisconnectReason::closed);
@@ -165,7 +165,7 @@
 
 bool Planners::take(std::size_t at, const LinkMessage& message) {
   Planner& planner = planners_[at];
-  if (message.type == Type::state) {
+  if (message.type == MessageType::readiness) {
     const bool ready = message.number(0) != 0;
     if (ready != planner.ready) log_.line("link: planner %zu %s", at, ready ? "ready" : "not ready");
     planner.ready = ready;
@@ -177,7 +177,7 @@
   }
   const auto found = calls_.find(message.call);
   const bool known = found != calls_.end() && found->second.planner == at;
-  if (message.type == Type::over) {
+  if (message.type == MessageType::call_ended) {
     // Of a call that stands, or that was set up before this process started.
     Front* const front = known ? found->second.front : strays_;
     if (known && found->second.open) return false;
@@ -185,18 +185,19 @@
     if (front) front->call_ended(message.call, static_cast<int>(message.number(0)));
     return true;
   }
-  if (message.type != Type::answer && message.type != Type::refuse && message.type != Type::fail)
+  if (message.type != MessageType::answer && message.type != MessageType::refuse &&
+      message.type != MessageType::fail)
     return false;
   // What crossed a withdrawal is over here; the planner hears of that withdrawal and ends the call.
   if (!known || !found->second.open) return true;
   Front& front = *found->second.front;
   settle(message.call);
-  if (message.type == Type::answer) {
+  if (message.type == MessageType::answer) {
     front.answer(message.call, std::string(message.text(0)));
     return true;
   }
   calls_.erase(found);
-  if (message.type == Type::fail) {
+  if (message.type == MessageType::fail) {
     front.fail(message.call, message.number(0) != 0 ? Failure::timed_out : Failure::error);
   } else {
     const auto away = message.number(0);
@@ -214,7 +215,7 @@
   loop_.keep_until_pass_end(std::exchange(planner.stream, nullptr));
   if (std::exchange(planner.ready, false)) log_.line("link: planner %zu lost", at);
   for (const Segment& segment : stream.unsent()) {
-    if (decode_head(segment).type == Type::release && planner.waiting.size() < kMostWaiting) {
+    if (decode_head(segment).type == MessageType::release && planner.waiting.size() < kMostWaiting) {
       planner.waiting.push_back(segment);
     }
   }
--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -27,7 +27,7 @@
   });
 }
 
-Segment Port::state() const { return encode(Type::state, 0, {takes_calls() ? "1" : "0"}); }
+Segment Port::state() const { return encode(MessageType::readiness, 0, {takes_calls() ? "1" : "0"}); }
 
 void Port::tell_state() {
   if (std::exchange(told_ready_, takes_calls()) == takes_calls()) return;
@@ -50,11 +50,11 @@
   while (stream.alive()) {
     LinkMessage message;
     std::size_t length = 0;
-    const Taken taken = decode(stream.input(), message, length);
-    if (taken == Taken::part) return;
+    const DecodeResult result = decode(stream.input(), message, length);
+    if (result == DecodeResult::incomplete) return;
     const auto found = forwarders_.find(&stream);
     if (found == forwarders_.end()) return;
-    if (taken == Taken::malformed || !take(found->second, message)) {
+    if (result == DecodeResult::malformed || !take(found->second, message)) {
       log_.line("link: malformed message from a forwarder, connection closed");
       stream.close();
       return on_disconnected(stream, DisconnectReason::closed);
@@ -65,7 +65,7 @@
 
 bool Port::take(Forwarder& from, const LinkMessage& message) {
   const CallId call = message.call;
-  if (message.type == Type::request) {
+  if (message.type == MessageType::request) {
     auto request = decode_request(message, loop_.now());
     if (!request) return false;
     if (calls_.count(call) > 0) return true;
@@ -74,15 +74,15 @@
     core_.request(std::move(*request), *this);
     return true;
   }
-  if (message.type != Type::cancel && message.type != Type::release) return false;
+  if (message.type != MessageType::cancel && message.type != MessageType::release) return false;
   const bool open = from.open.erase(call) > 0;
   calls_.erase(call);
   // A withdrawal may have crossed the answer: then a call stands that nobody has.
   if (open) {
     core_.cancel(call);
   } else {
-    core_.release(call,
-                  message.type == Type::release ? static_cast<int>(message.number(0)) : cause::kTemporary);
+    core_.release(
+        call, message.type == MessageType::release ? static_cast<int>(message.number(0)) : cause::kTemporary);
   }
   return true;
 }
@@ -101,10 +101,10 @@
   for (const Segment& segment : gone.stream->unsent()) {
     const LinkMessage message = decode_head(segment);
     // The forwarder has failed what was open: an answer that never reached it is of no use to anybody.
-    if (message.type == Type::answer) {
+    if (message.type == MessageType::answer) {
       calls_.erase(message.call);
       core_.release(message.call, cause::kTemporary);
-    } else if (message.type == Type::over && homeless_.size() < kMostHomeless) {
+    } else if (message.type == MessageType::call_ended && homeless_.size() < kMostHomeless) {
       homeless_.push_back(segment);
     }
   }
@@ -125,20 +125,21 @@
 }
 
 void Port::answer(CallId call, std::string description) {
-  settle(call, encode(Type::answer, call, {}, std::move(description)), true);
+  settle(call, encode(MessageType::answer, call, {}, std::move(description)), true);
 }
 
 void Port::refuse(CallId call, std::optional<Duration> retry_after) {
-  settle(call, encode(Type::refuse, call, {std::to_string(retry_after ? retry_after->count() : -1)}), false);
+  settle(call, encode(MessageType::refuse, call, {std::to_string(retry_after ? retry_after->count() : -1)}),
+         false);
 }
 
 void Port::fail(CallId call, Failure why) {
-  settle(call, encode(Type::fail, call, {why == Failure::timed_out ? "1" : "0"}), false);
+  settle(call, encode(MessageType::fail, call, {why == Failure::timed_out ? "1" : "0"}), false);
 }
 
 // To the forwarder of the call; if that is gone to all, since any may have the caller.
 void Port::call_ended(CallId call, int cause) {
-  Segment segment = encode(Type::over, call, {std::to_string(cause)});
+  Segment segment = encode(MessageType::call_ended, call, {std::to_string(cause)});
   if (owner_of(call)) return settle(call, std::move(segment), false);
   calls_.erase(call);
   for (auto& [stream, forwarder] : forwarders_) forwarder.stream->send(segment);
--- a/src/register/client.cpp
+++ b/src/register/client.cpp
@@ -51,8 +51,8 @@
     link::LinkMessage message;
     std::size_t length = 0;
     const auto taken = link::decode(stream.input(), message, length);
-    if (taken == link::Taken::part) break;
-    if (taken == link::Taken::malformed || !protocol_.received(loop_.now(), message)) {
+    if (taken == link::DecodeResult::incomplete) break;
+    if (taken == link::DecodeResult::malformed || !protocol_.received(loop_.now(), message)) {
       close_connection();
       protocol_.disconnected(loop_.now());
       break;
--- a/src/register/codec.cpp
+++ b/src/register/codec.cpp
@@ -20,14 +20,14 @@
 std::string text(std::uint64_t number) { return std::to_string(number); }
 
 std::string frame(std::uint8_t type, std::uint64_t number, const std::vector<std::string>& values) {
-  return link::encode(static_cast<link::Type>(type), number, values).head;
+  return link::encode(static_cast<link::MessageType>(type), number, values).head;
 }
 
 // Decodes the first frame and removes it from `bytes`.
 std::optional<LinkMessage> next(std::string_view& bytes) {
   LinkMessage message;
   std::size_t length = 0;
-  if (link::decode(bytes, message, length) != link::Taken::whole) return std::nullopt;
+  if (link::decode(bytes, message, length) != link::DecodeResult::complete) return std::nullopt;
   bytes.remove_prefix(length);
   return message;
 }
--- a/src/register/frames.hpp
+++ b/src/register/frames.hpp
@@ -35,7 +35,7 @@
 };
 
 inline std::string frame(FrameType type, std::uint64_t number, const std::vector<std::string>& values) {
-  return link::encode(static_cast<link::Type>(type), number, values).head;
+  return link::encode(static_cast<link::MessageType>(type), number, values).head;
 }
 inline FrameType type_of(const link::LinkMessage& message) {
   return static_cast<FrameType>(static_cast<std::uint8_t>(message.type));
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -147,9 +147,10 @@
     link::LinkMessage message;
     std::size_t length = 0;
     const auto taken = link::decode(stream.input(), message, length,
-                                    from.peer ? wire::kMaxMessageBytes : link::kLongestMessage);
-    if (taken == link::Taken::part) return;
-    if (taken == link::Taken::malformed || !handle_frame(from, message, stream.input().substr(0, length))) {
+                                    from.peer ? wire::kMaxMessageBytes : link::kMaxFrameBytes);
+    if (taken == link::DecodeResult::incomplete) return;
+    if (taken == link::DecodeResult::malformed ||
+        !handle_frame(from, message, stream.input().substr(0, length))) {
       log_.line("register: malformed message from %s, connection closed",
                 from.name.empty() ? "a client" : from.name.c_str());
       stream.close();
--- a/src/register/wire.cpp
+++ b/src/register/wire.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // The frame's type; the library's message type is the frame's number.
-constexpr auto kFrameType = static_cast<link::Type>(FrameType::consensus);
+constexpr auto kFrameType = static_cast<link::MessageType>(FrameType::consensus);
 
 std::optional<std::uint64_t> number(std::string_view digits) {
   std::uint64_t value = 0;
@@ -41,7 +41,8 @@
 std::optional<Message> decode(std::string_view bytes) {
   link::LinkMessage frame;
   std::size_t length = 0;
-  if (link::decode(bytes, frame, length, kMaxMessageBytes) != link::Taken::whole || length != bytes.size())
+  if (link::decode(bytes, frame, length, kMaxMessageBytes) != link::DecodeResult::complete ||
+      length != bytes.size())
     return std::nullopt;
   if (frame.type != kFrameType || frame.call > UINT16_MAX || frame.values.size() < 4) return std::nullopt;
   const auto fields = number(frame.values[0]), entries = number(frame.values[1]),
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -479,7 +479,7 @@
     }
     link::LinkMessage message;
     std::size_t length = 0;
-    if (link::decode(bytes, message, length) != link::Taken::whole)
+    if (link::decode(bytes, message, length) != link::DecodeResult::complete)
       return fault("a client's frame cannot be read");
     if (!voter.service->received(voter.clock.at(now_), client_id(controller, connection), message))
       fault("a client's frame was turned away");
@@ -513,7 +513,7 @@
     if (controller.connection != connection) return;
     link::LinkMessage message;
     std::size_t length = 0;
-    if (link::decode(bytes, message, length) != link::Taken::whole ||
+    if (link::decode(bytes, message, length) != link::DecodeResult::complete ||
         !controller.access->received(controller.clock.at(now_), message)) {
       fault("a voter's frame cannot be read");
     }
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -102,18 +102,18 @@
 }
 
 TEST(LinkMessages, CutAndOverlongOnesAreTold) {
-  const Segment whole = link::encode(link::Type::refuse, 7, {"12", "x"}, "body");
+  const Segment whole = link::encode(link::MessageType::refuse, 7, {"12", "x"}, "body");
   const std::string bytes = whole.head + whole.body;
   link::LinkMessage message;
   std::size_t length = 0;
-  ASSERT_EQ(link::decode(bytes, message, length), link::Taken::whole);
+  ASSERT_EQ(link::decode(bytes, message, length), link::DecodeResult::complete);
   EXPECT_EQ(length, bytes.size());
   EXPECT_EQ(message.number(0), 12);
   EXPECT_EQ(message.text(2), "body");
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-    EXPECT_EQ(link::decode(bytes.substr(0, cut), message, length), link::Taken::part);
+    EXPECT_EQ(link::decode(bytes.substr(0, cut), message, length), link::DecodeResult::incomplete);
   }
-  EXPECT_EQ(link::decode("\xff\xff\xff\xff", message, length), link::Taken::malformed);
+  EXPECT_EQ(link::decode("\xff\xff\xff\xff", message, length), link::DecodeResult::malformed);
 }
 
 TEST(LevelsFile, IsDecodedAndKeepsTheLinkOnLoopback) {
