--- a/src/link/planners.cpp
+++ b/src/link/planners.cpp
@@ -9,12 +9,12 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kConnectTimeout = milliseconds(500);
-constexpr Duration kRetry = milliseconds(250);
-constexpr Duration kStayAwayWhenDown = milliseconds(1000);
-constexpr std::size_t kMostWaiting = 10000;
-constexpr std::size_t kMostCalls = 30000;
+constexpr Duration kReconnectDelay = milliseconds(250);
+constexpr Duration kRetryAfterWhenDown = milliseconds(1000);
+constexpr std::size_t kMaxQueuedReleases = 10000;
+constexpr std::size_t kMaxCalls = 30000;
 
-std::uint64_t mixed(std::uint64_t value) {
+std::uint64_t mix_bits(std::uint64_t value) {
   value = (value ^ value >> 30) * 0xbf58476d1ce4e5b9u;
   value = (value ^ value >> 27) * 0x94d049bb133111ebu;
   return value ^ value >> 31;
@@ -26,7 +26,7 @@
   std::optional<std::size_t> best;
   std::uint64_t most = 0;
   for (std::size_t i = 0; i < up.size(); ++i) {
-    const std::uint64_t weight = mixed(call + mixed(i + 1));
+    const std::uint64_t weight = mix_bits(call + mix_bits(i + 1));
     if (up[i] && (!best || weight > most)) {
       best = i;
       most = weight;
@@ -43,7 +43,7 @@
 
 Planners::~Planners() {
   for (Planner& planner : planners_) {
-    loop_.cancel(planner.retry);
+    loop_.cancel(planner.reconnect_timer);
     if (planner.stream) planner.stream->close();
   }
 }
@@ -53,7 +53,7 @@
                                                        static_cast<Stream::Owner&>(*this), Priority::servers);
 }
 
-std::size_t Planners::of(const Stream& stream) const {
+std::size_t Planners::index_of(const Stream& stream) const {
   const auto found = std::find_if(planners_.begin(), planners_.end(),
                                   [&](const Planner& planner) { return planner.stream.get() == &stream; });
   return static_cast<std::size_t>(found - planners_.begin());
@@ -64,7 +64,7 @@
                      [](const Planner& planner) { return planner.ready; });
 }
 
-std::optional<std::size_t> Planners::choose(CallId call) const {
+std::optional<std::size_t> Planners::choose_planner(CallId call) const {
   std::vector<bool> up;
   for (const Planner& planner : planners_) up.push_back(planner.ready);
   return rendezvous(call, up);
@@ -75,32 +75,32 @@
 void Planners::request(Request request, Front& front) {
   const CallId call = request.call;
   if (calls_.count(call) > 0) return;  // a second set-up with the id of a call
-  if (const auto away = drain_ ? drain_->refusal_retry_after(loop_.now()) : std::nullopt)
-    return front.refuse(call, *away);
-  const auto planner = choose(call);
+  if (const auto retry_after = drain_ ? drain_->refusal_retry_after(loop_.now()) : std::nullopt)
+    return front.refuse(call, *retry_after);
+  const auto planner = choose_planner(call);
   // With no planner there is nobody to decide: the caller is told at once.
-  if (!planner || calls_.size() >= kMostCalls) return front.refuse(call, kStayAwayWhenDown);
+  if (!planner || calls_.size() >= kMaxCalls) return front.refuse(call, kRetryAfterWhenDown);
   calls_[call] = {*planner, &front, true};
-  ++owed_;
+  ++pending_answers_;
   planners_[*planner].stream->send(encode(std::move(request), loop_.now()));
 }
 
-void Planners::settle(CallId call) {
+void Planners::mark_answered(CallId call) {
   const auto found = calls_.find(call);
-  if (found != calls_.end() && std::exchange(found->second.open, false)) --owed_;
+  if (found != calls_.end() && std::exchange(found->second.unanswered, false)) --pending_answers_;
 }
 
-std::vector<CallId> Planners::open_calls(std::optional<std::size_t> planner) const {
-  std::vector<CallId> open;
+std::vector<CallId> Planners::unanswered_calls(std::optional<std::size_t> planner) const {
+  std::vector<CallId> result;
   for (const auto& [call, known] : calls_) {
-    if (known.open && known.planner == planner.value_or(known.planner)) open.push_back(call);
+    if (known.unanswered && known.planner == planner.value_or(known.planner)) result.push_back(call);
   }
-  std::sort(open.begin(), open.end());
-  return open;
+  std::sort(result.begin(), result.end());
+  return result;
 }
 
-void Planners::answer_owed() {
-  for (const CallId call : open_calls(std::nullopt)) {
+void Planners::fail_pending_calls() {
+  for (const CallId call : unanswered_calls(std::nullopt)) {
     const auto found = calls_.find(call);
     if (found == calls_.end()) continue;
     Front& front = *found->second.front;
@@ -111,8 +111,8 @@
 
 void Planners::cancel(CallId call) {
   const auto found = calls_.find(call);
-  if (found == calls_.end() || !found->second.open) return;
-  settle(call);
+  if (found == calls_.end() || !found->second.unanswered) return;
+  mark_answered(call);
   if (Planner& planner = planners_[found->second.planner]; planner.ready) {
     planner.stream->send(encode(MessageType::cancel, call));
   }
@@ -126,7 +126,7 @@
     for (std::size_t i = 0; i < planners_.size(); ++i) release_at(i, call, cause);
     return;
   }
-  if (found->second.open) return cancel(call);
+  if (found->second.unanswered) return cancel(call);
   const std::size_t planner = found->second.planner;
   calls_.erase(found);
   release_at(planner, call, cause);
@@ -137,8 +137,8 @@
   Segment segment = encode(MessageType::release, call, {std::to_string(cause)});
   if (planner.ready) {
     planner.stream->send(std::move(segment));
-  } else if (planner.waiting.size() < kMostWaiting) {
-    planner.waiting.push_back(std::move(segment));
+  } else if (planner.queued_releases.size() < kMaxQueuedReleases) {
+    planner.queued_releases.push_back(std::move(segment));
   }
 }
 
@@ -152,9 +152,9 @@
     std::size_t length = 0;
     const DecodeResult result = decode(stream.input(), message, length);
     if (result == DecodeResult::incomplete) return;
-    const std::size_t planner = of(stream);
+    const std::size_t planner = index_of(stream);
     if (planner == planners_.size()) return;
-    if (result == DecodeResult::malformed || !take(planner, message)) {
+    if (result == DecodeResult::malformed || !handle(planner, message)) {
       log_.line("link: malformed message from planner %zu, connection closed", planner);
       stream.close();
       return on_disconnected(stream, DisconnectReason::closed);
@@ -163,15 +163,15 @@
   }
 }
 
-bool Planners::take(std::size_t at, const LinkMessage& message) {
+bool Planners::handle(std::size_t at, const LinkMessage& message) {
   Planner& planner = planners_[at];
   if (message.type == MessageType::readiness) {
     const bool ready = message.number(0) != 0;
     if (ready != planner.ready) log_.line("link: planner %zu %s", at, ready ? "ready" : "not ready");
     planner.ready = ready;
-    while (ready && !planner.waiting.empty()) {
-      planner.stream->send(std::move(planner.waiting.front()));
-      planner.waiting.pop_front();
+    while (ready && !planner.queued_releases.empty()) {
+      planner.stream->send(std::move(planner.queued_releases.front()));
+      planner.queued_releases.pop_front();
     }
     return true;
   }
@@ -179,8 +179,8 @@
   const bool known = found != calls_.end() && found->second.planner == at;
   if (message.type == MessageType::call_ended) {
     // Of a call that stands, or that was set up before this process started.
-    Front* const front = known ? found->second.front : strays_;
-    if (known && found->second.open) return false;
+    Front* const front = known ? found->second.front : unknown_call_front_;
+    if (known && found->second.unanswered) return false;
     if (known) calls_.erase(found);
     if (front) front->call_ended(message.call, static_cast<int>(message.number(0)));
     return true;
@@ -189,9 +189,9 @@
       message.type != MessageType::fail)
     return false;
   // What crossed a withdrawal is over here; the planner hears of that withdrawal and ends the call.
-  if (!known || !found->second.open) return true;
+  if (!known || !found->second.unanswered) return true;
   Front& front = *found->second.front;
-  settle(message.call);
+  mark_answered(message.call);
   if (message.type == MessageType::answer) {
     front.answer(message.call, std::string(message.text(0)));
     return true;
@@ -200,8 +200,8 @@
   if (message.type == MessageType::fail) {
     front.fail(message.call, message.number(0) != 0 ? Failure::timed_out : Failure::error);
   } else {
-    const auto away = message.number(0);
-    front.refuse(message.call, away < 0 ? std::nullopt : std::optional(Duration{away}));
+    const auto retry_after = message.number(0);
+    front.refuse(message.call, retry_after < 0 ? std::nullopt : std::optional(Duration{retry_after}));
   }
   return true;
 }
@@ -209,22 +209,23 @@
 // What was open there has no planner any more: its attempts are given up with the planner, and each call gets
 // its one final answer now. Calls that stand go on; their releases wait for the planner to come back.
 void Planners::on_disconnected(Stream& stream, DisconnectReason) {
-  const std::size_t at = of(stream);
+  const std::size_t at = index_of(stream);
   if (at == planners_.size()) return;
   Planner& planner = planners_[at];
   loop_.keep_until_pass_end(std::exchange(planner.stream, nullptr));
   if (std::exchange(planner.ready, false)) log_.line("link: planner %zu lost", at);
   for (const Segment& segment : stream.unsent()) {
-    if (decode_head(segment).type == MessageType::release && planner.waiting.size() < kMostWaiting) {
-      planner.waiting.push_back(segment);
+    if (decode_head(segment).type == MessageType::release &&
+        planner.queued_releases.size() < kMaxQueuedReleases) {
+      planner.queued_releases.push_back(segment);
     }
   }
-  planner.retry = loop_.at(loop_.now() + kRetry, [this, at] { connect(at); });
-  for (const CallId call : open_calls(at)) {
+  planner.reconnect_timer = loop_.at(loop_.now() + kReconnectDelay, [this, at] { connect(at); });
+  for (const CallId call : unanswered_calls(at)) {
     const auto found = calls_.find(call);
     if (found == calls_.end()) continue;
     Front& front = *found->second.front;
-    settle(call);
+    mark_answered(call);
     calls_.erase(found);
     // Its answer may have been on the way: should the planner be there still, it is to end what stands.
     release_at(at, call, cause::kTemporary);
--- a/src/link/planners.hpp
+++ b/src/link/planners.hpp
@@ -18,12 +18,12 @@
   Planners(Loop& loop, Logger& log, const std::vector<sockaddr_in>& addresses);
   ~Planners() override;
 
-  void strays_to(Front& front) { strays_ = &front; }
-  std::size_t owed() const { return owed_; }
+  void set_unknown_call_front(Front& front) { unknown_call_front_ = &front; }
+  std::size_t pending_answers() const { return pending_answers_; }
   // Gives every call that is still owed its final answer, and takes it back at its planner. For a stop.
-  void answer_owed();
+  void fail_pending_calls();
   // While it drains, what it refuses is refused at once; it must outlive this, or null.
-  void drain_by(const Drain* drain) { drain_ = drain; }
+  void set_drain(const Drain* drain) { drain_ = drain; }
 
   void request(Request request, Front& front) override;
   void cancel(CallId call) override;
@@ -34,14 +34,14 @@
   struct Planner {
     sockaddr_in address{};
     std::shared_ptr<Stream> stream{};
-    std::deque<Segment> waiting{};  // releases while the link is down
+    std::deque<Segment> queued_releases{};  // releases while the link is down
     bool ready = false;
-    Loop::TimerId retry = 0;
+    Loop::TimerId reconnect_timer = 0;
   };
   struct Call {
     std::size_t planner = 0;
     Front* front = nullptr;
-    bool open = true;
+    bool unanswered = true;
   };
 
   void on_connected(Stream& stream) override;
@@ -49,20 +49,20 @@
   void on_disconnected(Stream& stream, DisconnectReason how) override;
 
   void connect(std::size_t planner);
-  std::size_t of(const Stream& stream) const;
-  bool take(std::size_t planner, const LinkMessage& message);
-  std::optional<std::size_t> choose(CallId call) const;
+  std::size_t index_of(const Stream& stream) const;
+  bool handle(std::size_t planner, const LinkMessage& message);
+  std::optional<std::size_t> choose_planner(CallId call) const;
   void release_at(std::size_t planner, CallId call, int cause);
-  void settle(CallId call);
+  void mark_answered(CallId call);
   // Calls that have no answer yet, of one planner or of all, in the order of their ids.
-  std::vector<CallId> open_calls(std::optional<std::size_t> planner) const;
+  std::vector<CallId> unanswered_calls(std::optional<std::size_t> planner) const;
 
   Loop& loop_;
   Logger& log_;
   std::vector<Planner> planners_;
   std::unordered_map<CallId, Call> calls_;
-  std::size_t owed_ = 0;
-  Front* strays_ = nullptr;
+  std::size_t pending_answers_ = 0;
+  Front* unknown_call_front_ = nullptr;
   const Drain* drain_ = nullptr;
 };
 
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -322,20 +322,20 @@
                         const std::vector<sockaddr_in>& addresses) {
   link::Planners planners(loop, log, addresses);
   Fronts fronts(loop, log, planners, config, sip);
-  planners.strays_to(fronts.fallback_front());
+  planners.set_unknown_call_front(fronts.fallback_front());
   log.line("%s: forwarding at %s to %zu planners", config.name.c_str(), address_text(config.listen).c_str(),
            addresses.size());
   Drain drain;
   fronts.follow_drain(drain);
-  planners.drain_by(&drain);
-  service.run({.pending_requests = [&] { return planners.owed(); },
+  planners.set_drain(&drain);
+  service.run({.pending_requests = [&] { return planners.pending_answers(); },
                .idle = [&] { return fronts.idle(); },
                .servers_notified = [] { return true; },
                .after_pass =
                    [&](bool stopping) {
                      if (stopping) run_stop_phase(loop, service, drain, fronts);
                    },
-               .answer_pending = [&] { planners.answer_owed(); },
+               .answer_pending = [&] { planners.fail_pending_calls(); },
                .schedule =
                    [&] {
                      return StopSchedule(config.start.longest_deadline,
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -16,7 +16,7 @@
     open_server();
     planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
     front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
-    planners->strays_to(*front);
+    planners->set_unknown_call_front(*front);
     wait_until([&] { return planners->ready(); }, "the link");
   }
   Peer standing() {
@@ -69,7 +69,7 @@
   EXPECT_EQ(planner->pending_answers(), 0u);
   planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
   front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
-  planners->strays_to(*front);
+  planners->set_unknown_call_front(*front);
   Peer other = connect_caller();
   server.send(line("end", "00000000000000aa", "\"why\":16"));
   wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
