--- a/src/link/port.cpp
+++ b/src/link/port.cpp
@@ -6,47 +6,53 @@
 namespace quartzarch::link {
 namespace {
 
-constexpr std::size_t kMostForwarders = 64;
-constexpr std::size_t kMostHomeless = 10000;
+constexpr std::size_t kMaxForwarders = 64;
+constexpr std::size_t kMaxUndeliveredEnds = 10000;
 
 }  // namespace
 
-Port::Port(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen)
-    : loop_(loop), log_(log), core_(core), acceptor_(loop, listen_on(listen)), told_ready_(core.ready()) {
+LinkServer::LinkServer(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen)
+    : loop_(loop),
+      log_(log),
+      core_(core),
+      acceptor_(loop, listen_on(listen)),
+      announced_ready_(core.ready()) {
   loop_.watch(*this, Priority::callers);
 }
 
-Port::~Port() {
+LinkServer::~LinkServer() {
   loop_.unwatch(*this);
   for (auto& [stream, forwarder] : forwarders_) forwarder.stream->close();
 }
 
-bool Port::idle() const {
+bool LinkServer::idle() const {
   return std::all_of(forwarders_.begin(), forwarders_.end(), [](const auto& item) {
-    return item.second.open.empty() && item.second.stream->unsent().empty();
+    return item.second.unanswered.empty() && item.second.stream->unsent().empty();
   });
 }
 
-Segment Port::state() const { return encode(MessageType::readiness, 0, {takes_calls() ? "1" : "0"}); }
+Segment LinkServer::readiness_message() const {
+  return encode(MessageType::readiness, 0, {accepts_calls() ? "1" : "0"});
+}
 
-void Port::tell_state() {
-  if (std::exchange(told_ready_, takes_calls()) == takes_calls()) return;
-  for (auto& [stream, forwarder] : forwarders_) forwarder.stream->send(state());
+void LinkServer::announce_readiness() {
+  if (std::exchange(announced_ready_, accepts_calls()) == accepts_calls()) return;
+  for (auto& [stream, forwarder] : forwarders_) forwarder.stream->send(readiness_message());
 }
 
-void Port::on_ready(short) {
+void LinkServer::on_ready(short) {
   Fd fd = acceptor_.accept();
-  if (!fd || forwarders_.size() >= kMostForwarders) return;
+  if (!fd || forwarders_.size() >= kMaxForwarders) return;
   auto stream =
       std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
   Stream& link = *stream;
-  tell_state();  // so that all of them have been told the same
+  announce_readiness();  // so that all of them have been told the same
   forwarders_[&link].stream = std::move(stream);
-  link.send(state());
-  for (Segment& segment : std::exchange(homeless_, {})) link.send(std::move(segment));
+  link.send(readiness_message());
+  for (Segment& segment : std::exchange(undelivered_ends_, {})) link.send(std::move(segment));
 }
 
-void Port::on_data(Stream& stream) {
+void LinkServer::on_data(Stream& stream) {
   while (stream.alive()) {
     LinkMessage message;
     std::size_t length = 0;
@@ -54,7 +60,7 @@
     if (result == DecodeResult::incomplete) return;
     const auto found = forwarders_.find(&stream);
     if (found == forwarders_.end()) return;
-    if (result == DecodeResult::malformed || !take(found->second, message)) {
+    if (result == DecodeResult::malformed || !handle(found->second, message)) {
       log_.line("link: malformed message from a forwarder, connection closed");
       stream.close();
       return on_disconnected(stream, DisconnectReason::closed);
@@ -63,22 +69,22 @@
   }
 }
 
-bool Port::take(Forwarder& from, const LinkMessage& message) {
+bool LinkServer::handle(Forwarder& from, const LinkMessage& message) {
   const CallId call = message.call;
   if (message.type == MessageType::request) {
     auto request = decode_request(message, loop_.now());
     if (!request) return false;
     if (calls_.count(call) > 0) return true;
-    from.open.insert(call);
+    from.unanswered.insert(call);
     calls_[call] = from.stream.get();
     core_.request(std::move(*request), *this);
     return true;
   }
   if (message.type != MessageType::cancel && message.type != MessageType::release) return false;
-  const bool open = from.open.erase(call) > 0;
+  const bool unanswered = from.unanswered.erase(call) > 0;
   calls_.erase(call);
   // A withdrawal may have crossed the answer: then a call stands that nobody has.
-  if (open) {
+  if (unanswered) {
     core_.cancel(call);
   } else {
     core_.release(
@@ -87,63 +93,65 @@
   return true;
 }
 
-void Port::on_disconnected(Stream& stream, DisconnectReason) {
+void LinkServer::on_disconnected(Stream& stream, DisconnectReason) {
   const auto found = forwarders_.find(&stream);
   if (found == forwarders_.end()) return;
-  const Forwarder gone = std::move(found->second);
+  const Forwarder lost = std::move(found->second);
   forwarders_.erase(found);
-  loop_.keep_until_pass_end(gone.stream);
-  log_.line("link: forwarder lost, %zu requests given up", gone.open.size());
-  for (const CallId call : gone.open) {
+  loop_.keep_until_pass_end(lost.stream);
+  log_.line("link: forwarder lost, %zu requests given up", lost.unanswered.size());
+  for (const CallId call : lost.unanswered) {
     calls_.erase(call);
     core_.cancel(call);
   }
-  for (const Segment& segment : gone.stream->unsent()) {
+  for (const Segment& segment : lost.stream->unsent()) {
     const LinkMessage message = decode_head(segment);
     // The forwarder has failed what was open: an answer that never reached it is of no use to anybody.
     if (message.type == MessageType::answer) {
       calls_.erase(message.call);
       core_.release(message.call, cause::kTemporary);
-    } else if (message.type == MessageType::call_ended && homeless_.size() < kMostHomeless) {
-      homeless_.push_back(segment);
+    } else if (message.type == MessageType::call_ended && undelivered_ends_.size() < kMaxUndeliveredEnds) {
+      undelivered_ends_.push_back(segment);
     }
   }
 }
 
-Port::Forwarder* Port::owner_of(CallId call) {
+LinkServer::Forwarder* LinkServer::forwarder_of(CallId call) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) return nullptr;
   const auto forwarder = forwarders_.find(found->second);
   return forwarder == forwarders_.end() ? nullptr : &forwarder->second;
 }
 
-void Port::settle(CallId call, Segment segment, bool stands) {
-  Forwarder* const to = owner_of(call);
-  if (to) to->open.erase(call);
-  if (!stands) calls_.erase(call);
+void LinkServer::send_result(CallId call, Segment segment, bool established) {
+  Forwarder* const to = forwarder_of(call);
+  if (to) to->unanswered.erase(call);
+  if (!established) calls_.erase(call);
   if (to) to->stream->send(std::move(segment));
 }
 
-void Port::answer(CallId call, std::string description) {
-  settle(call, encode(MessageType::answer, call, {}, std::move(description)), true);
+void LinkServer::answer(CallId call, std::string description) {
+  send_result(call, encode(MessageType::answer, call, {}, std::move(description)), true);
 }
 
-void Port::refuse(CallId call, std::optional<Duration> retry_after) {
-  settle(call, encode(MessageType::refuse, call, {std::to_string(retry_after ? retry_after->count() : -1)}),
-         false);
+void LinkServer::refuse(CallId call, std::optional<Duration> retry_after) {
+  send_result(call,
+              encode(MessageType::refuse, call, {std::to_string(retry_after ? retry_after->count() : -1)}),
+              false);
 }
 
-void Port::fail(CallId call, Failure why) {
-  settle(call, encode(MessageType::fail, call, {why == Failure::timed_out ? "1" : "0"}), false);
+void LinkServer::fail(CallId call, Failure why) {
+  send_result(call, encode(MessageType::fail, call, {why == Failure::timed_out ? "1" : "0"}), false);
 }
 
 // To the forwarder of the call; if that is gone to all, since any may have the caller.
-void Port::call_ended(CallId call, int cause) {
+void LinkServer::call_ended(CallId call, int cause) {
   Segment segment = encode(MessageType::call_ended, call, {std::to_string(cause)});
-  if (owner_of(call)) return settle(call, std::move(segment), false);
+  if (forwarder_of(call)) return send_result(call, std::move(segment), false);
   calls_.erase(call);
   for (auto& [stream, forwarder] : forwarders_) forwarder.stream->send(segment);
-  if (forwarders_.empty() && homeless_.size() < kMostHomeless) homeless_.push_back(std::move(segment));
+  if (forwarders_.empty() && undelivered_ends_.size() < kMaxUndeliveredEnds)
+    undelivered_ends_.push_back(std::move(segment));
 }
 
 }  // namespace quartzarch::link
--- a/src/link/port.hpp
+++ b/src/link/port.hpp
@@ -13,16 +13,16 @@
 
 namespace quartzarch::link {
 
-class Port : public Front, private IoHandler, private Stream::Owner {
+class LinkServer : public Front, private IoHandler, private Stream::Owner {
  public:
   // Throws std::system_error if the address cannot be listened on.
-  Port(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen);
-  ~Port() override;
+  LinkServer(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen);
+  ~LinkServer() override;
 
   sockaddr_in address() const { return bound_address(acceptor_.fd()); }
   bool idle() const;
   // Tells the forwarders whether calls may come, where that has changed.
-  void tell_state();
+  void announce_readiness();
   // From now on new calls are to go to other planners; what comes all the same is served.
   void stop() { stopping_ = true; }
 
@@ -34,7 +34,7 @@
  private:
   struct Forwarder {
     std::shared_ptr<Stream> stream{};
-    std::set<CallId> open{};
+    std::set<CallId> unanswered{};
   };
 
   int descriptor() const override { return acceptor_.fd().get(); }
@@ -43,11 +43,11 @@
   void on_data(Stream& stream) override;
   void on_disconnected(Stream& stream, DisconnectReason how) override;
 
-  bool take(Forwarder& from, const LinkMessage& message);
-  Forwarder* owner_of(CallId call);
-  void settle(CallId call, Segment segment, bool stands);
-  bool takes_calls() const { return core_.ready() && !stopping_; }
-  Segment state() const;
+  bool handle(Forwarder& from, const LinkMessage& message);
+  Forwarder* forwarder_of(CallId call);
+  void send_result(CallId call, Segment segment, bool established);
+  bool accepts_calls() const { return core_.ready() && !stopping_; }
+  Segment readiness_message() const;
 
   Loop& loop_;
   Logger& log_;
@@ -55,8 +55,8 @@
   Acceptor acceptor_;
   std::map<const Stream*, Forwarder> forwarders_;
   std::unordered_map<CallId, const Stream*> calls_;
-  std::deque<Segment> homeless_;  // ends of calls while no forwarder is connected
-  bool told_ready_ = false;
+  std::deque<Segment> undelivered_ends_;  // ends of calls while no forwarder is connected
+  bool announced_ready_ = false;
   bool stopping_ = false;
 };
 
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -287,7 +287,7 @@
   Planner planner(loop, log, config.start, config.seed + index, bounds_of(config.limits));
   const auto operation = attach_operation(loop, log, planner, files, config, options);
   for (const ServerListUpdate& update : config.known) planner.update_servers(update);
-  link::Port port(loop, log, planner, planners[index]);
+  link::LinkServer port(loop, log, planner, planners[index]);
   planner.set_unknown_call_front(port);
   CoordinatorClient coordinator(
       loop, log, config.coordinator, config.known_index,
@@ -303,7 +303,7 @@
                    [&](bool stopping) {
                      if (stopping) drain.stop(*service.stop_requested_at(), *service.schedule());
                      if (stopping) port.stop();
-                     port.tell_state();
+                     port.announce_readiness();
                    },
                .answer_pending = [&] { planner.answer_pending_calls(); },
                .schedule = [&] { return StopSchedule(planner.longest_deadline(), planner.longest_aim()); },
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -11,10 +11,10 @@
  protected:
   Levels() {
     front.reset();
-    port = std::make_unique<link::Port>(loop, log, *planner, any_port());
-    planner->set_unknown_call_front(*port);
+    link_server = std::make_unique<link::LinkServer>(loop, log, *planner, any_port());
+    planner->set_unknown_call_front(*link_server);
     open_server();
-    planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
+    planners = std::make_unique<link::Planners>(loop, log, std::vector{link_server->address()});
     front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
     planners->set_unknown_call_front(*front);
     wait_until([&] { return planners->ready(); }, "the link");
@@ -25,7 +25,7 @@
     return gateway;
   }
 
-  std::unique_ptr<link::Port> port;
+  std::unique_ptr<link::LinkServer> link_server;
   std::unique_ptr<link::Planners> planners;
 };
 
@@ -42,10 +42,10 @@
 // A lost planner leaves each call one final answer, and what it had out is given up.
 TEST_F(Levels, ALostPlannerFailsWhatIsOpenOnceAndLeavesWhatStands) {
   Peer gateway = standing();
-  const sockaddr_in address = port->address();
+  const sockaddr_in address = link_server->address();
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
-  port.reset();
+  link_server.reset();
   const std::string failed = binary(12, 0xbb, {{208, std::string(1, 41)}});
   wait_to_receive(gateway, failed);
   gateway.send(setup(0xcc, "d"));  // with no planner the caller is told at once, and when to come back
@@ -54,7 +54,7 @@
   wait_to_receive(gateway, binary(16, 0xaa));
   EXPECT_EQ(count(gateway.received(), failed), 1u);
   server.take_received();
-  port = std::make_unique<link::Port>(loop, log, *planner, address);
+  link_server = std::make_unique<link::LinkServer>(loop, log, *planner, address);
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"00000000000000aa\"");
 }
 
@@ -67,7 +67,7 @@
   planners.reset();
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"00000000000000bb\"");
   EXPECT_EQ(planner->pending_answers(), 0u);
-  planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
+  planners = std::make_unique<link::Planners>(loop, log, std::vector{link_server->address()});
   front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
   planners->set_unknown_call_front(*front);
   Peer other = connect_caller();
@@ -79,8 +79,8 @@
   Peer gateway = connect_caller();
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
-  port->stop();
-  port->tell_state();
+  link_server->stop();
+  link_server->announce_readiness();
   wait_until([&] { return !planners->ready(); }, "the news of the stop");
   server.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
   wait_to_receive(gateway, binary(9, 0xbb, {{210, "s"}}));
