--- a/src/link/port.cpp
+++ b/src/link/link_server.cpp
@@ -1,4 +1,4 @@
-#include "link/port.hpp"
+#include "link/link_server.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -1,7 +1,7 @@
 // Stories of the two levels over their loopback link: forwarders, planners, and one of them lost.
 #include "config.hpp"
+#include "link/link_server.hpp"
 #include "link/planners.hpp"
-#include "link/port.hpp"
 #include "loopback.hpp"
 
 namespace quartzarch::test {
