--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -14,6 +14,7 @@
 constexpr const char* kAccept = "Accept: application/sdp\r\n";
 constexpr std::string_view kKnownMethods[] = {"REGISTER", "UPDATE", "INFO",    "PRACK",  "SUBSCRIBE",
                                               "NOTIFY",   "REFER",  "MESSAGE", "PUBLISH"};
+// Retry-After is in whole seconds: shorter times are raised to this, others are rounded up.
 constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 
 std::string dialog_id(std::string_view call_id, std::string_view local_tag, std::string_view remote_tag) {
@@ -80,7 +81,7 @@
   transactions_.respond(transaction, known ? 405 : 501, kAllow);
 }
 
-// What no request may have or lack, whatever it asks (8.2).
+// Checks that apply to every request (8.2); responds with the error and returns false if one fails.
 bool SipFront::acceptable(const Message& message, ServerTransaction& transaction) {
   const auto uri = parse_uri(message.uri());
   const bool scheme =
@@ -110,7 +111,7 @@
 
 void SipFront::handle_invite(const Message& message, ServerTransaction& transaction) {
   const RequestInfo& received = transaction.request();
-  // The same INVITE by another way (8.2.2.2): one of them is enough.
+  // A copy of an INVITE that arrived by another path is a merged request and rejected (8.2.2.2).
   const std::string merge_key =
       received.call_id + '|' + std::string(tag_of(received.from)) + '|' + received.cseq;
   if (by_merge_key_.count(merge_key) > 0) return transactions_.respond(transaction, 482);
@@ -145,7 +146,7 @@
   core_.request(std::move(request), *this);
 }
 
-// The dialog's state as its 2xx will establish it (12.1.1).
+// Stores the dialog state that a 2xx will establish (12.1.1).
 void SipFront::open_dialog(const Message& message, ServerTransaction& transaction, CallId call) {
   const RequestInfo& received = transaction.request();
   Dialog& dialog = dialogs_[call];
@@ -168,12 +169,12 @@
   const RequestInfo& received = transaction.request();
   Dialog* const dialog = find(dialog_id(received.call_id, tag_of(received.to), tag_of(received.from)));
   if (!dialog) return transactions_.respond(transaction, 481);
-  // Of two requests the later one was answered already (12.2.2).
+  // Out of order: a request with a higher CSeq was handled before (12.2.2).
   if (received.cseq_number < dialog->remote_cseq) return transactions_.respond(transaction, 500);
   dialog->remote_cseq = received.cseq_number;
   if (message.method() == "BYE") return handle_bye(*dialog, transaction);
   if (message.method() == "INVITE") {
-    // What a call was set up with is not changed; the call itself goes on.
+    // A re-INVITE is rejected: sessions are not modified. The call itself continues.
     return dialog->acknowledged ? transactions_.respond(transaction, 488)
                                 : transactions_.respond(transaction, 491);
   }
@@ -187,7 +188,7 @@
   if (!invite) return transactions_.respond(transaction, 481);
   transaction.to_tag = invite->to_tag;
   transactions_.respond(transaction, 200);
-  // After a final response it has no effect (9.2).
+  // After a final response a CANCEL has no effect (9.2).
   if (invite->answered()) return;
   const CallId call = invite->subject;
   fail_invite(call, 487);
@@ -209,7 +210,7 @@
   }
 }
 
-// ---- Answers
+// ---- Results of the core
 
 SipFront::Dialog* SipFront::find(CallId call) {
   const auto found = dialogs_.find(call);
@@ -240,7 +241,7 @@
   std::string headers = contact(dialog->invite_hop.kind) + kAllow;
   if (!description.empty()) headers += "Content-Type: application/sdp\r\n";
   transactions_.respond(*invite, 200, headers, description);
-  // Until the ACK comes, on whatever transport (13.3.1.4).
+  // The 2xx is retransmitted until the ACK comes, on stream transports as well (13.3.1.4).
   dialog->resend_interval = config_.timers.t1;
   dialog->resend_timer =
       loop_.at(loop_.now() + dialog->resend_interval, [this, call] { resend_answer(call); });
@@ -265,7 +266,7 @@
 
 void SipFront::on_terminated(ServerTransaction&) {}
 
-// The ACK never came: the caller cannot have the call.
+// Without an ACK the caller may not have received the answer, so the call is ended.
 void SipFront::on_ack_timeout(CallId call) {
   Dialog* const dialog = find(call);
   if (!dialog) return;
@@ -308,10 +309,11 @@
   Dialog* const dialog = find(call);
   if (!dialog) return;
   dialog->end_cause = cause;
-  if (dialog->acknowledged) send_bye(*dialog);  // else with the ACK, or when that is given up (15)
+  if (dialog->acknowledged) send_bye(*dialog);  // else on the ACK or its timeout (15)
 }
 
-// To the first route or the peer's Contact, on the way the INVITE came where that is no address.
+// Sends it to the first route or else to the peer's Contact; to where the INVITE came from if that URI's host
+// is not an IP address.
 void SipFront::send_bye(Dialog& dialog) {
   const CallId call = dialog.call;
   Hop to = dialog.invite_hop;
@@ -336,7 +338,7 @@
 }
 
 void SipFront::on_response(std::uint64_t, int status) {
-  // Whatever it says, the dialog is over (15.1.1).
+  // The dialog has ended whatever the response to the BYE is (15.1.1).
   if (status == 408) log_.line("sip: a BYE got no answer");
 }
 
--- a/src/front/sip/front.hpp
+++ b/src/front/sip/front.hpp
@@ -1,4 +1,5 @@
-// The SIP front: INVITEs of gateways as requests to the core, and the dialogs of the calls that stand.
+// The SIP front: passes the INVITEs of gateways to the core as requests and keeps the dialogs of established
+// calls.
 #pragma once
 
 #include <map>
@@ -12,12 +13,13 @@
 
 struct FrontConfig {
   ListenConfig listening{};
-  std::string default_class{};  // of an INVITE that names none
+  std::string default_class{};  // class of an INVITE without X-Call-Class
   Timers timers{};
   std::size_t max_connections = 256;
   std::size_t max_transactions = 20000;
 };
 
+// A SIP user agent server (RFC 3261). Release causes of the core become the Reason header of a BYE.
 class SipFront : public Front, private Transactions::User {
  public:
   // Throws std::runtime_error if an address cannot be listened on or the certificate is bad.
@@ -25,8 +27,8 @@
   ~SipFront() override;
 
   sockaddr_in address(TransportKind kind) const { return transport_.local(kind); }
-  // Ends every call that stands: nothing of a dialog outlives the process. Then idle() tells when that is
-  // done.
+  // Ends every established call with a BYE, because dialogs do not survive the process. idle() is true once
+  // all of these have a final response or have timed out.
   void end_all_calls();
   bool idle() const { return transactions_.clients_done() && transport_.flushed(); }
   std::size_t dialogs() const { return dialogs_.size(); }
@@ -37,21 +39,21 @@
   void call_ended(CallId call, int cause) override;
 
  private:
-  // A call from its INVITE on; a dialog once it was answered.
+  // A call, from its INVITE on; a dialog in the sense of RFC 3261 once it is answered.
   struct Dialog {
     CallId call = 0;
     std::string invite_key{};                  // key of the INVITE's transaction
-    std::string merge_key{};                   // what copies of the INVITE on other ways have in common
+    std::string merge_key{};                   // equal for copies of the INVITE that came by other paths
     std::string id{};                          // Call-ID and both tags
-    std::string local{}, remote{}, call_id{};  // To and From as the INVITE's responses have them
+    std::string local{}, remote{}, call_id{};  // To and From of the INVITE's responses
     std::string target{};                      // the peer's Contact
     std::string routes{};                      // as Route header lines
-    std::string first_hop{};                   // the URI that requests of ours go to
-    Hop invite_hop{};                          // the way the INVITE came
+    std::string first_hop{};                   // the URI that requests to the peer are sent to
+    Hop invite_hop{};                          // where the INVITE came from
     unsigned long invite_cseq = 0, remote_cseq = 0, local_cseq = 0;
     bool answered = false;
     bool acknowledged = false;
-    std::optional<int> end_cause{};  // the call is over; the BYE waits for the ACK
+    std::optional<int> end_cause{};  // set when the core has ended the call; the BYE is sent after the ACK
     Duration resend_interval{};
     std::optional<Loop::TimerId> resend_timer{}, ack_timer{};
   };
--- a/src/front/sip/front_config.cpp
+++ b/src/front/sip/front_config.cpp
@@ -5,6 +5,7 @@
 namespace quartzarch::sip {
 namespace {
 
+// The value of `key`; nothing if it is absent. Throws ConfigError if it has another type.
 template <typename T>
 std::optional<T> value(const toml::table& table, std::string_view key) {
   const auto* const node = table.get(key);
--- a/src/front/sip/front_config.hpp
+++ b/src/front/sip/front_config.hpp
@@ -1,4 +1,4 @@
-// The SIP front's own file, as in deploy/sip.toml.
+// Parser of the SIP front's configuration file; deploy/sip.toml is an example.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace quartzarch::sip {
 
-// Throws ConfigError with one plain line. `certificates_kept`: the program keeps certificates of its own, so
-// TLS needs no file.
+// Throws ConfigError with a one-line message. `has_certificate_store`: the program manages certificates
+// itself (by ACME), so that "tls" needs no "tls_certificate".
 FrontConfig parse_front_config(std::string_view toml, bool has_certificate_store = false);
 
 }  // namespace quartzarch::sip
--- a/src/front/sip/message.cpp
+++ b/src/front/sip/message.cpp
@@ -50,7 +50,7 @@
   });
 }
 
-// A whole decimal number, or nothing.
+// Parses a non-negative decimal number; nothing if `text` holds anything else.
 std::optional<long> parse_number(std::string_view text) {
   long value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -58,7 +58,7 @@
   return value;
 }
 
-// The next line and its end are taken off.
+// Removes the next line and its line break from `rest` and returns the line without the break.
 std::string_view next_line(std::string_view& rest) {
   const auto length = rest.find('\n');
   std::string_view line = rest.substr(0, length);
@@ -67,7 +67,7 @@
   return line;
 }
 
-// Where `wanted` stands outside quotes and angle brackets, at or after `from`.
+// The position of the first `wanted` at or after `from` that is outside quotes and angle brackets.
 std::size_t find_unquoted(std::string_view text, char wanted, std::size_t from = 0) {
   bool quoted = false, angled = false;
   for (std::size_t i = from; i < text.size(); ++i) {
@@ -85,7 +85,8 @@
   return std::string_view::npos;
 }
 
-// "host", "host:port" or "[v6]:port".
+// Splits "host", "host:port" or "[v6]:port". False if the host is empty or the port is invalid; `port` stays
+// as it is if none is given.
 bool split_host_port(std::string_view text, std::string_view& host, int& port) {
   const auto bracket = text.rfind(']');
   const auto colon = text.find(':', bracket == std::string_view::npos ? 0 : bracket);
@@ -164,7 +165,7 @@
     const std::string_view name = trimmed(line.substr(0, colon));
     if (!is_token(name)) return false;
     std::string_view value = line.substr(colon + 1);
-    // A line that begins with white space goes on with the one before.
+    // A line that begins with white space continues the header before it (folding, RFC 3261, 7.3.1).
     if (lines.starts_with(' ') || lines.starts_with('\t')) {
       std::string& joined = unfolded_values_.emplace_back(trimmed(value));
       while (lines.starts_with(' ') || lines.starts_with('\t')) {
@@ -242,7 +243,7 @@
   }
   if (const auto at = rest.find('@'); at != std::string_view::npos) {
     uri.user = rest.substr(0, at);
-    uri.user = uri.user.substr(0, uri.user.find_first_of(":;"));  // no password, no user parameters
+    uri.user = uri.user.substr(0, uri.user.find_first_of(":;"));  // without password and user parameters
     rest.remove_prefix(at + 1);
   }
   if (!split_host_port(rest.substr(0, rest.find_first_of(";?")), uri.host, uri.port)) return std::nullopt;
--- a/src/front/sip/message.hpp
+++ b/src/front/sip/message.hpp
@@ -1,4 +1,5 @@
-// SIP messages (RFC 3261), parsed in place: what a message hands out points into the bytes it was read from.
+// SIP messages (RFC 3261), parsed in place: the string views that a message returns point into the buffer
+// that it was parsed from, so that buffer must outlive the message.
 #pragma once
 
 #include <deque>
@@ -10,26 +11,27 @@
 namespace quartzarch::sip {
 
 struct Header {
-  std::string_view name{};   // the long form of a compact one
-  std::string_view value{};  // unfolded, without the white space around it
+  std::string_view name{};   // compact names (RFC 3261, 7.3.3) are replaced by their long form
+  std::string_view value{};  // unfolded, without leading and trailing white space
 };
 
 class Message {
  public:
-  // Reads a head, up to and with its empty line, and takes `body` as it is. Nothing if it is malformed.
+  // `head`: the start line and the headers, including the empty line that ends them. `body` is not parsed.
+  // Returns nothing if the head is malformed.
   static std::optional<Message> parse(std::string_view head, std::string_view body);
 
   bool is_request() const { return status_ == 0; }
-  std::string_view method() const { return method_; }  // of a response: that of its CSeq
+  std::string_view method() const { return method_; }  // of a response: the method in its CSeq
   std::string_view uri() const { return uri_; }
   std::string_view version() const { return version_; }
   int status() const { return status_; }
   std::string_view body() const { return body_; }
 
-  // The first value of that name; empty if there is none.
+  // The value of the first header of that name; empty if there is none.
   std::string_view header(std::string_view name) const;
   bool has(std::string_view name) const;
-  // All values of that name in their order, lists taken apart at their commas.
+  // The values of all headers of that name, in order; comma-separated lists are split.
   std::vector<std::string_view> values(std::string_view name) const;
 
  private:
@@ -42,29 +44,31 @@
   std::deque<std::string> unfolded_values_{};
 };
 
-// Where a head ends, its empty line included; npos if it is not whole yet.
+// The length of the head at the start of `bytes`, including its empty line; npos while it is incomplete.
 std::size_t head_length(std::string_view bytes);
-// The Content-Length a head names; nothing if it names none, -1 if it is no number.
+// The Content-Length in a head; nothing if the header is absent, -1 if its value is not a number.
 std::optional<long> content_length(std::string_view head);
 
+// Compares without regard to case, as SIP does for header names, parameter names and tokens.
 bool equals_ignore_case(std::string_view a, std::string_view b);
 
-// The value of a parameter behind a header's value or a URI: ";branch=z9hG4bK1" -> "z9hG4bK1". Nothing if it
-// is not there, empty if it has no value.
+// The value of a parameter that follows a header's value or a URI: ";branch=z9hG4bK1" -> "z9hG4bK1". Nothing
+// if the parameter is absent, empty if it has no value.
 std::optional<std::string_view> parameter(std::string_view value, std::string_view name);
 
-// The URI inside <> or, without these, up to the parameters.
+// The URI between < and > or, without brackets, everything before the parameters.
 std::string_view uri_of(std::string_view value);
+// The tag parameter of a From or To value; empty if it has none.
 std::string_view tag_of(std::string_view value);
 
 struct Uri {
   std::string_view scheme{}, user{}, host{};
-  int port = 0;  // 0: not given
-  std::string_view transport{};
+  int port = 0;                  // 0: not given
+  std::string_view transport{};  // the transport parameter; empty if it has none
 };
 std::optional<Uri> parse_uri(std::string_view text);
 
-// The sent-by of a Via.
+// A Via header's transport, sent-by address and branch.
 struct Via {
   std::string_view transport{}, host{};
   int port = 0;
--- a/src/front/sip/tls.cpp
+++ b/src/front/sip/tls.cpp
@@ -11,7 +11,8 @@
 namespace quartzarch::sip {
 namespace {
 
-constexpr std::size_t kMaxPendingPlain = 256 * 1024;  // until a handshake is done
+// Limit of the plaintext that is buffered until the handshake is complete.
+constexpr std::size_t kMaxPendingPlain = 256 * 1024;
 
 std::string last_error() {
   char reason[256] = "";
@@ -37,7 +38,7 @@
   const bool trusted = ca_file.empty()
                            ? SSL_CTX_set_default_verify_paths(client_.get()) == 1
                            : SSL_CTX_load_verify_locations(client_.get(), ca_file.c_str(), nullptr) == 1;
-  if (!trusted) throw std::runtime_error("whom to trust cannot be read: " + last_error());
+  if (!trusted) throw std::runtime_error("trusted CA certificates cannot be read: " + last_error());
 }
 
 void TlsContext::load() {
@@ -99,7 +100,8 @@
   return advance();
 }
 
-// As far as it goes with what has come: the handshake, what is held, what can be read.
+// Proceeds as far as the received ciphertext allows: handshake, sending of buffered plaintext, decryption.
+// False if the session has failed or ended.
 bool TlsSession::advance() {
   ERR_clear_error();
   SSL* const ssl = ssl_.get();
@@ -107,7 +109,7 @@
   if (!SSL_is_init_finished(ssl)) {
     const int result = SSL_do_handshake(ssl);
     if (result != 1) return wants_input(result);
-    if (was_challenge()) return false;  // no data is exchanged on it (RFC 8737, 3)
+    if (was_challenge()) return false;  // a challenge connection carries no data (RFC 8737, section 3)
   }
   if (!pending_plain_.empty()) {
     const int result = SSL_write(ssl, pending_plain_.data(), static_cast<int>(pending_plain_.size()));
--- a/src/front/sip/tls.hpp
+++ b/src/front/sip/tls.hpp
@@ -1,4 +1,4 @@
-// TLS for the SIP front, by OpenSSL on memory: sockets stay with Stream.
+// TLS for the SIP front. OpenSSL works on memory buffers here; the sockets are handled by net/stream.hpp.
 #pragma once
 
 #include <openssl/ssl.h>
@@ -13,17 +13,20 @@
 
 namespace quartzarch::sip {
 
-// The front's side of the certificates: those of the registry, and one from a file, which is read again when
-// it has changed. Sessions under way keep what they began with.
+// The SSL contexts of the SIP front. It serves the certificates of the registry and, optionally, one from a
+// file, which is reloaded when the file changes. Existing sessions keep the certificate that they started
+// with.
 class TlsContext {
  public:
-  // `certificate`: a file with the private key and the chain; empty: the registry's alone are served.
-  // `ca_file`: whom connections of ours trust; empty: the system's list. Throws std::runtime_error if the
-  // certificate cannot be used.
+  // `certificate`: a file with the private key and the chain; empty: only the registry's certificates are
+  // served. `ca_file`: the CA certificates that outgoing connections trust; empty: the system's trust store.
+  // A null `registry` is replaced by an empty one. Throws std::runtime_error if the certificate or the CA
+  // file cannot be used.
   TlsContext(Logger& log, std::shared_ptr<tls::Registry> registry, std::string certificate,
              std::string ca_file);
 
-  // One that cannot be used is told once, and the one at hand goes on.
+  // Reloads the certificate file if it has changed. A file that cannot be used is logged once for each
+  // change, and the certificate loaded before stays in use.
   void reload_if_changed();
   bool has_certificate_file() const { return !certificate_file_.empty(); }
   SSL_CTX* server() const { return registry_->server(); }
@@ -31,6 +34,7 @@
 
  private:
   void load();
+  // Inode, modification time and size of the certificate file; empty if it cannot be examined.
   std::string file_version() const;
 
   Logger& log_;
@@ -40,20 +44,24 @@
   std::unique_ptr<SSL_CTX, tls::FreeSsl> client_{};
 };
 
+// One TLS connection: converts between the ciphertext of the socket and the plaintext of the application.
 class TlsSession {
  public:
-  // The side that accepted a connection, or the one that made it to `peer`, whose certificate must name it.
+  // accepting: the server side. connecting: the client side; `peer` is the IP address that the server's
+  // certificate must contain.
   static std::unique_ptr<TlsSession> accepting(SSL_CTX* context);
   static std::unique_ptr<TlsSession> connecting(SSL_CTX* context, const std::string& peer);
 
-  // Takes what came; false if the session is broken or over.
+  // Processes received ciphertext; false if the session has failed or ended.
   bool feed(std::string_view ciphertext);
-  // What was written goes out once the handshake is done.
+  // Encrypts `plain`; until the handshake is complete it is buffered. False if the buffer is full or the
+  // session has failed.
   bool write(std::string_view plain);
-  // What has become readable, and what is to be sent, since the last time.
+  // Return and clear the decrypted data and the ciphertext to be sent.
   std::string take_plain() { return std::exchange(received_plain_, {}); }
   std::string take_ciphertext();
-  // It was an authority's look at a challenge's answer (RFC 8737), and is over.
+  // True if the connection was a certificate authority's validation of a TLS-ALPN challenge (RFC 8737); such
+  // a session ends with its handshake.
   bool was_challenge() const { return tls::Registry::was_challenge(ssl_.get()); }
 
  private:
--- a/src/front/sip/transactions.cpp
+++ b/src/front/sip/transactions.cpp
@@ -8,15 +8,18 @@
 namespace quartzarch::sip {
 namespace {
 
+// Marks a branch that is unique for its transaction (RFC 3261, 8.1.1.7).
 constexpr std::string_view kBranchCookie = "z9hG4bK";
 
+// The IP address without the port.
 std::string address_of(const sockaddr_in& address) {
   const std::string text = address_text(address);
   return text.substr(0, text.rfind(':'));
 }
 
-// 17.2.3: the branch, the sent-by and the method, an ACK counting as its INVITE. Without the cookie, as older
-// clients send it, what identifies the request instead.
+// The key by which a request is matched to its transaction (17.2.3): method, sent-by and branch; an ACK has
+// the key of its INVITE. A branch without the magic cookie, as RFC 2543 clients send it, need not be unique,
+// so that Call-ID, From tag and CSeq number are added.
 std::string transaction_key(const Message& message, std::string_view method) {
   const auto values = message.values("Via");
   const auto via = parse_via(values.front());
@@ -28,7 +31,9 @@
          '|' + std::to_string(cseq->number) + '|' + std::string(via->branch);
 }
 
-// Where the responses go: back on the connection, else to the address that the Via names, as it was seen.
+// Where the responses go (18.2.2): back on the connection of the request or, if it is closed or the transport
+// is UDP, to the request's source address and the port in the Via. Over UDP with rport (RFC 3581) the port is
+// the source port.
 Hop reply_hop(const Via& via, std::string_view top, const Hop& from) {
   Hop to = from;
   const int port = via.port != 0 ? via.port : default_port(from.kind);
@@ -37,6 +42,7 @@
   return to;
 }
 
+// The topmost Via with the received parameter and the value of rport, where they are needed.
 std::string completed_via(std::string_view top, const Via& via, const Hop& from) {
   std::string line(top);
   const std::string seen = address_of(from.address);
@@ -69,7 +75,7 @@
   return request;
 }
 
-// What no transaction can be made of.
+// True if the request has the headers without which no transaction can be created.
 bool has_required_headers(const Message& message) {
   const auto vias = message.values("Via");
   const auto cseq = parse_cseq(message.header("CSeq"));
@@ -150,7 +156,7 @@
   if (!has_required_headers(message)) {
     log_.line("sip: incomplete %.*s from %s", static_cast<int>(message.method().size()),
               message.method().data(), address_text(from.address).c_str());
-    // As much of an answer as can be given; an ACK gets none.
+    // A 400 with the headers that are there; an ACK gets no response, nor does a request without a valid Via.
     const auto vias = message.values("Via");
     if (message.method() == "ACK" || vias.empty() || !parse_via(vias.front())) return;
     RequestInfo request;
@@ -172,14 +178,15 @@
   if (ack) return receive_ack(message, key);
   const auto found = servers_.find(key);
   if (found != servers_.end()) {
-    // A retransmission: it gets what there is, on the way by which it came, and nothing happens twice.
+    // A retransmission: the last response is sent again, to where the retransmission came from; the
+    // transaction user does not see the request a second time.
     ServerTransaction& known = found->second;
     known.request_.reply_to = copy_request(message, from).reply_to;
     if (known.state_ == ServerTransaction::State::accepted) return user_.on_invite_retransmitted(known);
     if (!known.head_.empty() && known.state_ != ServerTransaction::State::confirmed) send(known);
     return;
   }
-  // What there is no room for is answered without being kept.
+  // At the limit of transactions the request is rejected without creating one.
   if (size() >= max_transactions_) return respond_stateless(copy_request(message, from), 503);
   ServerTransaction& transaction = servers_[key];
   transaction.key_ = key;
@@ -201,7 +208,7 @@
   if (transaction.state_ != ServerTransaction::State::completed) return;
   transaction.state_ = ServerTransaction::State::confirmed;
   if (transaction.resend_) loop_.cancel(*std::exchange(transaction.resend_, std::nullopt));
-  // Timer I.
+  // Timer I: absorbs retransmitted ACKs.
   end_after(transaction, transaction.request_.reply_to.reliable() ? Duration{0} : timers_.t4);
 }
 
@@ -239,7 +246,7 @@
   transport_->send(transaction.request_.reply_to, transaction.head_, transaction.body_);
 }
 
-// Timer G.
+// Timer G: retransmits a failure response to an INVITE until its ACK.
 void Transactions::resend_failure_response(const std::string& key) {
   const auto found = servers_.find(key);
   if (found == servers_.end()) return;
@@ -273,7 +280,7 @@
   return find("INVITE" + cancel.key_.substr(cancel.key_.find('|')));
 }
 
-// ---- Requests of ours
+// ---- Client transactions
 
 bool Transactions::clients_done() const {
   return std::all_of(clients_.begin(), clients_.end(),
@@ -295,12 +302,12 @@
     client.interval = timers_.t1;
     client.resend = loop_.at(loop_.now() + timers_.t1, [this, branch] { resend_request(branch); });
   }
-  // Timer F.
+  // Timer F: the request has timed out.
   client.end =
       loop_.at(loop_.now() + timers_.transaction_timeout(), [this, branch] { finish_client(branch, 408); });
 }
 
-// Timer E.
+// Timer E: retransmits a request over UDP until its final response.
 void Transactions::resend_request(const std::string& branch) {
   const auto found = clients_.find(branch);
   if (found == clients_.end() || found->second.completed) return;
@@ -314,7 +321,7 @@
   const auto vias = message.values("Via");
   const auto via = vias.empty() ? std::nullopt : parse_via(vias.front());
   const auto found = via ? clients_.find(std::string(via->branch)) : clients_.end();
-  if (found == clients_.end()) return;  // of no request that is known any more
+  if (found == clients_.end()) return;  // no such client transaction, or no longer
   if (message.status() < 200) {
     found->second.proceeding = true;
   } else {
@@ -336,7 +343,7 @@
   if (status == 408 || client.to.reliable()) {
     clients_.erase(found);
   } else {
-    // Timer K: further copies of the response are taken in.
+    // Timer K: until it fires, retransmissions of the response are absorbed.
     client.end = loop_.at(loop_.now() + timers_.t4,
                           [this, branch = std::string(branch)] { finish_client(branch, 0); });
   }
--- a/src/front/sip/transactions.hpp
+++ b/src/front/sip/transactions.hpp
@@ -1,7 +1,7 @@
 // SIP transactions (RFC 3261, section 17, and the Accepted state of RFC 6026), over any transport.
 //
-// This side answers INVITEs and never sends one, so of the timers A to K those of an INVITE client (A, B, D)
-// have no place here; C is a proxy's.
+// This side answers INVITEs and never sends one, so the timers of an INVITE client transaction (A, B and D)
+// do not occur; timer C is for proxies only.
 #pragma once
 
 #include <functional>
@@ -13,32 +13,34 @@
 
 namespace quartzarch::sip {
 
+// The timer values of RFC 3261, section 17.
 struct Timers {
   Duration t1 = std::chrono::milliseconds(500);
   Duration t2 = std::chrono::milliseconds(4000);
   Duration t4 = std::chrono::milliseconds(5000);
-  Duration transaction_timeout() const { return 64 * t1; }  // B, F, H, J, L
+  Duration transaction_timeout() const { return 64 * t1; }  // timers F, H, J and L
 };
 
-// A request as its responses and its dialog need it, copied out of the message.
+// The parts of a request that its responses and its dialog need, copied from the message.
 struct RequestInfo {
   std::string method{}, uri{};
-  std::string vias{};  // as header lines, the topmost completed with received and rport
+  std::string vias{};  // as header lines; the topmost with the received and rport parameters (RFC 3581)
   std::string from{}, to{}, call_id{}, cseq{}, record_routes{};
   unsigned long cseq_number = 0;
-  Hop reply_to{};        // 18.2.2
-  sockaddr_in source{};  // where it came from, whatever its Via says
+  Hop reply_to{};        // destination of the responses (section 18.2.2)
+  sockaddr_in source{};  // remote address, independent of the Via
 };
 
+// A received request and its last response. An INVITE that got a 2xx is in the Accepted state.
 class ServerTransaction {
  public:
   const std::string& key() const { return key_; }
   const RequestInfo& request() const { return request_; }
   bool is_invite() const { return request_.method == "INVITE"; }
   bool answered() const { return state_ != State::proceeding; }
-  // Of the To of every response but 100.
+  // The tag in the To header of every response except 100.
   std::string to_tag{};
-  // The user's own: what this transaction is about.
+  // Set and read by the transaction user only: the id of the call that the transaction belongs to.
   std::uint64_t subject = 0;
 
  private:
@@ -53,19 +55,22 @@
   std::optional<Loop::TimerId> resend_{}, end_{};
 };
 
+// All server and client transactions of one front.
 class Transactions {
  public:
+  // The transaction user (TU) of RFC 3261.
   class User {
    public:
     virtual ~User() = default;
     // A new request, never a retransmission.
     virtual void on_request(const Message& message, ServerTransaction& transaction) = 0;
-    // An ACK that belongs to no failure: of a 2xx.
+    // An ACK for a 2xx; an ACK for a failure response is handled by its transaction.
     virtual void on_ack(const Message& message) = 0;
-    // The INVITE was retransmitted after its 2xx.
+    // An INVITE was retransmitted after its 2xx.
     virtual void on_invite_retransmitted(ServerTransaction& transaction) = 0;
+    // The transaction has ended and is no longer known.
     virtual void on_terminated(ServerTransaction& transaction) = 0;
-    // A request of ours got its final response; 408 if none came.
+    // A request sent with request() got its final response; 408 if none came in time.
     virtual void on_response(std::uint64_t subject, int status) = 0;
   };
 
@@ -76,20 +81,21 @@
   void set_transport(Transport& transport) { transport_ = &transport; }
   void receive(const Message& message, const Hop& from);
 
-  // `headers` are whole lines. A response after a final one is ignored.
+  // `headers` are complete lines with their line breaks. A response after a final one is ignored.
   void respond(ServerTransaction& transaction, int status, const std::string& headers = {},
                const std::string& body = {});
-  // The 2xx once more: its retransmission is the user's affair.
+  // Sends the last response again. The transaction user retransmits a 2xx itself (section 13.3.1.4).
   void resend_response(const ServerTransaction& transaction);
   ServerTransaction* find(const std::string& key);
-  // The INVITE that a CANCEL is about.
+  // The INVITE transaction that a CANCEL refers to (section 9.2).
   ServerTransaction* cancelled_by(const ServerTransaction& cancel);
 
-  // A request other than INVITE or ACK: `headers` are all but the Via.
+  // Sends a request other than INVITE or ACK. `headers`: complete lines, without Via, Max-Forwards and
+  // Content-Length; `subject` is handed to on_response.
   void request(const Hop& to, const std::string& method, const std::string& uri, const std::string& headers,
                std::uint64_t subject);
   std::size_t size() const { return servers_.size() + clients_.size(); }
-  // Every request of ours has its final response.
+  // True if every request sent with request() has its final response.
   bool clients_done() const;
 
  private:
@@ -125,6 +131,7 @@
   std::uint64_t last_branch_ = 0;
 };
 
+// The reason phrase of a response's status line.
 const char* reason_phrase(int status);
 std::string response_head(const RequestInfo& request, int status, const std::string& to_tag,
                           const std::string& headers, std::size_t body_size);
--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -14,9 +14,10 @@
 constexpr std::size_t kMaxBodyBytes = 16 * 1024;
 constexpr Duration kConnectTimeout = std::chrono::seconds(4);
 constexpr int kMaxDatagramsPerPass = 64;
+// From this number on, messages that have been written in full are removed from Connection::unconfirmed.
 constexpr std::size_t kUnconfirmedPruneSize = 64;
-// Nothing takes longer than this on its way, be it the rest of a message or the first one of a connection
-// that a gateway made.
+// A connection is closed if the rest of a message, or the first message of an accepted connection, takes
+// longer.
 constexpr Duration kStallTimeout = std::chrono::seconds(3);
 constexpr Duration kStallCheckInterval = std::chrono::seconds(1);
 constexpr Duration kCertificateCheckInterval = std::chrono::seconds(1);
@@ -89,13 +90,14 @@
                                      reinterpret_cast<sockaddr*>(&from.address), &size);
     if (count < 0) return;
     const std::string_view datagram(bytes.data(), static_cast<std::size_t>(count));
-    if (datagram.find_first_not_of("\r\n") == std::string_view::npos) continue;  // keeps a binding open
+    // Only line breaks: keep-alive of a NAT binding.
+    if (datagram.find_first_not_of("\r\n") == std::string_view::npos) continue;
     const std::size_t head = head_length(datagram);
     const auto length =
         head == std::string_view::npos ? -1 : content_length(datagram.substr(0, head)).value_or(0);
     const std::string_view rest = head == std::string_view::npos ? datagram : datagram.substr(head);
-    // Without a Content-Length the body goes up to the end of the datagram; bytes beyond it are discarded,
-    // and a body that falls short of it is an error (18.3).
+    // Without a Content-Length the body extends to the end of the datagram. With one, bytes beyond it are
+    // discarded, and a body that is shorter is an error (18.3).
     const bool has_length =
         head != std::string_view::npos && content_length(datagram.substr(0, head)).has_value();
     const bool valid = length >= 0 && static_cast<std::size_t>(length) <= rest.size();
@@ -125,13 +127,13 @@
   message.msg_namelen = sizeof address;
   message.msg_iov = pieces.data();
   message.msg_iovlen = pieces.size();
-  // What is lost here is sent again by its timers, as on the way.
+  // The retransmission timers of the transaction send it again, as for a loss on the network.
   if (::sendmsg(udp_.get(), &message, MSG_NOSIGNAL) < 0) {
     log_.line("sip: a datagram to %s could not be sent", address_text(to.address).c_str());
   }
 }
 
-// ---- TCP
+// ---- TCP and TLS
 
 void Transport::accept_all(Acceptor& acceptor, TransportKind kind) {
   while (has_capacity()) {
@@ -150,7 +152,8 @@
   close_least_recently_used();
 }
 
-// The connection that has been quiet for longest goes: what is still owed on it goes out on a new one.
+// Closes the connection that has been unused for longest. Responses still due on it are sent on a new
+// connection.
 void Transport::close_least_recently_used() {
   const auto oldest =
       std::min_element(connections_.begin(), connections_.end(), [](const auto& a, const auto& b) {
@@ -174,8 +177,9 @@
   return connection;
 }
 
-// Half a message, and a connection on which none ever comes, are not kept: hundreds of them would use up what
-// the gateways need. One that has spoken may be quiet for as long as there is room.
+// Closes connections with an incomplete message and accepted connections without any message after
+// kStallTimeout: hundreds of them would use up the connections that the gateways need. A connection that has
+// carried a complete message may stay idle until its place is needed.
 void Transport::close_stalled() {
   std::vector<std::shared_ptr<Stream>> stalled;
   for (const auto& [id, connection] : connections_) {
@@ -196,7 +200,8 @@
   return nullptr;
 }
 
-// The connection itself if it is still there, else one to the address, made if need be (18.2.2).
+// The hop's connection if it still exists, else another one to its address, else a new one (18.2.2). Null if
+// the port is 0, or for TLS without a TLS context.
 Transport::Connection* Transport::connection_to(const Hop& to) {
   if (const auto found = connections_.find(to.connection); found != connections_.end()) return &found->second;
   for (auto& [id, connection] : connections_) {
@@ -207,7 +212,7 @@
   Connection& opened = add(std::make_shared<Stream>(loop_, to.address, kConnectTimeout,
                                                     static_cast<Stream::Owner&>(*this), Priority::callers),
                            to.address, to.kind);
-  opened.received_message = true;  // it is ours: only responses come on it
+  opened.received_message = true;  // it may stay silent: only responses come on a connection opened here
   if (to.kind == TransportKind::tls) {
     const std::string peer = address_text(to.address);
     opened.tls = TlsSession::connecting(tls_context_->client(), peer.substr(0, peer.rfind(':')));
@@ -238,9 +243,10 @@
   if (!connection) return;
   const std::uint64_t id = connection->id;
   if (connection->tls && !decrypt(*connection)) {
-    return drop(*connection, connection->tls->was_challenge() ? "an authority's challenge" : "TLS broken");
+    return drop(*connection,
+                connection->tls->was_challenge() ? "validation of a TLS-ALPN challenge" : "TLS failure");
   }
-  // Handling a message may take connections away, this one too: it is looked up anew afterwards.
+  // Handling a message may close connections, including this one, so it is looked up again afterwards.
   const std::string decrypted = std::exchange(connection->decrypted, {});
   const bool secure = connection->tls != nullptr;
   const auto consumed = consume_messages(id, secure ? std::string_view(decrypted) : stream.input());
@@ -277,7 +283,7 @@
     const std::string_view input = bytes.substr(consumed);
     const std::size_t head = head_length(input);
     if (head == std::string_view::npos && input.size() <= kMaxHeadBytes) return consumed;
-    // On a stream the Content-Length alone tells where a message ends: without one there is no way on.
+    // On a stream only the Content-Length marks the end of a message, so one without it is malformed (18.3).
     const auto length = head == std::string_view::npos ? std::nullopt : content_length(input.substr(0, head));
     const bool framed = length && *length >= 0 && static_cast<std::size_t>(*length) <= kMaxBodyBytes;
     if (!framed) return std::nullopt;
@@ -308,9 +314,10 @@
   loop_.keep_until_pass_end(lost.stream);
   if (!stream.was_connected()) {
     log_.line("sip: no connection to %s", address_text(lost.peer).c_str());
-    return;  // its timers decide what becomes of what was to be sent
+    return;  // the transactions' timers resend or give up the messages
   }
-  // What did not leave in full is sent again as a whole, to where a new connection may be made.
+  // Messages that were not written in full are sent again from their start to their fallback address, unless
+  // that is the remote address of the lost connection.
   for (const Segment& segment : stream.unsent()) {
     const auto message = lost.unconfirmed.find(segment.tag);
     if (message == lost.unconfirmed.end() || same_address(message->second.fallback_address, lost.peer))
--- a/src/front/sip/transport.hpp
+++ b/src/front/sip/transport.hpp
@@ -1,4 +1,4 @@
-// SIP over UDP, TCP and TLS: framing, and where responses and requests go.
+// SIP over UDP, TCP and TLS: message framing, and the connections on which requests and responses are sent.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,8 @@
 
 enum class TransportKind { udp, tcp, tls };
 
-// Where a message came from or goes to. A connection that is gone is replaced by a new one to the address.
+// The remote end that a message came from or goes to. If the connection is closed, a new one to `address`
+// replaces it.
 struct Hop {
   TransportKind kind = TransportKind::udp;
   sockaddr_in address{};
@@ -23,16 +24,21 @@
   bool reliable() const { return kind != TransportKind::udp; }
 };
 
+// The addresses to listen on; a transport without one is off.
 struct ListenConfig {
   std::optional<sockaddr_in> udp{}, tcp{}, tls{};
   std::string tls_certificate{}, tls_ca{};
-  std::shared_ptr<tls::Registry> certificates{};  // kept by the program itself; null: the file's alone
+  // The certificates that the program manages itself; null: only tls_certificate is served.
+  std::shared_ptr<tls::Registry> certificates{};
 };
 
-// "UDP", and the port where none is named.
+// The transport as a Via names it: "UDP", "TCP" or "TLS".
 const char* transport_name(TransportKind kind);
+// The port of a URI or Via that names none.
 int default_port(TransportKind kind);
 
+// The SIP transport layer (RFC 3261, section 18). At `max_connections` the least recently used connection is
+// closed for a new one.
 class Transport : private IoHandler, private Stream::Owner {
  public:
   using OnMessage = std::function<void(const Message&, const Hop& from)>;
@@ -43,10 +49,13 @@
             OnMessage on_message);
   ~Transport() override;
 
+  // Over UDP the message may be lost. Over TCP and TLS, if the connection closes before all of it was
+  // written, it is sent again to `to.address`, unless that is the remote address of the closed connection.
   void send(const Hop& to, const std::string& head, const std::string& body);
 
-  // Our own address for a Via or a Contact.
+  // The local address for a Via or a Contact.
   sockaddr_in local(TransportKind kind) const;
+  // True if no connection has unsent data.
   bool flushed() const;
 
  private:
@@ -64,8 +73,9 @@
     TransportKind kind_;
     Acceptor acceptor_;
   };
+  // A message that may not have been written to the socket in full.
   struct UnconfirmedMessage {
-    sockaddr_in fallback_address{};
+    sockaddr_in fallback_address{};  // where it is sent if the connection is lost
     std::string head{}, body{};
   };
   struct Connection {
@@ -73,14 +83,15 @@
     std::shared_ptr<Stream> stream{};
     sockaddr_in peer{};
     TransportKind kind = TransportKind::tcp;
-    // What may not have been written in full, by its tag, and where it goes if the connection is lost.
+    // By the tag of the message's segment in the stream.
     std::map<std::uint64_t, UnconfirmedMessage> unconfirmed{};
     std::unique_ptr<TlsSession> tls{};
-    std::string decrypted{};  // what TLS has made readable and is no whole message yet
+    std::string decrypted{};  // decrypted bytes of a message that is still incomplete
     Time opened_at{};
-    bool received_message = false;  // a whole message came
-    std::optional<Time>
-        incomplete_since{};  // since when a message, or the TLS before it, has been waiting for its rest
+    bool received_message = false;  // a complete message has been received
+    // Since when the rest of a message has been missing. A TLS handshake that is not completed counts as a
+    // connection without a message.
+    std::optional<Time> incomplete_since{};
   };
 
   int descriptor() const override { return udp_.get(); }
@@ -98,7 +109,7 @@
   Connection* connection_to(const Hop& to);
   void queue(Connection& connection, UnconfirmedMessage message);
   bool decrypt(Connection& connection);
-  // Takes whole messages off the front; the bytes they took, nothing if one is malformed.
+  // Handles all complete messages at the start of `bytes`; returns their length, nothing if one is malformed.
   std::optional<std::size_t> consume_messages(std::uint64_t connection, std::string_view bytes);
   void drop(Connection& connection, const char* why);
   void check_certificate();
