--- a/src/link/link_server.cpp
+++ b/src/link/link_server.cpp
@@ -46,7 +46,7 @@
   auto stream =
       std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
   Stream& link = *stream;
-  announce_readiness();  // so that all of them have been told the same
+  announce_readiness();  // all connected forwarders then know the current state
   forwarders_[&link].stream = std::move(stream);
   link.send(readiness_message());
   for (Segment& segment : std::exchange(undelivered_ends_, {})) link.send(std::move(segment));
@@ -83,7 +83,7 @@
   if (message.type != MessageType::cancel && message.type != MessageType::release) return false;
   const bool unanswered = from.unanswered.erase(call) > 0;
   calls_.erase(call);
-  // A withdrawal may have crossed the answer: then a call stands that nobody has.
+  // A cancel may have crossed the answer: the call is then established, but the forwarder has dropped it.
   if (unanswered) {
     core_.cancel(call);
   } else {
@@ -106,7 +106,7 @@
   }
   for (const Segment& segment : lost.stream->unsent()) {
     const LinkMessage message = decode_head(segment);
-    // The forwarder has failed what was open: an answer that never reached it is of no use to anybody.
+    // The forwarder has failed its unanswered calls, so a call whose answer did not reach it is released.
     if (message.type == MessageType::answer) {
       calls_.erase(message.call);
       core_.release(message.call, cause::kTemporary);
@@ -144,7 +144,7 @@
   send_result(call, encode(MessageType::fail, call, {why == Failure::timed_out ? "1" : "0"}), false);
 }
 
-// To the forwarder of the call; if that is gone to all, since any may have the caller.
+// Goes to the call's forwarder or, if that is not connected, to all, since the caller may be at any of them.
 void LinkServer::call_ended(CallId call, int cause) {
   Segment segment = encode(MessageType::call_ended, call, {std::to_string(cause)});
   if (forwarder_of(call)) return send_result(call, std::move(segment), false);
--- a/src/link/link_server.hpp
+++ b/src/link/link_server.hpp
@@ -1,4 +1,5 @@
-// A planner's side of the link: to its core this is a front like any other.
+// The planner's side of the link: accepts forwarders and passes their calls to the core, for which it is a
+// front.
 #pragma once
 
 #include <deque>
@@ -13,6 +14,7 @@
 
 namespace quartzarch::link {
 
+// When the link to a forwarder is lost, its unanswered calls are cancelled; its established calls continue.
 class LinkServer : public Front, private IoHandler, private Stream::Owner {
  public:
   // Throws std::system_error if the address cannot be listened on.
@@ -20,10 +22,11 @@
   ~LinkServer() override;
 
   sockaddr_in address() const { return bound_address(acceptor_.fd()); }
+  // True if no call is unanswered and all messages have been written.
   bool idle() const;
-  // Tells the forwarders whether calls may come, where that has changed.
+  // Tells the forwarders whether this planner accepts new calls, if that has changed.
   void announce_readiness();
-  // From now on new calls are to go to other planners; what comes all the same is served.
+  // From now on forwarders are to send new calls to other planners; calls that still arrive are served.
   void stop() { stopping_ = true; }
 
   void answer(CallId call, std::string description) override;
@@ -43,8 +46,11 @@
   void on_data(Stream& stream) override;
   void on_disconnected(Stream& stream, DisconnectReason how) override;
 
+  // False if the message is malformed or of a type that forwarders do not send.
   bool handle(Forwarder& from, const LinkMessage& message);
+  // The connected forwarder of a call; null if there is none.
   Forwarder* forwarder_of(CallId call);
+  // Sends a result to the call's forwarder; forgets the call unless it is established.
   void send_result(CallId call, Segment segment, bool established);
   bool accepts_calls() const { return core_.ready() && !stopping_; }
   Segment readiness_message() const;
@@ -55,7 +61,8 @@
   Acceptor acceptor_;
   std::map<const Stream*, Forwarder> forwarders_;
   std::unordered_map<CallId, const Stream*> calls_;
-  std::deque<Segment> undelivered_ends_;  // ends of calls while no forwarder is connected
+  // The call_ended messages for the next forwarder that connects.
+  std::deque<Segment> undelivered_ends_;
   bool announced_ready_ = false;
   bool stopping_ = false;
 };
--- a/src/link/message.cpp
+++ b/src/link/message.cpp
@@ -45,7 +45,8 @@
 }
 
 Segment encode(Request request, Time now) {
-  // The link takes no time worth counting, but a stopped planner does: the patience is what is left by now.
+  // The delay of the link is negligible, but that of a planner process that is stopped is not: the time left
+  // is sent together with the time at which it was computed.
   const long long time_left =
       request.caller_timeout ? (*request.caller_timeout - (now - request.received_at)).count() : -1;
   const CallId call = request.call;
--- a/src/link/planners.cpp
+++ b/src/link/planners.cpp
@@ -14,6 +14,7 @@
 constexpr std::size_t kMaxQueuedReleases = 10000;
 constexpr std::size_t kMaxCalls = 30000;
 
+// A 64-bit finalizer (that of SplitMix64): each input bit affects all output bits.
 std::uint64_t mix_bits(std::uint64_t value) {
   value = (value ^ value >> 30) * 0xbf58476d1ce4e5b9u;
   value = (value ^ value >> 27) * 0x94d049bb133111ebu;
@@ -70,15 +71,15 @@
   return rendezvous(call, up);
 }
 
-// ---- From the fronts
+// ---- Called by the fronts
 
 void Planners::request(Request request, Front& front) {
   const CallId call = request.call;
-  if (calls_.count(call) > 0) return;  // a second set-up with the id of a call
+  if (calls_.count(call) > 0) return;  // repeated set-up of a known call
   if (const auto retry_after = drain_ ? drain_->refusal_retry_after(loop_.now()) : std::nullopt)
     return front.refuse(call, *retry_after);
   const auto planner = choose_planner(call);
-  // With no planner there is nobody to decide: the caller is told at once.
+  // Without a ready planner the call cannot be set up, so the caller is refused at once.
   if (!planner || calls_.size() >= kMaxCalls) return front.refuse(call, kRetryAfterWhenDown);
   calls_[call] = {*planner, &front, true};
   ++pending_answers_;
@@ -122,7 +123,7 @@
 void Planners::release(CallId call, int cause) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) {
-    // It may have been set up before this process started, by any of them.
+    // The call may have been set up by any of the planners before this process started.
     for (std::size_t i = 0; i < planners_.size(); ++i) release_at(i, call, cause);
     return;
   }
@@ -142,7 +143,7 @@
   }
 }
 
-// ---- From the planners
+// ---- Messages and connections of the planners
 
 void Planners::on_connected(Stream&) {}
 
@@ -178,7 +179,7 @@
   const auto found = calls_.find(message.call);
   const bool known = found != calls_.end() && found->second.planner == at;
   if (message.type == MessageType::call_ended) {
-    // Of a call that stands, or that was set up before this process started.
+    // The call is established here or was set up before this process started.
     Front* const front = known ? found->second.front : unknown_call_front_;
     if (known && found->second.unanswered) return false;
     if (known) calls_.erase(found);
@@ -188,7 +189,8 @@
   if (message.type != MessageType::answer && message.type != MessageType::refuse &&
       message.type != MessageType::fail)
     return false;
-  // What crossed a withdrawal is over here; the planner hears of that withdrawal and ends the call.
+  // The result crossed a cancel or release on the link. The call has ended here; the planner ends it when it
+  // gets that message.
   if (!known || !found->second.unanswered) return true;
   Front& front = *found->second.front;
   mark_answered(message.call);
@@ -206,8 +208,8 @@
   return true;
 }
 
-// What was open there has no planner any more: its attempts are given up with the planner, and each call gets
-// its one final answer now. Calls that stand go on; their releases wait for the planner to come back.
+// A lost planner gives up the attempts of its unanswered calls, so each of these fails here now, which is its
+// one final answer. Established calls continue; their releases are queued until the planner is back.
 void Planners::on_disconnected(Stream& stream, DisconnectReason) {
   const std::size_t at = index_of(stream);
   if (at == planners_.size()) return;
@@ -227,7 +229,8 @@
     Front& front = *found->second.front;
     mark_answered(call);
     calls_.erase(found);
-    // Its answer may have been on the way: should the planner be there still, it is to end what stands.
+    // The planner may still run and its answer may have been lost with the link: this release ends the call
+    // there.
     release_at(at, call, cause::kTemporary);
     front.fail(call, Failure::error);
   }
