--- a/tests/handshake.hpp
+++ b/tests/handshake.hpp
@@ -21,10 +21,10 @@
   const std::unique_ptr<SSL_CTX, tls::FreeSsl> context(SSL_CTX_new(TLS_client_method()));
   SSL_CTX_set_max_proto_version(context.get(), version);
   const std::unique_ptr<SSL, tls::FreeSsl> client(SSL_new(context.get())), server(SSL_new(server_context));
-  BIO *ours = nullptr, *theirs = nullptr;
-  BIO_new_bio_pair(&ours, 1 << 18, &theirs, 1 << 18);
-  SSL_set_bio(client.get(), ours, ours);
-  SSL_set_bio(server.get(), theirs, theirs);
+  BIO *client_end = nullptr, *server_end = nullptr;
+  BIO_new_bio_pair(&client_end, 1 << 18, &server_end, 1 << 18);
+  SSL_set_bio(client.get(), client_end, client_end);
+  SSL_set_bio(server.get(), server_end, server_end);
   SSL_set_connect_state(client.get());
   SSL_set_accept_state(server.get());
   if (!name.empty()) SSL_set_tlsext_host_name(client.get(), name.c_str());
@@ -45,8 +45,8 @@
   SSL_write(server.get(), "x", 1);  // the tickets of TLS 1.3 come with the first data
   SSL_read(client.get(), &byte, 1);
   result.resumed = SSL_session_reused(client.get()) == 1;
-  const acme::Certificate shown(SSL_get1_peer_certificate(client.get()));
-  if (shown) result.certificate = acme::fingerprint(shown);
+  const acme::Certificate peer_certificate(SSL_get1_peer_certificate(client.get()));
+  if (peer_certificate) result.certificate = acme::fingerprint(peer_certificate);
   const unsigned char* chosen = nullptr;
   unsigned size = 0;
   SSL_get0_alpn_selected(client.get(), &chosen, &size);
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -7,9 +7,9 @@
 namespace quartzarch::test {
 namespace {
 
-class Levels : public Program {
+class ForwarderAndPlanner : public Program {
  protected:
-  Levels() {
+  ForwarderAndPlanner() {
     front.reset();
     link_server = std::make_unique<link::LinkServer>(loop, log, *planner, any_port());
     planner->set_unknown_call_front(*link_server);
@@ -19,7 +19,7 @@
     planners->set_unknown_call_front(*front);
     wait_until([&] { return planners->ready(); }, "the link");
   }
-  Peer standing() {
+  Peer gateway_with_established_call() {
     Peer gateway = connect_caller();
     establish_call(gateway);
     return gateway;
@@ -29,8 +29,8 @@
   std::unique_ptr<link::Planners> planners;
 };
 
-TEST_F(Levels, ACallGoesThroughBothAndItsEndComesBack) {
-  Peer gateway = standing();
+TEST_F(ForwarderAndPlanner, ACallPassesBothLevelsAndItsEndComesBack) {
+  Peer gateway = gateway_with_established_call();
   server.send(line("end", "00000000000000aa", "\"why\":16"));
   wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
   gateway.send(setup(0xbb, "d"));
@@ -40,8 +40,8 @@
 }
 
 // A lost planner leaves each call one final answer, and what it had out is given up.
-TEST_F(Levels, ALostPlannerFailsWhatIsOpenOnceAndLeavesWhatStands) {
-  Peer gateway = standing();
+TEST_F(ForwarderAndPlanner, ALostPlannerFailsUnansweredCallsOnceAndKeepsEstablishedOnes) {
+  Peer gateway = gateway_with_established_call();
   const sockaddr_in address = link_server->address();
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
@@ -59,8 +59,8 @@
 }
 
 // Where a forwarder is lost, its requests are withdrawn; the ends of its calls go to those that are left.
-TEST_F(Levels, ALostForwarderWithdrawsWhatIsOpen) {
-  Peer gateway = standing();
+TEST_F(ForwarderAndPlanner, ALostForwarderCancelsItsUnansweredCalls) {
+  Peer gateway = gateway_with_established_call();
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
   front.reset();
@@ -75,7 +75,7 @@
   wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
-TEST_F(Levels, APlannerThatStopsGetsNothingNewAndEndsWhatItHas) {
+TEST_F(ForwarderAndPlanner, AStoppingPlannerGetsNoNewCallsAndAnswersPendingOnes) {
   Peer gateway = connect_caller();
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
@@ -101,7 +101,7 @@
   EXPECT_EQ(link::rendezvous(1, {false, false}), std::nullopt);
 }
 
-TEST(LinkMessages, CutAndOverlongOnesAreTold) {
+TEST(LinkMessages, IncompleteAndOversizedMessagesAreDetected) {
   const Segment whole = link::encode(link::MessageType::refuse, 7, {"12", "x"}, "body");
   const std::string bytes = whole.head + whole.body;
   link::LinkMessage message;
@@ -116,7 +116,7 @@
   EXPECT_EQ(link::decode("\xff\xff\xff\xff", message, length), link::DecodeResult::malformed);
 }
 
-TEST(LevelsFile, IsDecodedAndKeepsTheLinkOnLoopback) {
+TEST(LevelsFile, IsParsedAndAcceptsLoopbackAddressesOnly) {
   EXPECT_EQ(parse_levels("planners = [\"127.0.0.1:1\", \"127.0.0.2:2\"]").size(), 2u);
   for (const char* bad :
        {"", "planners = []", "planners = [1]", "planners = [\"10.0.0.1:1\"]", "planners ="}) {
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -16,17 +16,17 @@
 // A key and a certificate that it signs itself, in one text.
 std::string certificate_for(const std::string& name) {
   const acme::Key key = acme::new_key();
-  const acme::Certificate made(X509_new());
-  X509_set_version(made.get(), 2);
-  X509_gmtime_adj(X509_getm_notBefore(made.get()), -60);
-  X509_gmtime_adj(X509_getm_notAfter(made.get()), 86400);
-  X509_set_pubkey(made.get(), key.get());
-  X509_NAME* const subject = X509_get_subject_name(made.get());
+  const acme::Certificate certificate(X509_new());
+  X509_set_version(certificate.get(), 2);
+  X509_gmtime_adj(X509_getm_notBefore(certificate.get()), -60);
+  X509_gmtime_adj(X509_getm_notAfter(certificate.get()), 86400);
+  X509_set_pubkey(certificate.get(), key.get());
+  X509_NAME* const subject = X509_get_subject_name(certificate.get());
   X509_NAME_add_entry_by_txt(subject, "CN", MBSTRING_ASC,
                              reinterpret_cast<const unsigned char*>(name.c_str()), -1, -1, 0);
-  X509_set_issuer_name(made.get(), subject);
-  X509_sign(made.get(), key.get(), EVP_sha256());
-  return acme::pem_of(key).text() + standin::pem_of(made);
+  X509_set_issuer_name(certificate.get(), subject);
+  X509_sign(certificate.get(), key.get(), EVP_sha256());
+  return acme::pem_of(key).text() + standin::pem_of(certificate);
 }
 
 class Sip : public Program {
@@ -64,15 +64,15 @@
     return response.substr(at + 5, response.find("\r\n", at) - at - 5);
   }
   // The id under which the server knows the call of the last offer.
-  std::string offered() {
+  std::string offered_call() {
     wait_to_receive(server, "\"op\":\"offer\"");
     const auto at = server.received().rfind("\"op\":\"offer\",\"call\":\"");
     return server.received().substr(at + 21, 16);
   }
   // A call that stands and is acknowledged; the tag of this side.
-  std::string stand(Peer& peer, TransportKind kind, std::string* call = nullptr) {
+  std::string establish_sip_call(Peer& peer, TransportKind kind, std::string* call = nullptr) {
     peer.send(invite(peer, kind));
-    const std::string id = offered();
+    const std::string id = offered_call();
     if (call) *call = id;
     server.send(line("accept", id, "\"desc\":\"s=1\\r\\n\""));
     wait_to_receive(peer, "s=1\r\n");
@@ -87,19 +87,19 @@
   std::unique_ptr<sip::SipFront> sip_front;
 };
 
-class SipOver : public Sip, public ::testing::WithParamInterface<TransportKind> {};
-INSTANTIATE_TEST_SUITE_P(Transports, SipOver, ::testing::Values(TransportKind::udp, TransportKind::tcp),
+class SipTransports : public Sip, public ::testing::WithParamInterface<TransportKind> {};
+INSTANTIATE_TEST_SUITE_P(Transports, SipTransports, ::testing::Values(TransportKind::udp, TransportKind::tcp),
                          [](const auto& each) { return each.param == TransportKind::udp ? "Udp" : "Tcp"; });
 
 // ---- The same outcomes by every way in
 
 struct Outcome {
-  std::string caller;  // what the caller is told
+  std::string caller_result;  // what the caller is told
   std::size_t offers;
 };
 
 // What the server does with each offer it gets, and what every caller must then be told.
-struct Script {
+struct Scenario {
   const char* name;
   std::function<std::string(const std::string& call)> reply;
   const char* call_class;
@@ -107,37 +107,37 @@
   std::optional<std::size_t> offers{};  // absent: as many as there is time for
 };
 
-class Alike : public Sip, public ::testing::WithParamInterface<Script> {
+class FrontOutcomes : public Sip, public ::testing::WithParamInterface<Scenario> {
  protected:
   // Plays the script for a call that has come in by `peer`; `finals` are what a final answer may look like.
-  Outcome play(Peer& peer, const std::map<std::string, std::string>& finals) {
+  Outcome run_scenario(Peer& peer, const std::map<std::string, std::string>& final_answers) {
     std::size_t offers = 0;
-    std::string told;
+    std::string result;
     wait_until(
         [&] {
-          const std::string& heard = server.received();
-          for (auto at = heard.find("\"op\":\"offer\",\"call\":\""); at != std::string::npos;
-               at = heard.find("\"op\":\"offer\",\"call\":\"", at + 1)) {
+          const std::string& output = server.received();
+          for (auto at = output.find("\"op\":\"offer\",\"call\":\""); at != std::string::npos;
+               at = output.find("\"op\":\"offer\",\"call\":\"", at + 1)) {
             ++offers;
-            const std::string call = heard.substr(at + 21, 16);
+            const std::string call = output.substr(at + 21, 16);
             if (const auto reply = GetParam().reply(call); !reply.empty()) server.send(reply);
           }
           server.take_received();
-          for (const auto& [bytes, meaning] : finals) {
-            if (peer.received().find(bytes) != std::string::npos) told = meaning;
+          for (const auto& [bytes, meaning] : final_answers) {
+            if (peer.received().find(bytes) != std::string::npos) result = meaning;
           }
-          return !told.empty();
+          return !result.empty();
         },
         "the final answer");
-    return {told, offers};
+    return {result, offers};
   }
   static void expect(const Outcome& outcome) {
-    EXPECT_EQ(outcome.caller, GetParam().outcome);
+    EXPECT_EQ(outcome.caller_result, GetParam().outcome);
     if (GetParam().offers) {
       EXPECT_EQ(outcome.offers, *GetParam().offers);
     }
   }
-  Outcome by_binary() {
+  Outcome outcome_by_binary() {
     Peer peer = connect_caller();
     peer.send(binary(1, 0xb1,
                      {{180, GetParam().call_class},
@@ -148,56 +148,56 @@
     const auto release = [](char cause) {
       return binary(12, 0xb1, {{208, std::string(1, cause)}}).substr(2);
     };
-    return play(peer, {{binary(9, 0xb1, {{210, "s=1\r\n"}}), "stands"},
-                       {release(42), "refused"},
-                       {release(41), "failed"},
-                       {release(18), "timed out"}});
+    return run_scenario(peer, {{binary(9, 0xb1, {{210, "s=1\r\n"}}), "stands"},
+                               {release(42), "refused"},
+                               {release(41), "failed"},
+                               {release(18), "timed out"}});
   }
-  Outcome by_sip(TransportKind kind) {
+  Outcome outcome_by_sip(TransportKind kind) {
     Peer peer = gateway(kind);
     const std::string call_class = std::string("X-Call-Class: ") + GetParam().call_class + "\r\n";
     peer.send(invite(peer, kind, call_class + "Expires: 1\r\n"));
-    const Outcome outcome = play(peer, {{"SIP/2.0 200", "stands"},
-                                        {"SIP/2.0 503", "refused"},
-                                        {"SIP/2.0 500", "failed"},
-                                        {"SIP/2.0 504", "timed out"}});
+    const Outcome outcome = run_scenario(peer, {{"SIP/2.0 200", "stands"},
+                                                {"SIP/2.0 503", "refused"},
+                                                {"SIP/2.0 500", "failed"},
+                                                {"SIP/2.0 504", "timed out"}});
     EXPECT_EQ(peer.received().find("SIP/2.0 100 Trying"), 0u);
     const auto has = [&](const char* text) { return peer.received().find(text) != std::string::npos; };
-    EXPECT_EQ(has("\r\n\r\ns=1\r\n"), outcome.caller == "stands");
-    EXPECT_EQ(has("\r\nRetry-After: "), outcome.caller == "refused");
+    EXPECT_EQ(has("\r\n\r\ns=1\r\n"), outcome.caller_result == "stands");
+    EXPECT_EQ(has("\r\nRetry-After: "), outcome.caller_result == "refused");
     return outcome;
   }
 };
 
-TEST_P(Alike, Binary) { expect(by_binary()); }
-TEST_P(Alike, Udp) { expect(by_sip(TransportKind::udp)); }
-TEST_P(Alike, Tcp) { expect(by_sip(TransportKind::tcp)); }
+TEST_P(FrontOutcomes, Binary) { expect(outcome_by_binary()); }
+TEST_P(FrontOutcomes, Udp) { expect(outcome_by_sip(TransportKind::udp)); }
+TEST_P(FrontOutcomes, Tcp) { expect(outcome_by_sip(TransportKind::tcp)); }
 
 std::string reply(const std::string& op, const std::string& call, const std::string& rest,
                   const std::string& with = {}) {
   return "{\"op\":\"" + op + "\",\"call\":\"" + call + "\",\"with\":{" + with + "}," + rest + "}\n";
 }
 INSTANTIATE_TEST_SUITE_P(
-    Scripts, Alike,
+    Scenarios, FrontOutcomes,
     ::testing::Values(
-        Script{"Answered", [](auto& c) { return reply("accept", c, "\"desc\":\"s=1\\r\\n\""); }, "voice",
-               "stands", 1},
-        Script{"Full", [](auto& c) { return reply("end", c, "\"why\":34", "\"note\":\"swamped\""); }, "voice",
-               "refused", 1},
-        Script{"Busy", [](auto& c) { return reply("end", c, "\"why\":17", "\"note\":\"occupied\""); },
-               "voice", "failed", 1},
-        Script{"Reset", [](auto& c) { return reply("end", c, "\"why\":41"); }, "voice", "failed"},
-        Script{"Silent", [](auto&) { return std::string(); }, "voice", "timed out", 1},
-        Script{"UnknownClass", [](auto&) { return std::string(); }, "no-such", "failed", 0}),
+        Scenario{"Answered", [](auto& c) { return reply("accept", c, "\"desc\":\"s=1\\r\\n\""); }, "voice",
+                 "stands", 1},
+        Scenario{"Full", [](auto& c) { return reply("end", c, "\"why\":34", "\"note\":\"swamped\""); },
+                 "voice", "refused", 1},
+        Scenario{"Busy", [](auto& c) { return reply("end", c, "\"why\":17", "\"note\":\"occupied\""); },
+                 "voice", "failed", 1},
+        Scenario{"Reset", [](auto& c) { return reply("end", c, "\"why\":41"); }, "voice", "failed"},
+        Scenario{"Silent", [](auto&) { return std::string(); }, "voice", "timed out", 1},
+        Scenario{"UnknownClass", [](auto&) { return std::string(); }, "no-such", "failed", 0}),
     [](const auto& each) { return each.param.name; });
 
 // ---- Transactions and dialogs
 
-TEST_P(SipOver, ARetransmittedInviteNeverBecomesASecondAttempt) {
+TEST_P(SipTransports, ARetransmittedInviteNeverBecomesASecondAttempt) {
   Peer peer = gateway(GetParam());
   const std::string first = invite(peer, GetParam());
   peer.send(first);
-  const std::string call = offered();
+  const std::string call = offered_call();
   peer.send(first);
   wait_until([&] { return count(peer.received(), "SIP/2.0 100") == 2; }, "a second 100");
   server.send(line("accept", call, "\"desc\":\"s\""));
@@ -212,10 +212,10 @@
   EXPECT_EQ(count(server.received(), "offer"), 1u);
 }
 
-TEST_P(SipOver, TheAnswerIsRepeatedUntilTheAckAndWithoutOneTheCallIsEnded) {
+TEST_P(SipTransports, TheAnswerIsRepeatedUntilTheAckAndWithoutOneTheCallIsEnded) {
   Peer peer = gateway(GetParam());
   peer.send(invite(peer, GetParam()));
-  const std::string call = offered();
+  const std::string call = offered_call();
   server.send(line("accept", call, "\"desc\":\"s\""));
   wait_until([&] { return count(peer.received(), "SIP/2.0 200") >= 3; }, "repeated answers");
   if (GetParam() == TransportKind::tcp) peer.send("");  // the Contact of a TCP gateway here listens nowhere
@@ -223,10 +223,10 @@
   if (GetParam() == TransportKind::udp) wait_to_receive(peer, "BYE sip:");
 }
 
-TEST_P(SipOver, AnAckStopsTheAnswerAndAByeEndsTheCall) {
+TEST_P(SipTransports, AnAckStopsAnswerRetransmissionAndAByeEndsTheCall) {
   Peer peer = gateway(GetParam());
   std::string call;
-  const std::string tag = stand(peer, GetParam(), &call);
+  const std::string tag = establish_sip_call(peer, GetParam(), &call);
   run_passes(80);
   EXPECT_EQ(peer.received(), "") << "the answer was repeated after its ACK";
   peer.send(request(peer, GetParam(), "BYE", 2, "b1", {}, {}, tag));
@@ -239,7 +239,7 @@
 TEST_F(Sip, TheServersReleaseBecomesAByeThatIsRepeatedUntilItsResponse) {
   Peer peer = gateway(TransportKind::udp);
   std::string call;
-  const std::string tag = stand(peer, TransportKind::udp, &call);
+  const std::string tag = establish_sip_call(peer, TransportKind::udp, &call);
   server.send(line("end", call, "\"why\":16"));
   wait_until([&] { return count(peer.received(), "BYE sip:gw@") >= 2; }, "a repeated BYE");
   const std::string bye = peer.take_received();
@@ -251,10 +251,10 @@
 }
 
 // RFC 3261, section 15: the callee waits with its BYE until the dialog is confirmed.
-TEST_F(Sip, ACallOverBeforeItsAckIsEndedAfterIt) {
+TEST_F(Sip, ACallEndedBeforeItsAckGetsItsByeAfterTheAck) {
   Peer peer = gateway(TransportKind::udp);
   peer.send(invite(peer, TransportKind::udp));
-  const std::string call = offered();
+  const std::string call = offered_call();
   server.send(line("accept", call, "\"desc\":\"s\"") + line("end", call, "\"why\":41"));
   wait_to_receive(peer, "SIP/2.0 200");
   run_passes(5);
@@ -263,10 +263,10 @@
   wait_to_receive(peer, "BYE sip:");
 }
 
-TEST_P(SipOver, ACancelEndsTheInviteAndTheAttempt) {
+TEST_P(SipTransports, ACancelEndsTheInviteAndTheAttempt) {
   Peer peer = gateway(GetParam());
   peer.send(invite(peer, GetParam()));
-  const std::string call = offered();
+  const std::string call = offered_call();
   std::string cancel = request(peer, GetParam(), "CANCEL", 1, "i1");
   peer.send(cancel);
   wait_to_receive(peer, "SIP/2.0 487");
@@ -279,24 +279,26 @@
 }
 
 // 18.2.2: the final answer goes to where the Via says if the connection of the INVITE is gone.
-TEST_F(Sip, ATcpConnectionThatDropsLeavesOneFinalAnswer) {
-  Listener home;
+TEST_F(Sip, ALostTcpConnectionLeavesOneFinalAnswerAtTheViaAddress) {
+  Listener via_listener;
   Peer peer = gateway(TransportKind::tcp);
   std::string first = invite(peer, TransportKind::tcp);
   const auto via = first.find(peer.address());
-  first.replace(via, peer.address().size(), address_text(home.address()));
+  first.replace(via, peer.address().size(), address_text(via_listener.address()));
   peer.send(first);
-  const std::string call = offered();
+  const std::string call = offered_call();
   peer.reset();
   run_passes();
   EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u) << "the drop gave the call up";
   server.send(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
-  Peer back;
-  wait_until([&] { return static_cast<bool>(back = home.accept()); }, "a connection to the Via's address");
-  wait_to_receive(back, "SIP/2.0 500");
-  back.send(request(back, TransportKind::tcp, "OPTIONS", 9, "o1"));  // it is a connection like any other
-  wait_to_receive(back, "SIP/2.0 200");
-  EXPECT_EQ(count(back.received(), "SIP/2.0 500"), 1u);
+  Peer reconnected;
+  wait_until([&] { return static_cast<bool>(reconnected = via_listener.accept()); },
+             "a connection to the Via's address");
+  wait_to_receive(reconnected, "SIP/2.0 500");
+  reconnected.send(
+      request(reconnected, TransportKind::tcp, "OPTIONS", 9, "o1"));  // it is a connection like any other
+  wait_to_receive(reconnected, "SIP/2.0 200");
+  EXPECT_EQ(count(reconnected.received(), "SIP/2.0 500"), 1u);
 }
 
 TEST_F(Sip, AFailureIsRepeatedOverUdpUntilItsAck) {
@@ -310,31 +312,32 @@
   EXPECT_EQ(peer.received(), "");
 }
 
-TEST_F(Sip, WhatCannotBeServedIsAnsweredAsTheRfcAsks) {
+TEST_F(Sip, UnsupportedRequestsGetTheStatusThatRfc3261Requires) {
   const auto kind = TransportKind::udp;
   Peer peer = gateway(kind);
-  const auto answers = [&](const std::string& bytes, const std::string& status) {
+  const auto expect_status = [&](const std::string& bytes, const std::string& status) {
     peer.take_received();
     peer.send(bytes);
     wait_to_receive(peer, "SIP/2.0 " + status);
   };
-  answers(request(peer, kind, "OPTIONS", 1, "1"), "200");
+  expect_status(request(peer, kind, "OPTIONS", 1, "1"), "200");
   EXPECT_NE(peer.received().find("Allow: INVITE, ACK, CANCEL, BYE, OPTIONS"), std::string::npos);
-  answers(request(peer, kind, "REGISTER", 1, "2"), "405");
-  answers(request(peer, kind, "JUMP", 1, "3"), "501");
-  answers(request(peer, kind, "BYE", 1, "4", {}, {}, "nobody"), "481");
-  answers(request(peer, kind, "CANCEL", 1, "5"), "481");
-  answers(request(peer, kind, "INVITE", 1, "6", "Require: 100rel\r\n"), "420");
+  expect_status(request(peer, kind, "REGISTER", 1, "2"), "405");
+  expect_status(request(peer, kind, "JUMP", 1, "3"), "501");
+  expect_status(request(peer, kind, "BYE", 1, "4", {}, {}, "nobody"), "481");
+  expect_status(request(peer, kind, "CANCEL", 1, "5"), "481");
+  expect_status(request(peer, kind, "INVITE", 1, "6", "Require: 100rel\r\n"), "420");
   EXPECT_NE(peer.received().find("Unsupported: 100rel"), std::string::npos);
-  answers(request(peer, kind, "INVITE", 1, "7", "Content-Type: text/plain\r\n", "x"), "415");
-  const auto changed = [&](const std::string& branch, const std::string& from, const std::string& to) {
+  expect_status(request(peer, kind, "INVITE", 1, "7", "Content-Type: text/plain\r\n", "x"), "415");
+  const auto modified_invite = [&](const std::string& branch, const std::string& from,
+                                   const std::string& to) {
     std::string bytes = request(peer, kind, "INVITE", 1, branch);
     return bytes.replace(bytes.find(from), from.size(), to);
   };
-  answers(changed("8", "sip:7f3a", "http:7f3a"), "416");
-  answers(changed("9", "SIP/2.0\r\n", "SIP/3.0\r\n"), "505");
-  answers(changed("10", "CSeq: 1 INVITE", "CSeq: one"), "400");
-  answers(changed("11", "sip:7f3a9c21e0b4d655@", "sip:"), "484");
+  expect_status(modified_invite("8", "sip:7f3a", "http:7f3a"), "416");
+  expect_status(modified_invite("9", "SIP/2.0\r\n", "SIP/3.0\r\n"), "505");
+  expect_status(modified_invite("10", "CSeq: 1 INVITE", "CSeq: one"), "400");
+  expect_status(modified_invite("11", "sip:7f3a9c21e0b4d655@", "sip:"), "484");
   EXPECT_EQ(server.received(), "");
 }
 
@@ -354,52 +357,53 @@
 // At the limit the connection that has been quiet for longest makes room, and its call still gets its answer.
 // The same hostile input as on the platform's port: half a message and a silent connection are not kept, and
 // what no setup server can read fails here.
-TEST_F(Sip, WhatIsNeverWholeOrReadableHarmsNoOther) {
-  Peer half = gateway(TransportKind::tcp), silent = gateway(TransportKind::tcp);
+TEST_F(Sip, StalledConnectionsAreClosedAndInvalidTextFailsOnlyItsCall) {
+  Peer incomplete = gateway(TransportKind::tcp), silent = gateway(TransportKind::tcp);
   Peer good = gateway(TransportKind::tcp);
-  half.send(invite(half, TransportKind::tcp).substr(0, 100));
+  incomplete.send(invite(incomplete, TransportKind::tcp).substr(0, 100));
   good.send(
       request(good, TransportKind::tcp, "INVITE", 1, "i1", "Content-Type: application/sdp\r\n", "\xff\xfe"));
   wait_to_receive(good, "SIP/2.0 500 ");
-  wait_until([&] { return half.ended() && silent.ended(); }, "the close of both");
+  wait_until([&] { return incomplete.ended() && silent.ended(); }, "the close of both");
   EXPECT_FALSE(good.ended());
   EXPECT_EQ(server.received(), "");
 }
 
-TEST_F(Sip, AQuietConnectionMakesRoomAndItsCallIsStillAnswered) {
+TEST_F(Sip, TheIdlestConnectionIsClosedAtTheLimitAndItsCallIsAnswered) {
   sip::FrontConfig config;
   config.listening.tcp = any_port();
   config.default_class = "voice";
   config.max_connections = 2;
   sip_front = std::make_unique<sip::SipFront>(loop, log, *planner, config, 7);
-  Listener home;
+  Listener via_listener;
   Peer silent = gateway(TransportKind::tcp);
   std::string first = invite(silent, TransportKind::tcp);
-  first.replace(first.find(silent.address()), silent.address().size(), address_text(home.address()));
+  first.replace(first.find(silent.address()), silent.address().size(), address_text(via_listener.address()));
   silent.send(first);
-  const std::string call = offered();
+  const std::string call = offered_call();
   Peer next = gateway(TransportKind::tcp);
   wait_until([&] { return silent.ended(); }, "the close of the quiet one");
   next.send(request(next, TransportKind::tcp, "OPTIONS", 1, "o1"));
   wait_to_receive(next, "SIP/2.0 200");
   server.send(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
-  Peer back;
-  wait_until([&] { return static_cast<bool>(back = home.accept()); }, "a connection to the Via's address");
-  wait_to_receive(back, "SIP/2.0 500");
+  Peer reconnected;
+  wait_until([&] { return static_cast<bool>(reconnected = via_listener.accept()); },
+             "a connection to the Via's address");
+  wait_to_receive(reconnected, "SIP/2.0 500");
 }
 
 // Two fronts on one UDP port would take each other's datagrams without a word.
-TEST_F(Sip, AUdpPortThatIsTakenIsNotShared) {
+TEST_F(Sip, AUdpPortInUseIsNotShared) {
   sip::FrontConfig config;
   config.listening.udp = sip_front->address(TransportKind::udp);
   EXPECT_THROW(sip::SipFront(loop, log, *planner, config, 8), std::system_error);
 }
 
 // At the stop nothing of a dialog outlives the process: its calls are ended on both sides.
-TEST_F(Sip, HangingUpEndsEveryCallOnBothSides) {
+TEST_F(Sip, EndAllCallsEndsEveryCallOnBothSides) {
   Peer peer = gateway(TransportKind::udp);
   std::string call;
-  stand(peer, TransportKind::udp, &call);
+  establish_sip_call(peer, TransportKind::udp, &call);
   sip_front->end_all_calls();
   wait_to_receive(peer, "BYE sip:");
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
@@ -408,7 +412,7 @@
 
 // A gateway over TLS, with the certificate that the certificate client keeps; a new one is taken up in
 // service.
-TEST_F(Sip, CallsComeOverTlsAndANewCertificateIsTakenUp) {
+TEST_F(Sip, CallsWorkOverTlsAndAChangedCertificateFileIsReloaded) {
   const std::string file =
       (std::filesystem::temp_directory_path() / ("sip-" + std::to_string(::getpid()) + ".pem")).string();
   const auto first = certificate_for("127.0.0.1"), second = certificate_for("127.0.0.1");
@@ -422,31 +426,34 @@
   std::unique_ptr<SSL_CTX, tls::FreeSsl> context(SSL_CTX_new(TLS_client_method()));
   Peer peer = gateway(TransportKind::tls);
   auto session = sip::TlsSession::connecting(context.get(), "127.0.0.1");
-  std::string heard;
-  const auto talk = [&] {
+  std::string output;
+  const auto exchange_data = [&] {
     peer.send(session->take_ciphertext());
     EXPECT_TRUE(session->feed(peer.take_received()));
     peer.send(session->take_ciphertext());
-    heard += session->take_plain();
+    output += session->take_plain();
   };
   session->write(invite(peer, TransportKind::tls));
-  wait_until([&] { return talk(), server.received().find("offer") != std::string::npos; }, "the offer");
-  server.send(line("accept", offered(), "\"desc\":\"s=1\\r\\n\""));
-  wait_until([&] { return talk(), heard.find("s=1\r\n") != std::string::npos; }, "the answer");
-  EXPECT_NE(heard.find(";transport=tls>"), std::string::npos);
+  wait_until([&] { return exchange_data(), server.received().find("offer") != std::string::npos; },
+             "the offer");
+  server.send(line("accept", offered_call(), "\"desc\":\"s=1\\r\\n\""));
+  wait_until([&] { return exchange_data(), output.find("s=1\r\n") != std::string::npos; }, "the answer");
+  EXPECT_NE(output.find(";transport=tls>"), std::string::npos);
   session->write("NONSENSE\r\n\r\n");
   peer.send(session->take_ciphertext());
   wait_until([&] { return peer.ended(); }, "the close");
 
-  sip::TlsContext ours(log, nullptr, file, file);
-  const std::string before = handshake(ours.server(), "").certificate;
+  sip::TlsContext server_context(log, nullptr, file, file);
+  const std::string before = handshake(server_context.server(), "").certificate;
   EXPECT_EQ(before, acme::fingerprint(acme::first_certificate(first)));
   acme::replace_file(file, "no certificate");
-  ours.reload_if_changed();
-  EXPECT_EQ(handshake(ours.server(), "").certificate, before) << "a bad file took a good certificate's place";
+  server_context.reload_if_changed();
+  EXPECT_EQ(handshake(server_context.server(), "").certificate, before)
+      << "a bad file took a good certificate's place";
   acme::replace_file(file, second);
-  ours.reload_if_changed();
-  EXPECT_EQ(handshake(ours.server(), "").certificate, acme::fingerprint(acme::first_certificate(second)));
+  server_context.reload_if_changed();
+  EXPECT_EQ(handshake(server_context.server(), "").certificate,
+            acme::fingerprint(acme::first_certificate(second)));
   std::filesystem::remove(file);
 }
 
@@ -472,7 +479,7 @@
   }
 }
 
-TEST(SipConfiguration, IsDecodedAndABadOneIsNamed) {
+TEST(SipConfiguration, IsParsedAndInvalidValuesAreRejected) {
   const auto config =
       sip::parse_front_config("udp = \"127.0.0.1:5060\"\nt1_ms = 20\ndefault_class = \"voice\"\n");
   EXPECT_TRUE(config.listening.udp);
