--- a/tests/handshake.hpp
+++ b/tests/handshake.hpp
@@ -1,4 +1,4 @@
-// A TLS handshake in memory with what a registry serves, as a client sees it.
+// Performs a TLS handshake in memory against a server context and reports what the client sees.
 #pragma once
 
 #include <memory>
@@ -9,13 +9,16 @@
 
 namespace quartzarch::test {
 
+// `done`: both sides have completed the handshake.
 struct Handshake {
   bool done = false, resumed = false;
-  std::string certificate{};  // its fingerprint
-  std::string protocol{};     // by ALPN
+  std::string certificate{};  // fingerprint of the server's certificate
+  std::string protocol{};     // selected by ALPN; empty: none
   std::shared_ptr<SSL_SESSION> session{};
 };
 
+// Offers `name` by SNI and `alpn` by ALPN unless they are empty, resumes `session` unless it is null, and
+// allows TLS up to `version`.
 inline Handshake handshake(SSL_CTX* server_context, const std::string& name, const std::string& alpn = {},
                            const std::shared_ptr<SSL_SESSION>& session = {}, int version = TLS1_3_VERSION) {
   const std::unique_ptr<SSL_CTX, tls::FreeSsl> context(SSL_CTX_new(TLS_client_method()));
@@ -42,7 +45,7 @@
   result.done = SSL_is_init_finished(client.get()) == 1 && SSL_is_init_finished(server.get()) == 1;
   if (!result.done) return result;
   char byte = 0;
-  SSL_write(server.get(), "x", 1);  // the tickets of TLS 1.3 come with the first data
+  SSL_write(server.get(), "x", 1);  // TLS 1.3 session tickets arrive with the first data
   SSL_read(client.get(), &byte, 1);
   result.resumed = SSL_session_reused(client.get()) == 1;
   const acme::Certificate peer_certificate(SSL_get1_peer_certificate(client.get()));
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the two levels over their loopback link: forwarders, planners, and one of them lost.
+// Tests of a forwarder and a planner over their loopback link, including the loss of either.
 #include "config.hpp"
 #include "link/link_server.hpp"
 #include "link/planners.hpp"
@@ -17,7 +17,7 @@
     planners = std::make_unique<link::Planners>(loop, log, std::vector{link_server->address()});
     front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
     planners->set_unknown_call_front(*front);
-    wait_until([&] { return planners->ready(); }, "the link");
+    wait_until([&] { return planners->ready(); }, "the link to be ready");
   }
   Peer gateway_with_established_call() {
     Peer gateway = connect_caller();
@@ -39,7 +39,7 @@
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"00000000000000bb\"");
 }
 
-// A lost planner leaves each call one final answer, and what it had out is given up.
+// When a planner is lost, each of its unanswered calls gets exactly one final answer, a failure.
 TEST_F(ForwarderAndPlanner, ALostPlannerFailsUnansweredCallsOnceAndKeepsEstablishedOnes) {
   Peer gateway = gateway_with_established_call();
   const sockaddr_in address = link_server->address();
@@ -48,9 +48,9 @@
   link_server.reset();
   const std::string failed = binary(12, 0xbb, {{208, std::string(1, 41)}});
   wait_to_receive(gateway, failed);
-  gateway.send(setup(0xcc, "d"));  // with no planner the caller is told at once, and when to come back
+  gateway.send(setup(0xcc, "d"));  // without a planner: refused at once, with a retry time
   wait_to_receive(gateway, binary(12, 0xcc, {{208, std::string(1, 42)}, {192, "1000"}}));
-  gateway.send(binary(12, 0xaa, {{208, "\x10"}}));  // and the end of a call waits for one
+  gateway.send(binary(12, 0xaa, {{208, "\x10"}}));  // the release is queued until a planner is back
   wait_to_receive(gateway, binary(16, 0xaa));
   EXPECT_EQ(count(gateway.received(), failed), 1u);
   server.take_received();
@@ -58,7 +58,8 @@
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"00000000000000aa\"");
 }
 
-// Where a forwarder is lost, its requests are withdrawn; the ends of its calls go to those that are left.
+// When a forwarder is lost, its unanswered calls are cancelled at the setup servers. The ends of its
+// established calls go to the forwarders that are connected.
 TEST_F(ForwarderAndPlanner, ALostForwarderCancelsItsUnansweredCalls) {
   Peer gateway = gateway_with_established_call();
   gateway.send(setup(0xbb, "d"));
@@ -81,7 +82,7 @@
   wait_to_receive(server, "00000000000000bb");
   link_server->stop();
   link_server->announce_readiness();
-  wait_until([&] { return !planners->ready(); }, "the news of the stop");
+  wait_until([&] { return !planners->ready(); }, "the planner to be reported as not ready");
   server.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
   wait_to_receive(gateway, binary(9, 0xbb, {{210, "s"}}));
 }
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the SIP front with stand-in gateways and a stand-in setup server.
+// Tests of the SIP front with simulated gateways and a simulated setup server.
 
 #include <filesystem>
 
@@ -13,7 +13,7 @@
 
 using sip::TransportKind;
 
-// A key and a certificate that it signs itself, in one text.
+// A new private key and a self-signed certificate for it, as one PEM text.
 std::string certificate_for(const std::string& name) {
   const acme::Key key = acme::new_key();
   const acme::Certificate certificate(X509_new());
@@ -43,7 +43,7 @@
     const auto to = sip_front->address(kind);
     return kind == TransportKind::udp ? Peer::udp(to) : Peer::connect(to);
   }
-  // A request as a gateway at `peer` sends it; `to_tag` inside a dialog.
+  // A request as the gateway at `peer` sends it; `to_tag` is given for a request inside a dialog.
   static std::string request(const Peer& peer, TransportKind kind, const std::string& method, int cseq,
                              const std::string& branch, const std::string& headers = {},
                              const std::string& body = {}, const std::string& to_tag = {}) {
@@ -63,13 +63,13 @@
     const auto at = response.rfind(";tag=", response.find("\r\nCall-ID", response.find("SIP/2.0 200")));
     return response.substr(at + 5, response.find("\r\n", at) - at - 5);
   }
-  // The id under which the server knows the call of the last offer.
+  // Waits for an offer at the setup server and returns the call id of the last one.
   std::string offered_call() {
     wait_to_receive(server, "\"op\":\"offer\"");
     const auto at = server.received().rfind("\"op\":\"offer\",\"call\":\"");
     return server.received().substr(at + 21, 16);
   }
-  // A call that stands and is acknowledged; the tag of this side.
+  // Sets up a call and acknowledges it. Returns the To tag that the front chose; `call` gets the call id.
   std::string establish_sip_call(Peer& peer, TransportKind kind, std::string* call = nullptr) {
     peer.send(invite(peer, kind));
     const std::string id = offered_call();
@@ -91,25 +91,26 @@
 INSTANTIATE_TEST_SUITE_P(Transports, SipTransports, ::testing::Values(TransportKind::udp, TransportKind::tcp),
                          [](const auto& each) { return each.param == TransportKind::udp ? "Udp" : "Tcp"; });
 
-// ---- The same outcomes by every way in
+// ---- Callers get the same results by the binary protocol and by SIP over UDP and TCP
 
 struct Outcome {
-  std::string caller_result;  // what the caller is told
+  std::string caller_result;  // the final result at the caller
   std::size_t offers;
 };
 
-// What the server does with each offer it gets, and what every caller must then be told.
+// How the setup server replies to each offer, and the result that the caller must get.
 struct Scenario {
   const char* name;
   std::function<std::string(const std::string& call)> reply;
   const char* call_class;
   const char* outcome;
-  std::optional<std::size_t> offers{};  // absent: as many as there is time for
+  std::optional<std::size_t> offers{};  // absent: as many attempts as the deadline allows
 };
 
 class FrontOutcomes : public Sip, public ::testing::WithParamInterface<Scenario> {
  protected:
-  // Plays the script for a call that has come in by `peer`; `finals` are what a final answer may look like.
+  // Runs the scenario for the call that `peer` has sent. `final_answers` maps the bytes that identify each
+  // final answer to its result.
   Outcome run_scenario(Peer& peer, const std::map<std::string, std::string>& final_answers) {
     std::size_t offers = 0;
     std::string result;
@@ -148,7 +149,7 @@
     const auto release = [](char cause) {
       return binary(12, 0xb1, {{208, std::string(1, cause)}}).substr(2);
     };
-    return run_scenario(peer, {{binary(9, 0xb1, {{210, "s=1\r\n"}}), "stands"},
+    return run_scenario(peer, {{binary(9, 0xb1, {{210, "s=1\r\n"}}), "established"},
                                {release(42), "refused"},
                                {release(41), "failed"},
                                {release(18), "timed out"}});
@@ -157,13 +158,13 @@
     Peer peer = gateway(kind);
     const std::string call_class = std::string("X-Call-Class: ") + GetParam().call_class + "\r\n";
     peer.send(invite(peer, kind, call_class + "Expires: 1\r\n"));
-    const Outcome outcome = run_scenario(peer, {{"SIP/2.0 200", "stands"},
+    const Outcome outcome = run_scenario(peer, {{"SIP/2.0 200", "established"},
                                                 {"SIP/2.0 503", "refused"},
                                                 {"SIP/2.0 500", "failed"},
                                                 {"SIP/2.0 504", "timed out"}});
     EXPECT_EQ(peer.received().find("SIP/2.0 100 Trying"), 0u);
     const auto has = [&](const char* text) { return peer.received().find(text) != std::string::npos; };
-    EXPECT_EQ(has("\r\n\r\ns=1\r\n"), outcome.caller_result == "stands");
+    EXPECT_EQ(has("\r\n\r\ns=1\r\n"), outcome.caller_result == "established");
     EXPECT_EQ(has("\r\nRetry-After: "), outcome.caller_result == "refused");
     return outcome;
   }
@@ -181,7 +182,7 @@
     Scenarios, FrontOutcomes,
     ::testing::Values(
         Scenario{"Answered", [](auto& c) { return reply("accept", c, "\"desc\":\"s=1\\r\\n\""); }, "voice",
-                 "stands", 1},
+                 "established", 1},
         Scenario{"Full", [](auto& c) { return reply("end", c, "\"why\":34", "\"note\":\"swamped\""); },
                  "voice", "refused", 1},
         Scenario{"Busy", [](auto& c) { return reply("end", c, "\"why\":17", "\"note\":\"occupied\""); },
@@ -199,13 +200,13 @@
   peer.send(first);
   const std::string call = offered_call();
   peer.send(first);
-  wait_until([&] { return count(peer.received(), "SIP/2.0 100") == 2; }, "a second 100");
+  wait_until([&] { return count(peer.received(), "SIP/2.0 100") == 2; }, "a second 100 response");
   server.send(line("accept", call, "\"desc\":\"s\""));
   wait_to_receive(peer, "SIP/2.0 200");
-  peer.send(first);  // and after the answer
-  wait_until([&] { return count(peer.received(), "SIP/2.0 200") >= 2; }, "the answer again");
+  peer.send(first);  // also not after the answer
+  wait_until([&] { return count(peer.received(), "SIP/2.0 200") >= 2; }, "the retransmitted answer");
   EXPECT_EQ(count(server.received(), "offer"), 1u);
-  // The same call by another way is no second call either.
+  // A copy of the INVITE that arrives by another path is rejected as a merged request.
   Peer other = gateway(GetParam());
   other.send(invite(other, GetParam()));
   wait_to_receive(other, "SIP/2.0 482");
@@ -217,8 +218,8 @@
   peer.send(invite(peer, GetParam()));
   const std::string call = offered_call();
   server.send(line("accept", call, "\"desc\":\"s\""));
-  wait_until([&] { return count(peer.received(), "SIP/2.0 200") >= 3; }, "repeated answers");
-  if (GetParam() == TransportKind::tcp) peer.send("");  // the Contact of a TCP gateway here listens nowhere
+  wait_until([&] { return count(peer.received(), "SIP/2.0 200") >= 3; }, "retransmitted answers");
+  if (GetParam() == TransportKind::tcp) peer.send("");  // nothing listens at the Contact of this TCP gateway
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
   if (GetParam() == TransportKind::udp) wait_to_receive(peer, "BYE sip:");
 }
@@ -228,7 +229,7 @@
   std::string call;
   const std::string tag = establish_sip_call(peer, GetParam(), &call);
   run_passes(80);
-  EXPECT_EQ(peer.received(), "") << "the answer was repeated after its ACK";
+  EXPECT_EQ(peer.received(), "") << "the answer was retransmitted after its ACK";
   peer.send(request(peer, GetParam(), "BYE", 2, "b1", {}, {}, tag));
   wait_to_receive(peer, "SIP/2.0 200");
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"" + call + "\"");
@@ -241,16 +242,16 @@
   std::string call;
   const std::string tag = establish_sip_call(peer, TransportKind::udp, &call);
   server.send(line("end", call, "\"why\":16"));
-  wait_until([&] { return count(peer.received(), "BYE sip:gw@") >= 2; }, "a repeated BYE");
+  wait_until([&] { return count(peer.received(), "BYE sip:gw@") >= 2; }, "a retransmitted BYE");
   const std::string bye = peer.take_received();
   EXPECT_NE(bye.find("From: <sip:7f@lab>;tag=" + tag), std::string::npos);
   EXPECT_NE(bye.find("To: <sip:gw@lab>;tag=g\r\n"), std::string::npos);
   const auto via = bye.find("Via: ");
   peer.send("SIP/2.0 200 OK\r\n" + bye.substr(via, bye.find("Max-Forwards") - via) + "\r\n");
-  wait_until([&] { return sip_front->idle(); }, "the end of the BYE");
+  wait_until([&] { return sip_front->idle(); }, "the end of the BYE transaction");
 }
 
-// RFC 3261, section 15: the callee waits with its BYE until the dialog is confirmed.
+// RFC 3261, section 15: the callee sends no BYE before the ACK has confirmed the dialog.
 TEST_F(Sip, ACallEndedBeforeItsAckGetsItsByeAfterTheAck) {
   Peer peer = gateway(TransportKind::udp);
   peer.send(invite(peer, TransportKind::udp));
@@ -278,7 +279,8 @@
             count(peer.received(), "SIP/2.0 100") + count(peer.received(), "SIP/2.0 487"));
 }
 
-// 18.2.2: the final answer goes to where the Via says if the connection of the INVITE is gone.
+// RFC 3261, section 18.2.2: the final answer goes to the address in the Via if the INVITE's connection is
+// closed.
 TEST_F(Sip, ALostTcpConnectionLeavesOneFinalAnswerAtTheViaAddress) {
   Listener via_listener;
   Peer peer = gateway(TransportKind::tcp);
@@ -289,14 +291,14 @@
   const std::string call = offered_call();
   peer.reset();
   run_passes();
-  EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u) << "the drop gave the call up";
+  EXPECT_EQ(count(server.received(), "\"op\":\"end\""), 0u) << "the lost connection ended the call";
   server.send(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
   Peer reconnected;
   wait_until([&] { return static_cast<bool>(reconnected = via_listener.accept()); },
              "a connection to the Via's address");
   wait_to_receive(reconnected, "SIP/2.0 500");
-  reconnected.send(
-      request(reconnected, TransportKind::tcp, "OPTIONS", 9, "o1"));  // it is a connection like any other
+  // The new connection accepts requests like any other.
+  reconnected.send(request(reconnected, TransportKind::tcp, "OPTIONS", 9, "o1"));
   wait_to_receive(reconnected, "SIP/2.0 200");
   EXPECT_EQ(count(reconnected.received(), "SIP/2.0 500"), 1u);
 }
@@ -304,7 +306,7 @@
 TEST_F(Sip, AFailureIsRepeatedOverUdpUntilItsAck) {
   Peer peer = gateway(TransportKind::udp);
   peer.send(invite(peer, TransportKind::udp, "X-Call-Class: no-such\r\n"));
-  wait_until([&] { return count(peer.received(), "SIP/2.0 500") >= 2; }, "a repeated failure");
+  wait_until([&] { return count(peer.received(), "SIP/2.0 500") >= 2; }, "a retransmitted failure response");
   peer.send(request(peer, TransportKind::udp, "ACK", 1, "i1", {}, {}, "x"));
   run_passes(5);
   peer.take_received();
@@ -354,9 +356,9 @@
   wait_until([&] { return peer.ended(); }, "the close");
 }
 
-// At the limit the connection that has been quiet for longest makes room, and its call still gets its answer.
-// The same hostile input as on the platform's port: half a message and a silent connection are not kept, and
-// what no setup server can read fails here.
+// A connection with an incomplete message and a connection without any message are closed, as on the port of
+// the binary protocol. An INVITE whose body is not valid UTF-8 fails at the front, since no setup server can
+// read it; its connection stays open.
 TEST_F(Sip, StalledConnectionsAreClosedAndInvalidTextFailsOnlyItsCall) {
   Peer incomplete = gateway(TransportKind::tcp), silent = gateway(TransportKind::tcp);
   Peer good = gateway(TransportKind::tcp);
@@ -364,11 +366,13 @@
   good.send(
       request(good, TransportKind::tcp, "INVITE", 1, "i1", "Content-Type: application/sdp\r\n", "\xff\xfe"));
   wait_to_receive(good, "SIP/2.0 500 ");
-  wait_until([&] { return incomplete.ended() && silent.ended(); }, "the close of both");
+  wait_until([&] { return incomplete.ended() && silent.ended(); }, "the close of both stalled connections");
   EXPECT_FALSE(good.ended());
   EXPECT_EQ(server.received(), "");
 }
 
+// At the limit of connections the one that has been idle for longest is closed for a new one, and its call
+// still gets its answer.
 TEST_F(Sip, TheIdlestConnectionIsClosedAtTheLimitAndItsCallIsAnswered) {
   sip::FrontConfig config;
   config.listening.tcp = any_port();
@@ -382,7 +386,7 @@
   silent.send(first);
   const std::string call = offered_call();
   Peer next = gateway(TransportKind::tcp);
-  wait_until([&] { return silent.ended(); }, "the close of the quiet one");
+  wait_until([&] { return silent.ended(); }, "the close of the idle connection");
   next.send(request(next, TransportKind::tcp, "OPTIONS", 1, "o1"));
   wait_to_receive(next, "SIP/2.0 200");
   server.send(reply("end", call, "\"why\":17", "\"note\":\"occupied\""));
@@ -392,14 +396,15 @@
   wait_to_receive(reconnected, "SIP/2.0 500");
 }
 
-// Two fronts on one UDP port would take each other's datagrams without a word.
+// Two fronts on one UDP port would receive each other's datagrams without any error.
 TEST_F(Sip, AUdpPortInUseIsNotShared) {
   sip::FrontConfig config;
   config.listening.udp = sip_front->address(TransportKind::udp);
   EXPECT_THROW(sip::SipFront(loop, log, *planner, config, 8), std::system_error);
 }
 
-// At the stop nothing of a dialog outlives the process: its calls are ended on both sides.
+// Dialogs do not survive the process, so at a stop their calls are ended at the gateway and at the setup
+// server.
 TEST_F(Sip, EndAllCallsEndsEveryCallOnBothSides) {
   Peer peer = gateway(TransportKind::udp);
   std::string call;
@@ -410,8 +415,8 @@
   EXPECT_EQ(sip_front->dialogs(), 0u);
 }
 
-// A gateway over TLS, with the certificate that the certificate client keeps; a new one is taken up in
-// service.
+// A gateway sets up a call over TLS with a certificate file as the ACME client writes it. A changed file is
+// reloaded without a restart; a file that cannot be used leaves the previous certificate in use.
 TEST_F(Sip, CallsWorkOverTlsAndAChangedCertificateFileIsReloaded) {
   const std::string file =
       (std::filesystem::temp_directory_path() / ("sip-" + std::to_string(::getpid()) + ".pem")).string();
@@ -449,7 +454,7 @@
   acme::replace_file(file, "no certificate");
   server_context.reload_if_changed();
   EXPECT_EQ(handshake(server_context.server(), "").certificate, before)
-      << "a bad file took a good certificate's place";
+      << "an unusable file replaced the certificate";
   acme::replace_file(file, second);
   server_context.reload_if_changed();
   EXPECT_EQ(handshake(server_context.server(), "").certificate,
