--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -149,7 +149,7 @@
     const auto release = [](char cause) {
       return binary(12, 0xb1, {{208, std::string(1, cause)}}).substr(2);
     };
-    return run_scenario(peer, {{binary(9, 0xb1, {{210, "s=1\r\n"}}), "established"},
+    return run_scenario(peer, {{binary(9, 0xb1, {{210, "s=1\r\n"}}), "stands"},
                                {release(42), "refused"},
                                {release(41), "failed"},
                                {release(18), "timed out"}});
@@ -158,13 +158,13 @@
     Peer peer = gateway(kind);
     const std::string call_class = std::string("X-Call-Class: ") + GetParam().call_class + "\r\n";
     peer.send(invite(peer, kind, call_class + "Expires: 1\r\n"));
-    const Outcome outcome = run_scenario(peer, {{"SIP/2.0 200", "established"},
+    const Outcome outcome = run_scenario(peer, {{"SIP/2.0 200", "stands"},
                                                 {"SIP/2.0 503", "refused"},
                                                 {"SIP/2.0 500", "failed"},
                                                 {"SIP/2.0 504", "timed out"}});
     EXPECT_EQ(peer.received().find("SIP/2.0 100 Trying"), 0u);
     const auto has = [&](const char* text) { return peer.received().find(text) != std::string::npos; };
-    EXPECT_EQ(has("\r\n\r\ns=1\r\n"), outcome.caller_result == "established");
+    EXPECT_EQ(has("\r\n\r\ns=1\r\n"), outcome.caller_result == "stands");
     EXPECT_EQ(has("\r\nRetry-After: "), outcome.caller_result == "refused");
     return outcome;
   }
@@ -182,7 +182,7 @@
     Scenarios, FrontOutcomes,
     ::testing::Values(
         Scenario{"Answered", [](auto& c) { return reply("accept", c, "\"desc\":\"s=1\\r\\n\""); }, "voice",
-                 "established", 1},
+                 "stands", 1},
         Scenario{"Full", [](auto& c) { return reply("end", c, "\"why\":34", "\"note\":\"swamped\""); },
                  "voice", "refused", 1},
         Scenario{"Busy", [](auto& c) { return reply("end", c, "\"why\":17", "\"note\":\"occupied\""); },
