--- a/src/front/sip/front.cpp
+++ b/src/front/sip/front.cpp
@@ -14,14 +14,15 @@
 constexpr const char* kAccept = "Accept: application/sdp\r\n";
 constexpr std::string_view kKnownMethods[] = {"REGISTER", "UPDATE", "INFO",    "PRACK",  "SUBSCRIBE",
                                               "NOTIFY",   "REFER",  "MESSAGE", "PUBLISH"};
-constexpr Duration kAtLeastAway = std::chrono::seconds(1);
+// Retry-After is in whole seconds: shorter times are raised to this, others are rounded up.
+constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 
 std::string dialog_id(std::string_view call_id, std::string_view local_tag, std::string_view remote_tag) {
   return std::string(call_id) + '|' + std::string(local_tag) + '|' + std::string(remote_tag);
 }
 
 template <typename Number>
-std::optional<Number> number_in(std::string_view text) {
+std::optional<Number> parse_number(std::string_view text) {
   Number value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
@@ -36,16 +37,16 @@
       core_(core),
       config_(std::move(config)),
       random_(seed),
-      transactions_(loop, log, config_.timers, *this, config_.most_transactions),
-      transport_(loop, log, config_.listening, config_.most_connections,
+      transactions_(loop, log, config_.timers, *this, config_.max_transactions),
+      transport_(loop, log, config_.listening, config_.max_connections,
                  [this](const Message& message, const Hop& from) { transactions_.receive(message, from); }) {
-  transactions_.use(transport_);
+  transactions_.set_transport(transport_);
 }
 
 SipFront::~SipFront() {
   for (auto& [call, dialog] : dialogs_) {
-    if (dialog.resend) loop_.cancel(*dialog.resend);
-    if (dialog.give_up) loop_.cancel(*dialog.give_up);
+    if (dialog.resend_timer) loop_.cancel(*dialog.resend_timer);
+    if (dialog.ack_timer) loop_.cancel(*dialog.ack_timer);
   }
 }
 
@@ -64,12 +65,12 @@
 
 // ---- Requests
 
-void SipFront::requested(const Message& message, ServerTransaction& transaction) {
+void SipFront::on_request(const Message& message, ServerTransaction& transaction) {
   transaction.to_tag = new_tag();
-  if (message.method() == "CANCEL") return take_cancel(transaction);
+  if (message.method() == "CANCEL") return handle_cancel(transaction);
   if (!acceptable(message, transaction)) return;
-  if (!tag_of(message.header("To")).empty()) return take_inside(message, transaction);
-  if (message.method() == "INVITE") return take_invite(message, transaction);
+  if (!tag_of(message.header("To")).empty()) return handle_in_dialog(message, transaction);
+  if (message.method() == "INVITE") return handle_invite(message, transaction);
   if (message.method() == "OPTIONS") {
     return transactions_.respond(transaction, core_.ready() ? 200 : 503,
                                  std::string(core_.ready() ? "" : "Retry-After: 1\r\n") + kAllow + kAccept);
@@ -80,14 +81,15 @@
   transactions_.respond(transaction, known ? 405 : 501, kAllow);
 }
 
-// What no request may have or lack, whatever it asks (8.2).
+// Checks that apply to every request (8.2); responds with the error and returns false if one fails.
 bool SipFront::acceptable(const Message& message, ServerTransaction& transaction) {
   const auto uri = parse_uri(message.uri());
-  const bool scheme = uri && (same_word(uri->scheme, "sip") || same_word(uri->scheme, "sips") ||
-                              same_word(uri->scheme, "tel"));
+  const bool scheme =
+      uri && (equals_ignore_case(uri->scheme, "sip") || equals_ignore_case(uri->scheme, "sips") ||
+              equals_ignore_case(uri->scheme, "tel"));
   int status = 0;
   std::string headers;
-  if (!same_word(message.version(), "SIP/2.0")) {
+  if (!equals_ignore_case(message.version(), "SIP/2.0")) {
     status = 505;
   } else if (!scheme) {
     status = uri ? 416 : 400;
@@ -96,8 +98,9 @@
     for (const auto option : message.values("Require"))
       headers += "Unsupported: " + std::string(option) + "\r\n";
   } else if (!message.body().empty() && message.method() == "INVITE" &&
-             !same_word(message.header("Content-Type").substr(0, message.header("Content-Type").find(';')),
-                        "application/sdp")) {
+             !equals_ignore_case(
+                 message.header("Content-Type").substr(0, message.header("Content-Type").find(';')),
+                 "application/sdp")) {
     status = 415;
     headers = kAccept;
   }
@@ -106,9 +109,9 @@
   return false;
 }
 
-void SipFront::take_invite(const Message& message, ServerTransaction& transaction) {
-  const Received& received = transaction.request();
-  // The same INVITE by another way (8.2.2.2): one of them is enough.
+void SipFront::handle_invite(const Message& message, ServerTransaction& transaction) {
+  const RequestInfo& received = transaction.request();
+  // A copy of an INVITE that arrived by another path is a merged request and rejected (8.2.2.2).
   const std::string merge_key =
       received.call_id + '|' + std::string(tag_of(received.from)) + '|' + received.cseq;
   if (by_merge_key_.count(merge_key) > 0) return transactions_.respond(transaction, 482);
@@ -131,9 +134,9 @@
   request.description = message.body();
   request.call_class = message.header("X-Call-Class");
   if (request.call_class.empty()) request.call_class = config_.default_class;
-  request.first_choice = number_in<int>(message.header("X-First-Choice")).value_or(-1);
+  request.first_choice = parse_number<int>(message.header("X-First-Choice")).value_or(-1);
   request.retry = message.header("X-Repeat") == "1";
-  if (const auto seconds = number_in<unsigned>(message.header("Expires"))) {
+  if (const auto seconds = parse_number<unsigned>(message.header("Expires"))) {
     request.caller_timeout = std::chrono::seconds(std::min(*seconds, 86400u));
   }
   transaction.subject = request.call;
@@ -143,35 +146,35 @@
   core_.request(std::move(request), *this);
 }
 
-// The dialog's state as its 2xx will establish it (12.1.1).
+// Stores the dialog state that a 2xx will establish (12.1.1).
 void SipFront::open_dialog(const Message& message, ServerTransaction& transaction, CallId call) {
-  const Received& received = transaction.request();
+  const RequestInfo& received = transaction.request();
   Dialog& dialog = dialogs_[call];
   dialog.call = call;
-  dialog.invite = transaction.key();
+  dialog.invite_key = transaction.key();
   dialog.call_id = received.call_id;
   dialog.local = received.to + ";tag=" + transaction.to_tag;
   dialog.remote = received.from;
   dialog.invite_cseq = dialog.remote_cseq = received.cseq_number;
   dialog.id = dialog_id(received.call_id, transaction.to_tag, tag_of(received.from));
   dialog.target = uri_of(message.values("Contact").front());
-  dialog.hop = received.reply_to;
+  dialog.invite_hop = received.reply_to;
   const auto routes = message.values("Record-Route");
   for (const auto route : routes) dialog.routes += "Route: " + std::string(route) + "\r\n";
   dialog.first_hop = routes.empty() ? dialog.target : std::string(uri_of(routes.front()));
-  by_id_[dialog.id] = call;
+  by_dialog_id_[dialog.id] = call;
 }
 
-void SipFront::take_inside(const Message& message, ServerTransaction& transaction) {
-  const Received& received = transaction.request();
+void SipFront::handle_in_dialog(const Message& message, ServerTransaction& transaction) {
+  const RequestInfo& received = transaction.request();
   Dialog* const dialog = find(dialog_id(received.call_id, tag_of(received.to), tag_of(received.from)));
   if (!dialog) return transactions_.respond(transaction, 481);
-  // Of two requests the later one was answered already (12.2.2).
+  // Out of order: a request with a higher CSeq was handled before (12.2.2).
   if (received.cseq_number < dialog->remote_cseq) return transactions_.respond(transaction, 500);
   dialog->remote_cseq = received.cseq_number;
-  if (message.method() == "BYE") return take_bye(*dialog, transaction);
+  if (message.method() == "BYE") return handle_bye(*dialog, transaction);
   if (message.method() == "INVITE") {
-    // What a call was set up with is not changed; the call itself goes on.
+    // A re-INVITE is rejected: sessions are not modified. The call itself continues.
     return dialog->acknowledged ? transactions_.respond(transaction, 488)
                                 : transactions_.respond(transaction, 491);
   }
@@ -180,26 +183,26 @@
   transactions_.respond(transaction, 405, kAllow);
 }
 
-void SipFront::take_cancel(ServerTransaction& transaction) {
+void SipFront::handle_cancel(ServerTransaction& transaction) {
   ServerTransaction* const invite = transactions_.cancelled_by(transaction);
   if (!invite) return transactions_.respond(transaction, 481);
   transaction.to_tag = invite->to_tag;
   transactions_.respond(transaction, 200);
-  // After a final response it has no effect (9.2).
+  // After a final response a CANCEL has no effect (9.2).
   if (invite->answered()) return;
   const CallId call = invite->subject;
   fail_invite(call, 487);
   core_.cancel(call);
 }
 
-void SipFront::take_bye(Dialog& dialog, ServerTransaction& transaction) {
+void SipFront::handle_bye(Dialog& dialog, ServerTransaction& transaction) {
   transactions_.respond(transaction, 200);
   const CallId call = dialog.call;
-  const bool answered = dialog.answered, over = dialog.over.has_value();
+  const bool answered = dialog.answered, ended = dialog.end_cause.has_value();
   // A BYE before the answer ends the call like a CANCEL (15.1.2).
   if (!answered) fail_invite(call, 487);
   erase(call);
-  if (over) return;
+  if (ended) return;
   if (answered) {
     core_.release(call, cause::kNormal);
   } else {
@@ -207,7 +210,7 @@
   }
 }
 
-// ---- Answers
+// ---- Results of the core
 
 SipFront::Dialog* SipFront::find(CallId call) {
   const auto found = dialogs_.find(call);
@@ -215,86 +218,89 @@
 }
 
 SipFront::Dialog* SipFront::find(const std::string& id) {
-  const auto found = by_id_.find(id);
-  return found == by_id_.end() ? nullptr : find(found->second);
+  const auto found = by_dialog_id_.find(id);
+  return found == by_dialog_id_.end() ? nullptr : find(found->second);
 }
 
 void SipFront::erase(CallId call) {
   const auto found = dialogs_.find(call);
   if (found == dialogs_.end()) return;
   Dialog& dialog = found->second;
-  if (dialog.resend) loop_.cancel(*dialog.resend);
-  if (dialog.give_up) loop_.cancel(*dialog.give_up);
-  by_id_.erase(dialog.id);
+  if (dialog.resend_timer) loop_.cancel(*dialog.resend_timer);
+  if (dialog.ack_timer) loop_.cancel(*dialog.ack_timer);
+  by_dialog_id_.erase(dialog.id);
   by_merge_key_.erase(dialog.merge_key);
   dialogs_.erase(found);
 }
 
 void SipFront::answer(CallId call, std::string description) {
   Dialog* const dialog = find(call);
-  ServerTransaction* const invite = dialog ? transactions_.find(dialog->invite) : nullptr;
+  ServerTransaction* const invite = dialog ? transactions_.find(dialog->invite_key) : nullptr;
   if (!invite) return core_.release(call, cause::kTemporary);
   dialog->answered = true;
-  std::string headers = contact(dialog->hop.kind) + kAllow;
+  std::string headers = contact(dialog->invite_hop.kind) + kAllow;
   if (!description.empty()) headers += "Content-Type: application/sdp\r\n";
   transactions_.respond(*invite, 200, headers, description);
-  // Until the ACK comes, on whatever transport (13.3.1.4).
-  dialog->interval = config_.timers.t1;
-  dialog->resend = loop_.at(loop_.now() + dialog->interval, [this, call] { resend_answer(call); });
-  dialog->give_up = loop_.at(loop_.now() + config_.timers.longest(), [this, call] { give_up(call); });
+  // The 2xx is retransmitted until the ACK comes, on stream transports as well (13.3.1.4).
+  dialog->resend_interval = config_.timers.t1;
+  dialog->resend_timer =
+      loop_.at(loop_.now() + dialog->resend_interval, [this, call] { resend_answer(call); });
+  dialog->ack_timer =
+      loop_.at(loop_.now() + config_.timers.transaction_timeout(), [this, call] { on_ack_timeout(call); });
 }
 
 void SipFront::resend_answer(CallId call) {
   Dialog* const dialog = find(call);
-  ServerTransaction* const invite = dialog ? transactions_.find(dialog->invite) : nullptr;
+  ServerTransaction* const invite = dialog ? transactions_.find(dialog->invite_key) : nullptr;
   if (!invite) return;
-  transactions_.repeat(*invite);
-  dialog->interval = std::min(dialog->interval * 2, config_.timers.t2);
-  dialog->resend = loop_.at(loop_.now() + dialog->interval, [this, call] { resend_answer(call); });
+  transactions_.resend_response(*invite);
+  dialog->resend_interval = std::min(dialog->resend_interval * 2, config_.timers.t2);
+  dialog->resend_timer =
+      loop_.at(loop_.now() + dialog->resend_interval, [this, call] { resend_answer(call); });
 }
 
-void SipFront::asked_again(ServerTransaction& transaction) {
+void SipFront::on_invite_retransmitted(ServerTransaction& transaction) {
   const Dialog* const dialog = find(transaction.subject);
-  if (dialog && !dialog->acknowledged) transactions_.repeat(transaction);
+  if (dialog && !dialog->acknowledged) transactions_.resend_response(transaction);
 }
 
-void SipFront::forgotten(ServerTransaction&) {}
+void SipFront::on_terminated(ServerTransaction&) {}
 
-// The ACK never came: the caller cannot have the call.
-void SipFront::give_up(CallId call) {
+// Without an ACK the caller may not have received the answer, so the call is ended.
+void SipFront::on_ack_timeout(CallId call) {
   Dialog* const dialog = find(call);
   if (!dialog) return;
-  dialog->give_up.reset();
+  dialog->ack_timer.reset();
   log_.line("sip: no ACK for call %s, ended", dialog->call_id.c_str());
-  const bool over = dialog->over.has_value();
-  say_bye(*dialog);
-  if (!over) core_.release(call, cause::kTemporary);
+  const bool ended = dialog->end_cause.has_value();
+  send_bye(*dialog);
+  if (!ended) core_.release(call, cause::kTemporary);
 }
 
-void SipFront::acknowledged(const Message& message) {
+void SipFront::on_ack(const Message& message) {
   Dialog* const dialog = find(
       dialog_id(message.header("Call-ID"), tag_of(message.header("To")), tag_of(message.header("From"))));
   const auto cseq = parse_cseq(message.header("CSeq"));
   if (!dialog || !dialog->answered || cseq->number != dialog->invite_cseq) return;
   dialog->acknowledged = true;
-  if (dialog->resend) loop_.cancel(*std::exchange(dialog->resend, std::nullopt));
-  if (dialog->give_up) loop_.cancel(*std::exchange(dialog->give_up, std::nullopt));
-  if (dialog->over) say_bye(*dialog);
+  if (dialog->resend_timer) loop_.cancel(*std::exchange(dialog->resend_timer, std::nullopt));
+  if (dialog->ack_timer) loop_.cancel(*std::exchange(dialog->ack_timer, std::nullopt));
+  if (dialog->end_cause) send_bye(*dialog);
 }
 
 void SipFront::fail_invite(CallId call, int status, const std::string& headers) {
   const Dialog* const dialog = find(call);
   if (!dialog) return;
-  if (ServerTransaction* const invite = transactions_.find(dialog->invite)) {
+  if (ServerTransaction* const invite = transactions_.find(dialog->invite_key)) {
     transactions_.respond(*invite, status, headers);
   }
   erase(call);
 }
 
 void SipFront::refuse(CallId call, std::optional<Duration> retry_after) {
-  const auto away =
-      std::max(retry_after.value_or(Duration{0}), kAtLeastAway) + std::chrono::milliseconds(999);
-  fail_invite(call, 503, "Retry-After: " + std::to_string(away / std::chrono::seconds(1)) + "\r\n");
+  const auto wait =
+      std::max(retry_after.value_or(Duration{0}), kMinRetryAfter) + std::chrono::milliseconds(999);
+  fail_invite(call, 503, "Retry-After: " + std::to_string(wait / std::chrono::seconds(1)) + "\r\n");
 }
 
 void SipFront::fail(CallId call, Failure why) { fail_invite(call, why == Failure::timed_out ? 504 : 500); }
@@ -302,25 +308,27 @@
 void SipFront::call_ended(CallId call, int cause) {
   Dialog* const dialog = find(call);
   if (!dialog) return;
-  dialog->over = cause;
-  if (dialog->acknowledged) say_bye(*dialog);  // else with the ACK, or when that is given up (15)
+  dialog->end_cause = cause;
+  if (dialog->acknowledged) send_bye(*dialog);  // else on the ACK or its timeout (15)
 }
 
-// To the first route or the peer's Contact, on the way the INVITE came where that is no address.
-void SipFront::say_bye(Dialog& dialog) {
+// Sends it to the first route or else to the peer's Contact; to where the INVITE came from if that URI's host
+// is not an IP address.
+void SipFront::send_bye(Dialog& dialog) {
   const CallId call = dialog.call;
-  Hop to = dialog.hop;
+  Hop to = dialog.invite_hop;
   const auto uri = parse_uri(dialog.first_hop);
   TransportKind kind = to.kind;
-  if (uri && same_word(uri->transport, "udp")) kind = TransportKind::udp;
-  if (uri && same_word(uri->transport, "tcp")) kind = TransportKind::tcp;
-  if (uri && (same_word(uri->transport, "tls") || same_word(uri->scheme, "sips"))) kind = TransportKind::tls;
+  if (uri && equals_ignore_case(uri->transport, "udp")) kind = TransportKind::udp;
+  if (uri && equals_ignore_case(uri->transport, "tcp")) kind = TransportKind::tcp;
+  if (uri && (equals_ignore_case(uri->transport, "tls") || equals_ignore_case(uri->scheme, "sips")))
+    kind = TransportKind::tls;
   const std::string port = std::to_string(uri && uri->port != 0 ? uri->port : default_port(kind));
   if (const auto address = uri ? parse_address(std::string(uri->host) + ":" + port) : std::nullopt) {
     to = {kind, *address, kind == to.kind ? to.connection : 0};
   }
   const std::string reason =
-      dialog.over ? "Reason: Q.850;cause=" + std::to_string(*dialog.over) + "\r\n" : "";
+      dialog.end_cause ? "Reason: Q.850;cause=" + std::to_string(*dialog.end_cause) + "\r\n" : "";
   const std::string headers =
       "From: " + dialog.local + "\r\nTo: " + dialog.remote + "\r\nCall-ID: " + dialog.call_id +
       "\r\nCSeq: " + std::to_string(++dialog.local_cseq) + " BYE\r\n" + dialog.routes + reason;
@@ -329,12 +337,12 @@
   transactions_.request(to, "BYE", target, headers, call);
 }
 
-void SipFront::responded(std::uint64_t, int status) {
-  // Whatever it says, the dialog is over (15.1.1).
+void SipFront::on_response(std::uint64_t, int status) {
+  // The dialog has ended whatever the response to the BYE is (15.1.1).
   if (status == 408) log_.line("sip: a BYE got no answer");
 }
 
-void SipFront::hang_up() {
+void SipFront::end_all_calls() {
   std::vector<CallId> calls;
   for (const auto& [call, dialog] : dialogs_) {
     if (dialog.answered) calls.push_back(call);
@@ -342,9 +350,9 @@
   std::sort(calls.begin(), calls.end());
   for (const CallId call : calls) {
     Dialog& dialog = dialogs_.at(call);
-    const bool over = dialog.over.has_value();
-    say_bye(dialog);
-    if (!over) core_.release(call, cause::kNormal);
+    const bool ended = dialog.end_cause.has_value();
+    send_bye(dialog);
+    if (!ended) core_.release(call, cause::kNormal);
   }
 }
 
--- a/src/front/sip/transactions.hpp
+++ b/src/front/sip/transactions.hpp
@@ -1,7 +1,7 @@
 // SIP transactions (RFC 3261, section 17, and the Accepted state of RFC 6026), over any transport.
 //
-// This side answers INVITEs and never sends one, so of the timers A to K those of an INVITE client (A, B, D)
-// have no place here; C is a proxy's.
+// This side answers INVITEs and never sends one, so the timers of an INVITE client transaction (A, B and D)
+// do not occur; timer C is for proxies only.
 #pragma once
 
 #include <functional>
@@ -13,32 +13,34 @@
 
 namespace quartzarch::sip {
 
+// The timer values of RFC 3261, section 17.
 struct Timers {
   Duration t1 = std::chrono::milliseconds(500);
   Duration t2 = std::chrono::milliseconds(4000);
   Duration t4 = std::chrono::milliseconds(5000);
-  Duration longest() const { return 64 * t1; }  // B, F, H, J, L
+  Duration transaction_timeout() const { return 64 * t1; }  // timers F, H, J and L
 };
 
-// A request as its responses and its dialog need it, copied out of the message.
-struct Received {
+// The parts of a request that its responses and its dialog need, copied from the message.
+struct RequestInfo {
   std::string method{}, uri{};
-  std::string vias{};  // as header lines, the topmost completed with received and rport
+  std::string vias{};  // as header lines; the topmost with the received and rport parameters (RFC 3581)
   std::string from{}, to{}, call_id{}, cseq{}, record_routes{};
   unsigned long cseq_number = 0;
-  Hop reply_to{};        // 18.2.2
-  sockaddr_in source{};  // where it came from, whatever its Via says
+  Hop reply_to{};        // destination of the responses (section 18.2.2)
+  sockaddr_in source{};  // remote address, independent of the Via
 };
 
+// A received request and its last response. An INVITE that got a 2xx is in the Accepted state.
 class ServerTransaction {
  public:
   const std::string& key() const { return key_; }
-  const Received& request() const { return request_; }
+  const RequestInfo& request() const { return request_; }
   bool is_invite() const { return request_.method == "INVITE"; }
   bool answered() const { return state_ != State::proceeding; }
-  // Of the To of every response but 100.
+  // The tag in the To header of every response except 100.
   std::string to_tag{};
-  // The user's own: what this transaction is about.
+  // Set and read by the transaction user only: the id of the call that the transaction belongs to.
   std::uint64_t subject = 0;
 
  private:
@@ -46,50 +48,54 @@
   enum class State { proceeding, accepted, completed, confirmed };
 
   std::string key_{};
-  Received request_{};
+  RequestInfo request_{};
   State state_ = State::proceeding;
   std::string head_{}, body_{};  // the last response
   Duration interval_{};          // timer G
   std::optional<Loop::TimerId> resend_{}, end_{};
 };
 
+// All server and client transactions of one front.
 class Transactions {
  public:
+  // The transaction user (TU) of RFC 3261.
   class User {
    public:
     virtual ~User() = default;
     // A new request, never a retransmission.
-    virtual void requested(const Message& message, ServerTransaction& transaction) = 0;
-    // An ACK that belongs to no failure: of a 2xx.
-    virtual void acknowledged(const Message& message) = 0;
-    // The INVITE was retransmitted after its 2xx.
-    virtual void asked_again(ServerTransaction& transaction) = 0;
-    virtual void forgotten(ServerTransaction& transaction) = 0;
-    // A request of ours got its final response; 408 if none came.
-    virtual void responded(std::uint64_t subject, int status) = 0;
+    virtual void on_request(const Message& message, ServerTransaction& transaction) = 0;
+    // An ACK for a 2xx; an ACK for a failure response is handled by its transaction.
+    virtual void on_ack(const Message& message) = 0;
+    // An INVITE was retransmitted after its 2xx.
+    virtual void on_invite_retransmitted(ServerTransaction& transaction) = 0;
+    // The transaction has ended and is no longer known.
+    virtual void on_terminated(ServerTransaction& transaction) = 0;
+    // A request sent with request() got its final response; 408 if none came in time.
+    virtual void on_response(std::uint64_t subject, int status) = 0;
   };
 
-  Transactions(Loop& loop, Logger& log, Timers timers, User& user, std::size_t most)
-      : loop_(loop), log_(log), timers_(timers), user_(user), most_(most) {}
+  Transactions(Loop& loop, Logger& log, Timers timers, User& user, std::size_t max_transactions)
+      : loop_(loop), log_(log), timers_(timers), user_(user), max_transactions_(max_transactions) {}
   ~Transactions();
 
-  void use(Transport& transport) { transport_ = &transport; }
+  void set_transport(Transport& transport) { transport_ = &transport; }
   void receive(const Message& message, const Hop& from);
 
-  // `headers` are whole lines. A response after a final one is ignored.
+  // `headers` are complete lines with their line breaks. A response after a final one is ignored.
   void respond(ServerTransaction& transaction, int status, const std::string& headers = {},
                const std::string& body = {});
-  // The 2xx once more: its retransmission is the user's affair.
-  void repeat(const ServerTransaction& transaction);
+  // Sends the last response again. The transaction user retransmits a 2xx itself (section 13.3.1.4).
+  void resend_response(const ServerTransaction& transaction);
   ServerTransaction* find(const std::string& key);
-  // The INVITE that a CANCEL is about.
+  // The INVITE transaction that a CANCEL refers to (section 9.2).
   ServerTransaction* cancelled_by(const ServerTransaction& cancel);
 
-  // A request other than INVITE or ACK: `headers` are all but the Via.
+  // Sends a request other than INVITE or ACK. `headers`: complete lines, without Via, Max-Forwards and
+  // Content-Length; `subject` is handed to on_response.
   void request(const Hop& to, const std::string& method, const std::string& uri, const std::string& headers,
                std::uint64_t subject);
   std::size_t size() const { return servers_.size() + clients_.size(); }
-  // Every request of ours has its final response.
+  // True if every request sent with request() has its final response.
   bool clients_done() const;
 
  private:
@@ -106,27 +112,28 @@
   void receive_request(const Message& message, const Hop& from);
   void receive_response(const Message& message);
   void receive_ack(const Message& message, const std::string& key);
-  void refuse_unkept(const Received& request, int status);
+  void respond_stateless(const RequestInfo& request, int status);
   void send(const ServerTransaction& transaction);
-  void resend_failure(const std::string& key);
+  void resend_failure_response(const std::string& key);
   void resend_request(const std::string& branch);
   void end_after(ServerTransaction& transaction, Duration time);
-  void forget(const std::string& key);
+  void terminate(const std::string& key);
   void finish_client(const std::string& branch, int status);
 
   Loop& loop_;
   Logger& log_;
   Timers timers_;
   User& user_;
-  std::size_t most_;
+  std::size_t max_transactions_;
   Transport* transport_ = nullptr;
   std::map<std::string, ServerTransaction> servers_;
   std::map<std::string, Client> clients_;
   std::uint64_t last_branch_ = 0;
 };
 
-const char* reason_of(int status);
-std::string response_head(const Received& request, int status, const std::string& to_tag,
+// The reason phrase of a response's status line.
+const char* reason_phrase(int status);
+std::string response_head(const RequestInfo& request, int status, const std::string& to_tag,
                           const std::string& headers, std::size_t body_size);
 
 }  // namespace quartzarch::sip
--- /dev/null
+++ b/src/link/link_server.cpp
@@ -0,0 +1,157 @@
+#include "link/link_server.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace quartzarch::link {
+namespace {
+
+constexpr std::size_t kMaxForwarders = 64;
+constexpr std::size_t kMaxUndeliveredEnds = 10000;
+
+}  // namespace
+
+LinkServer::LinkServer(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen)
+    : loop_(loop),
+      log_(log),
+      core_(core),
+      acceptor_(loop, listen_on(listen)),
+      announced_ready_(core.ready()) {
+  loop_.watch(*this, Priority::callers);
+}
+
+LinkServer::~LinkServer() {
+  loop_.unwatch(*this);
+  for (auto& [stream, forwarder] : forwarders_) forwarder.stream->close();
+}
+
+bool LinkServer::idle() const {
+  return std::all_of(forwarders_.begin(), forwarders_.end(), [](const auto& item) {
+    return item.second.unanswered.empty() && item.second.stream->unsent().empty();
+  });
+}
+
+Segment LinkServer::readiness_message() const {
+  return encode(MessageType::readiness, 0, {accepts_calls() ? "1" : "0"});
+}
+
+void LinkServer::announce_readiness() {
+  if (std::exchange(announced_ready_, accepts_calls()) == accepts_calls()) return;
+  for (auto& [stream, forwarder] : forwarders_) forwarder.stream->send(readiness_message());
+}
+
+void LinkServer::on_ready(short) {
+  Fd fd = acceptor_.accept();
+  if (!fd || forwarders_.size() >= kMaxForwarders) return;
+  auto stream =
+      std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
+  Stream& link = *stream;
+  announce_readiness();  // all connected forwarders then know the current state
+  forwarders_[&link].stream = std::move(stream);
+  link.send(readiness_message());
+  for (Segment& segment : std::exchange(undelivered_ends_, {})) link.send(std::move(segment));
+}
+
+void LinkServer::on_data(Stream& stream) {
+  while (stream.alive()) {
+    LinkMessage message;
+    std::size_t length = 0;
+    const DecodeResult result = decode(stream.input(), message, length);
+    if (result == DecodeResult::incomplete) return;
+    const auto found = forwarders_.find(&stream);
+    if (found == forwarders_.end()) return;
+    if (result == DecodeResult::malformed || !handle(found->second, message)) {
+      log_.line("link: malformed message from a forwarder, connection closed");
+      stream.close();
+      return on_disconnected(stream, DisconnectReason::closed);
+    }
+    stream.consume(length);
+  }
+}
+
+bool LinkServer::handle(Forwarder& from, const LinkMessage& message) {
+  const CallId call = message.call;
+  if (message.type == MessageType::request) {
+    auto request = decode_request(message, loop_.now());
+    if (!request) return false;
+    if (calls_.count(call) > 0) return true;
+    from.unanswered.insert(call);
+    calls_[call] = from.stream.get();
+    core_.request(std::move(*request), *this);
+    return true;
+  }
+  if (message.type != MessageType::cancel && message.type != MessageType::release) return false;
+  const bool unanswered = from.unanswered.erase(call) > 0;
+  calls_.erase(call);
+  // A cancel may have crossed the answer: the call is then established, but the forwarder has dropped it.
+  if (unanswered) {
+    core_.cancel(call);
+  } else {
+    core_.release(
+        call, message.type == MessageType::release ? static_cast<int>(message.number(0)) : cause::kTemporary);
+  }
+  return true;
+}
+
+void LinkServer::on_disconnected(Stream& stream, DisconnectReason) {
+  const auto found = forwarders_.find(&stream);
+  if (found == forwarders_.end()) return;
+  const Forwarder lost = std::move(found->second);
+  forwarders_.erase(found);
+  loop_.keep_until_pass_end(lost.stream);
+  log_.line("link: forwarder lost, %zu requests given up", lost.unanswered.size());
+  for (const CallId call : lost.unanswered) {
+    calls_.erase(call);
+    core_.cancel(call);
+  }
+  for (const Segment& segment : lost.stream->unsent()) {
+    const LinkMessage message = decode_head(segment);
+    // The forwarder has failed its unanswered calls, so a call whose answer did not reach it is released.
+    if (message.type == MessageType::answer) {
+      calls_.erase(message.call);
+      core_.release(message.call, cause::kTemporary);
+    } else if (message.type == MessageType::call_ended && undelivered_ends_.size() < kMaxUndeliveredEnds) {
+      undelivered_ends_.push_back(segment);
+    }
+  }
+}
+
+LinkServer::Forwarder* LinkServer::forwarder_of(CallId call) {
+  const auto found = calls_.find(call);
+  if (found == calls_.end()) return nullptr;
+  const auto forwarder = forwarders_.find(found->second);
+  return forwarder == forwarders_.end() ? nullptr : &forwarder->second;
+}
+
+void LinkServer::send_result(CallId call, Segment segment, bool established) {
+  Forwarder* const to = forwarder_of(call);
+  if (to) to->unanswered.erase(call);
+  if (!established) calls_.erase(call);
+  if (to) to->stream->send(std::move(segment));
+}
+
+void LinkServer::answer(CallId call, std::string description) {
+  send_result(call, encode(MessageType::answer, call, {}, std::move(description)), true);
+}
+
+void LinkServer::refuse(CallId call, std::optional<Duration> retry_after) {
+  send_result(call,
+              encode(MessageType::refuse, call, {std::to_string(retry_after ? retry_after->count() : -1)}),
+              false);
+}
+
+void LinkServer::fail(CallId call, Failure why) {
+  send_result(call, encode(MessageType::fail, call, {why == Failure::timed_out ? "1" : "0"}), false);
+}
+
+// Goes to the call's forwarder or, if that is not connected, to all, since the caller may be at any of them.
+void LinkServer::call_ended(CallId call, int cause) {
+  Segment segment = encode(MessageType::call_ended, call, {std::to_string(cause)});
+  if (forwarder_of(call)) return send_result(call, std::move(segment), false);
+  calls_.erase(call);
+  for (auto& [stream, forwarder] : forwarders_) forwarder.stream->send(segment);
+  if (forwarders_.empty() && undelivered_ends_.size() < kMaxUndeliveredEnds)
+    undelivered_ends_.push_back(std::move(segment));
+}
+
+}  // namespace quartzarch::link
--- /dev/null
+++ b/src/link/link_server.hpp
@@ -0,0 +1,70 @@
+// The planner's side of the link: accepts forwarders and passes their calls to the core, for which it is a
+// front.
+#pragma once
+
+#include <deque>
+#include <map>
+#include <memory>
+#include <set>
+#include <unordered_map>
+
+#include "core/calls.hpp"
+#include "link/message.hpp"
+#include "log.hpp"
+
+namespace quartzarch::link {
+
+// When the link to a forwarder is lost, its unanswered calls are cancelled; its established calls continue.
+class LinkServer : public Front, private IoHandler, private Stream::Owner {
+ public:
+  // Throws std::system_error if the address cannot be listened on.
+  LinkServer(Loop& loop, Logger& log, CallService& core, const sockaddr_in& listen);
+  ~LinkServer() override;
+
+  sockaddr_in address() const { return bound_address(acceptor_.fd()); }
+  // True if no call is unanswered and all messages have been written.
+  bool idle() const;
+  // Tells the forwarders whether this planner accepts new calls, if that has changed.
+  void announce_readiness();
+  // From now on forwarders are to send new calls to other planners; calls that still arrive are served.
+  void stop() { stopping_ = true; }
+
+  void answer(CallId call, std::string description) override;
+  void refuse(CallId call, std::optional<Duration> retry_after) override;
+  void fail(CallId call, Failure why) override;
+  void call_ended(CallId call, int cause) override;
+
+ private:
+  struct Forwarder {
+    std::shared_ptr<Stream> stream{};
+    std::set<CallId> unanswered{};
+  };
+
+  int descriptor() const override { return acceptor_.fd().get(); }
+  short interest() const override { return acceptor_.paused() ? 0 : POLLIN; }
+  void on_ready(short events) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason how) override;
+
+  // False if the message is malformed or of a type that forwarders do not send.
+  bool handle(Forwarder& from, const LinkMessage& message);
+  // The connected forwarder of a call; null if there is none.
+  Forwarder* forwarder_of(CallId call);
+  // Sends a result to the call's forwarder; forgets the call unless it is established.
+  void send_result(CallId call, Segment segment, bool established);
+  bool accepts_calls() const { return core_.ready() && !stopping_; }
+  Segment readiness_message() const;
+
+  Loop& loop_;
+  Logger& log_;
+  CallService& core_;
+  Acceptor acceptor_;
+  std::map<const Stream*, Forwarder> forwarders_;
+  std::unordered_map<CallId, const Stream*> calls_;
+  // The call_ended messages for the next forwarder that connects.
+  std::deque<Segment> undelivered_ends_;
+  bool announced_ready_ = false;
+  bool stopping_ = false;
+};
+
+}  // namespace quartzarch::link
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -17,8 +17,8 @@
 #include "front/binary.hpp"
 #include "front/management.hpp"
 #include "front/sip/front_config.hpp"
+#include "link/link_server.hpp"
 #include "link/planners.hpp"
-#include "link/port.hpp"
 #include "managed.hpp"
 #include "net/coordinator.hpp"
 #include "net/loop.hpp"
@@ -192,7 +192,7 @@
     const auto seed = config.seed ^ static_cast<std::uint64_t>(unix_time().count());
     if (!sip) return;
     sip::FrontConfig bounded = *sip;
-    bounded.most_connections = std::min(bounded.most_connections, config.limits.gateways());
+    bounded.max_connections = std::min(bounded.max_connections, config.limits.gateways());
     sip_.emplace(loop, log, core, bounded, seed);
   }
   void limit(const Limits& limits) { binary_.limit(limits.callers(), limits.output_bytes()); }
@@ -207,7 +207,7 @@
   // protocol continue.
   void end_sip_dialogs() {
     if (!sip_) return;
-    sip_->hang_up();
+    sip_->end_all_calls();
     for (const Time until = loop_.now() + kByeTimeout; !sip_->idle() && loop_.now() < until;) {
       loop_.pass(milliseconds(20));
     }
@@ -287,7 +287,7 @@
   Planner planner(loop, log, config.instance, config.seed + index, bounds_of(config.limits));
   const auto operation = attach_operation(loop, log, planner, files, config, options);
   for (const ServerListUpdate& update : config.known) planner.update_servers(update);
-  link::Port port(loop, log, planner, planners[index]);
+  link::LinkServer port(loop, log, planner, planners[index]);
   planner.set_unknown_call_front(port);
   CoordinatorClient coordinator(
       loop, log, config.coordinator, config.known_index,
@@ -303,7 +303,7 @@
                    [&](bool stopping) {
                      if (stopping) drain.stop(*service.stop_requested_at(), *service.schedule());
                      if (stopping) port.stop();
-                     port.tell_state();
+                     port.announce_readiness();
                    },
                .answer_pending = [&] { planner.answer_pending_calls(); },
                .schedule = [&] { return StopSchedule(planner.longest_deadline(), planner.longest_aim()); },
@@ -322,20 +322,20 @@
                         const std::vector<sockaddr_in>& addresses) {
   link::Planners planners(loop, log, addresses);
   Fronts fronts(loop, log, planners, config, sip);
-  planners.strays_to(fronts.fallback_front());
+  planners.set_unknown_call_front(fronts.fallback_front());
   log.line("%s: forwarding at %s to %zu planners", config.name.c_str(), address_text(config.listen).c_str(),
            addresses.size());
   Drain drain;
   fronts.follow_drain(drain);
-  planners.drain_by(&drain);
-  service.run({.pending_requests = [&] { return planners.owed(); },
+  planners.set_drain(&drain);
+  service.run({.pending_requests = [&] { return planners.pending_answers(); },
                .idle = [&] { return fronts.idle(); },
                .servers_notified = [] { return true; },
                .after_pass =
                    [&](bool stopping) {
                      if (stopping) run_stop_phase(loop, service, drain, fronts);
                    },
-               .answer_pending = [&] { planners.answer_owed(); },
+               .answer_pending = [&] { planners.fail_pending_calls(); },
                .schedule =
                    [&] {
                      return StopSchedule(config.instance.longest_deadline,
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -1,36 +1,36 @@
-// Stories of the two levels over their loopback link: forwarders, planners, and one of them lost.
+// Tests of a forwarder and a planner over their loopback link, including the loss of either.
 #include "config.hpp"
+#include "link/link_server.hpp"
 #include "link/planners.hpp"
-#include "link/port.hpp"
 #include "loopback.hpp"
 
 namespace quartzarch::test {
 namespace {
 
-class Levels : public Program {
+class ForwarderAndPlanner : public Program {
  protected:
-  Levels() {
+  ForwarderAndPlanner() {
     front.reset();
-    port = std::make_unique<link::Port>(loop, log, *planner, any_port());
-    planner->set_unknown_call_front(*port);
+    link_server = std::make_unique<link::LinkServer>(loop, log, *planner, any_port());
+    planner->set_unknown_call_front(*link_server);
     open_server();
-    planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
+    planners = std::make_unique<link::Planners>(loop, log, std::vector{link_server->address()});
     front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
-    planners->strays_to(*front);
-    wait_until([&] { return planners->ready(); }, "the link");
+    planners->set_unknown_call_front(*front);
+    wait_until([&] { return planners->ready(); }, "the link to be ready");
   }
-  Peer standing() {
+  Peer gateway_with_established_call() {
     Peer gateway = connect_caller();
     establish_call(gateway);
     return gateway;
   }
 
-  std::unique_ptr<link::Port> port;
+  std::unique_ptr<link::LinkServer> link_server;
   std::unique_ptr<link::Planners> planners;
 };
 
-TEST_F(Levels, ACallGoesThroughBothAndItsEndComesBack) {
-  Peer gateway = standing();
+TEST_F(ForwarderAndPlanner, ACallPassesBothLevelsAndItsEndComesBack) {
+  Peer gateway = gateway_with_established_call();
   server.send(line("end", "00000000000000aa", "\"why\":16"));
   wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
   gateway.send(setup(0xbb, "d"));
@@ -39,49 +39,50 @@
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"00000000000000bb\"");
 }
 
-// A lost planner leaves each call one final answer, and what it had out is given up.
-TEST_F(Levels, ALostPlannerFailsWhatIsOpenOnceAndLeavesWhatStands) {
-  Peer gateway = standing();
-  const sockaddr_in address = port->address();
+// When a planner is lost, each of its unanswered calls gets exactly one final answer, a failure.
+TEST_F(ForwarderAndPlanner, ALostPlannerFailsUnansweredCallsOnceAndKeepsEstablishedOnes) {
+  Peer gateway = gateway_with_established_call();
+  const sockaddr_in address = link_server->address();
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
-  port.reset();
+  link_server.reset();
   const std::string failed = binary(12, 0xbb, {{208, std::string(1, 41)}});
   wait_to_receive(gateway, failed);
-  gateway.send(setup(0xcc, "d"));  // with no planner the caller is told at once, and when to come back
+  gateway.send(setup(0xcc, "d"));  // without a planner: refused at once, with a retry time
   wait_to_receive(gateway, binary(12, 0xcc, {{208, std::string(1, 42)}, {192, "1000"}}));
-  gateway.send(binary(12, 0xaa, {{208, "\x10"}}));  // and the end of a call waits for one
+  gateway.send(binary(12, 0xaa, {{208, "\x10"}}));  // the release is queued until a planner is back
   wait_to_receive(gateway, binary(16, 0xaa));
   EXPECT_EQ(count(gateway.received(), failed), 1u);
   server.take_received();
-  port = std::make_unique<link::Port>(loop, log, *planner, address);
+  link_server = std::make_unique<link::LinkServer>(loop, log, *planner, address);
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"00000000000000aa\"");
 }
 
-// Where a forwarder is lost, its requests are withdrawn; the ends of its calls go to those that are left.
-TEST_F(Levels, ALostForwarderWithdrawsWhatIsOpen) {
-  Peer gateway = standing();
+// When a forwarder is lost, its unanswered calls are cancelled at the setup servers. The ends of its
+// established calls go to the forwarders that are connected.
+TEST_F(ForwarderAndPlanner, ALostForwarderCancelsItsUnansweredCalls) {
+  Peer gateway = gateway_with_established_call();
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
   front.reset();
   planners.reset();
   wait_to_receive(server, "{\"op\":\"end\",\"call\":\"00000000000000bb\"");
   EXPECT_EQ(planner->pending_answers(), 0u);
-  planners = std::make_unique<link::Planners>(loop, log, std::vector{port->address()});
+  planners = std::make_unique<link::Planners>(loop, log, std::vector{link_server->address()});
   front = std::make_unique<BinaryFront>(loop, log, *planners, any_port(), 64, 1 << 20);
-  planners->strays_to(*front);
+  planners->set_unknown_call_front(*front);
   Peer other = connect_caller();
   server.send(line("end", "00000000000000aa", "\"why\":16"));
   wait_to_receive(other, binary(12, 0xaa, {{208, "\x10"}}));
 }
 
-TEST_F(Levels, APlannerThatStopsGetsNothingNewAndEndsWhatItHas) {
+TEST_F(ForwarderAndPlanner, AStoppingPlannerGetsNoNewCallsAndAnswersPendingOnes) {
   Peer gateway = connect_caller();
   gateway.send(setup(0xbb, "d"));
   wait_to_receive(server, "00000000000000bb");
-  port->stop();
-  port->tell_state();
-  wait_until([&] { return !planners->ready(); }, "the news of the stop");
+  link_server->stop();
+  link_server->announce_readiness();
+  wait_until([&] { return !planners->ready(); }, "the planner to be reported as not ready");
   server.send(line("accept", "00000000000000bb", "\"desc\":\"s\""));
   wait_to_receive(gateway, binary(9, 0xbb, {{210, "s"}}));
 }
@@ -101,22 +102,22 @@
   EXPECT_EQ(link::rendezvous(1, {false, false}), std::nullopt);
 }
 
-TEST(LinkMessages, CutAndOverlongOnesAreTold) {
-  const Segment whole = link::encode(link::Type::refuse, 7, {"12", "x"}, "body");
+TEST(LinkMessages, IncompleteAndOversizedMessagesAreDetected) {
+  const Segment whole = link::encode(link::MessageType::refuse, 7, {"12", "x"}, "body");
   const std::string bytes = whole.head + whole.body;
   link::LinkMessage message;
   std::size_t length = 0;
-  ASSERT_EQ(link::decode(bytes, message, length), link::Taken::whole);
+  ASSERT_EQ(link::decode(bytes, message, length), link::DecodeResult::complete);
   EXPECT_EQ(length, bytes.size());
   EXPECT_EQ(message.number(0), 12);
   EXPECT_EQ(message.text(2), "body");
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-    EXPECT_EQ(link::decode(bytes.substr(0, cut), message, length), link::Taken::part);
+    EXPECT_EQ(link::decode(bytes.substr(0, cut), message, length), link::DecodeResult::incomplete);
   }
-  EXPECT_EQ(link::decode("\xff\xff\xff\xff", message, length), link::Taken::malformed);
+  EXPECT_EQ(link::decode("\xff\xff\xff\xff", message, length), link::DecodeResult::malformed);
 }
 
-TEST(LevelsFile, IsDecodedAndKeepsTheLinkOnLoopback) {
+TEST(LevelsFile, IsParsedAndAcceptsLoopbackAddressesOnly) {
   EXPECT_EQ(parse_planner_addresses("planners = [\"127.0.0.1:1\", \"127.0.0.2:2\"]").size(), 2u);
   for (const char* bad :
        {"", "planners = []", "planners = [1]", "planners = [\"10.0.0.1:1\"]", "planners ="}) {
