--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -110,7 +110,7 @@
 
 }  // namespace
 
-Certs::Certs(CLI::App& app)
+CertsCommand::CertsCommand(CLI::App& app)
     : command_(app.add_subcommand("certs", "the certificates that the program keeps")) {
   command_->require_subcommand(1);
   command_->add_option("--file", file_, "the settings")->capture_default_str();
@@ -145,7 +145,7 @@
   check_->add_option("FILE", checked_, "the file")->required();
 }
 
-int Certs::run(Logger& log) const {
+int CertsCommand::run(Logger& log) const {
   const std::string& path = check_->parsed() ? checked_ : file_;
   try {
     if (check_->parsed()) return check();
@@ -165,7 +165,7 @@
   }
 }
 
-int Certs::status() const {
+int CertsCommand::status() const {
   std::FILE* const nowhere = std::fopen("/dev/null", "w");
   Logger quiet(nowhere);
   acme::Keeper keeper(Certificates::read(file_), quiet, nullptr, acme::Environment::real({}));
@@ -188,7 +188,7 @@
   return code;
 }
 
-int Certs::renew(Logger& log) const {
+int CertsCommand::renew(Logger& log) const {
   if (id_.empty() == !all_) throw acme::SettingsError("renew needs an ID or --all");
   Hand keeper(file_, fleet_, log);
   int code = 0;
@@ -209,7 +209,7 @@
   return code;
 }
 
-int Certs::revoke(Logger& log) const {
+int CertsCommand::revoke(Logger& log) const {
   Hand keeper(file_, fleet_, log);
   const std::string failure = keeper->revoke(id_, kReasons.at(reason_));
   if (json_) {
@@ -221,7 +221,7 @@
   return failure.empty() ? 0 : 1;
 }
 
-int Certs::account(Logger& log) const {
+int CertsCommand::account(Logger& log) const {
   Hand keeper(file_, fleet_, log);
   const auto& authorities = keeper->settings().authorities;
   std::size_t index = 0;
@@ -240,7 +240,7 @@
   return failure.empty() ? 0 : 1;
 }
 
-int Certs::check() const {
+int CertsCommand::check() const {
   const std::string text = read_file(checked_);
   if (text.find("-----BEGIN") != std::string::npos) return check_certificate(checked_, text, json_);
   const acme::Settings settings = Certificates::read(checked_);
--- a/src/cli/certs.hpp
+++ b/src/cli/certs.hpp
@@ -9,11 +9,11 @@
 
 namespace quartzarch::cli {
 
-class Certs {
+class CertsCommand {
  public:
-  explicit Certs(CLI::App& app);
+  explicit CertsCommand(CLI::App& app);
 
-  bool asked() const { return command_->parsed(); }
+  bool selected() const { return command_->parsed(); }
   // Exit codes: 0 good, 1 warning or failed, 2 critical, or a settings file that cannot be used.
   int run(Logger& log) const;
 
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -56,8 +56,8 @@
   add_serve_options(app, serve_options);
   CLI::App* const serve_command = app.add_subcommand("serve", "serve calls (what no sub-command means too)");
   add_serve_options(*serve_command, serve_options);
-  Certs certs(app);
-  Gap gap(app);
+  CertsCommand certs(app);
+  GapCommand gap(app);
   FleetCommands fleet(app);
   std::string log_file;
   app.add_option("--log", log_file, "where the log goes and in which form (deploy/log.toml)");
@@ -77,9 +77,9 @@
       return 2;
     }
   }
-  if (certs.asked()) return certs.run(log);
-  if (gap.asked()) return gap.run(log);
-  if (fleet.asked()) return fleet.run(log);
+  if (certs.selected()) return certs.run(log);
+  if (gap.selected()) return gap.run(log);
+  if (fleet.selected()) return fleet.run(log);
   if (const std::string wrong = contradiction(serve_options); !wrong.empty()) {
     log.line("usage: %s (quartzarch --help tells more)", wrong.c_str());
     return 2;
--- a/src/cli/fleet.hpp
+++ b/src/cli/fleet.hpp
@@ -15,7 +15,7 @@
  public:
   explicit FleetCommands(CLI::App& app);
 
-  bool asked() const { return fleet_->parsed() || duty_->parsed(); }
+  bool selected() const { return fleet_->parsed() || duty_->parsed(); }
   // Exit codes: 0 done, 1 refused or nobody reached, 2 a file that cannot be taken; of `duty hold` the
   // program's own where it ended by itself.
   int run(Logger& log);
--- a/src/cli/gap.cpp
+++ b/src/cli/gap.cpp
@@ -44,7 +44,8 @@
 
 }  // namespace
 
-Gap::Gap(CLI::App& app) : command_(app.add_subcommand("gap", "gaps on mass calls, on running instances")) {
+GapCommand::GapCommand(CLI::App& app)
+    : command_(app.add_subcommand("gap", "gaps on mass calls, on running instances")) {
   command_->require_subcommand(1);
   const char* const user = std::getenv("USER");
   who_ = user ? user : "";
@@ -102,7 +103,7 @@
   test_->add_flag("--repeat", repeat_, "a repeated try");
 }
 
-std::string Gap::add_line() const {
+std::string GapCommand::add_line() const {
   if (!file_.empty()) {
     std::string rules, line;
     std::istringstream lines(read_file(file_));
@@ -141,7 +142,7 @@
   return head("gap.add") + ",\"rule\":" + rule + "}";
 }
 
-std::string Gap::test_line() const {
+std::string GapCommand::test_line() const {
   return head("gap.test") + ",\"number\":" + in_quotes(number_) +
          (classes_.empty() ? "" : ",\"class\":" + in_quotes(classes_.front())) +
          (caller_.empty() ? "" : ",\"caller\":" + in_quotes(caller_)) +
@@ -149,7 +150,7 @@
          "}";
 }
 
-void Gap::print(const std::string& instance, const std::string& reply) const {
+void GapCommand::print(const std::string& instance, const std::string& reply) const {
   if (json_) {
     std::printf("%s\n", reply.c_str());
     return;
@@ -202,7 +203,7 @@
               static_cast<long long>(figure(root, "revision")));
 }
 
-int Gap::ask_all(Logger& log, const std::string& line, bool quiet) const {
+int GapCommand::ask_all(Logger& log, const std::string& line, bool quiet) const {
   int code = 0;
   for (const std::string& instance : instances_) {
     const auto address = parse_address(instance);
@@ -222,7 +223,7 @@
   return code;
 }
 
-int Gap::watch(Logger& log) const {
+int GapCommand::watch(Logger& log) const {
   int code = 0;
   for (std::int64_t i = 0; times_ == 0 || i < times_; ++i) {
     if (i > 0) std::this_thread::sleep_for(std::chrono::seconds(1));
@@ -232,7 +233,7 @@
   return code;
 }
 
-int Gap::run(Logger& log) const {
+int GapCommand::run(Logger& log) const {
   try {
     if (add_->parsed()) return ask_all(log, add_line());
     if (lift_->parsed()) {
--- a/src/cli/gap.hpp
+++ b/src/cli/gap.hpp
@@ -9,11 +9,11 @@
 
 namespace quartzarch::cli {
 
-class Gap {
+class GapCommand {
  public:
-  explicit Gap(CLI::App& app);
+  explicit GapCommand(CLI::App& app);
 
-  bool asked() const { return command_->parsed(); }
+  bool selected() const { return command_->parsed(); }
   // Exit codes: 0 done, 1 refused or not reached by one of the instances, 2 a command that cannot be taken.
   int run(Logger& log) const;
 
