--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -16,21 +16,21 @@
 using acme::Alarm;
 
 // Running instances look for challenges twice a second; they answer those of this command.
-constexpr std::chrono::milliseconds kSettle{2500};
-constexpr Duration kPatience = std::chrono::seconds(5);
+constexpr std::chrono::milliseconds kChallengeSettleTime{2500};
+constexpr Duration kDutyTimeout = std::chrono::seconds(5);
 
 // RFC 5280, 5.3.1.
-const std::map<std::string, int> kReasons{{"unspecified", 0},          {"keyCompromise", 1},
-                                          {"affiliationChanged", 3},   {"superseded", 4},
-                                          {"cessationOfOperation", 5}, {"privilegeWithdrawn", 9}};
+const std::map<std::string, int> kRevocationReasons{{"unspecified", 0},          {"keyCompromise", 1},
+                                                    {"affiliationChanged", 3},   {"superseded", 4},
+                                                    {"cessationOfOperation", 5}, {"privilegeWithdrawn", 9}};
 
 // A keeper for the commands. With a fleet it asks for the duty, does what it does under its token and sealed,
 // and hands the duty on.
-class Hand {
+class CertificateAccess {
  public:
-  Hand(const std::string& file, const std::optional<std::string>& fleet_file, Logger& log) {
+  CertificateAccess(const std::string& file, const std::optional<std::string>& fleet_file, Logger& log) {
     acme::Settings settings = Certificates::read(file);
-    settings.settle = std::max(settings.settle, kSettle);
+    settings.settle = std::max(settings.settle, kChallengeSettleTime);
     acme::Kept kept;
     if (fleet_file) {
       const fleet::FleetSettings fleet = fleet::parse_fleet(read_file(*fleet_file));
@@ -43,7 +43,8 @@
       move.op = reg::Op::move;
       move.name = fleet::kCertificatesDuty;
       move.value = name;
-      if (!member_->ask_and_wait(move, kPatience)) throw std::runtime_error("no voter of the fleet answers");
+      if (!member_->ask_and_wait(move, kDutyTimeout))
+        throw std::runtime_error("no voter of the fleet answers");
     } else {
       kept = acme::kept_on_disk(settings, log);
     }
@@ -56,17 +57,17 @@
   std::optional<acme::Keeper> keeper_;  // ends first
 };
 
-std::string or_null(const std::optional<acme::Instant>& at) {
+std::string json_timestamp(const std::optional<acme::Instant>& at) {
   return at ? "\"" + acme::timestamp(*at) + "\"" : "null";
 }
 
-std::string as_json(const acme::Standing& each) {
+std::string status_json(const acme::Standing& each) {
   return "{\"id\":" + in_quotes(each.id) + ",\"names\":" + acme::in_brackets(each.names) + ",\"alarm\":\"" +
          acme::name_of(each.alarm) +
-         "\",\"ends\":" + or_null(each.validity ? std::optional(each.validity->ends) : std::nullopt) +
-         ",\"due\":" + or_null(each.due) + ",\"issuer\":" + in_quotes(each.issuer) +
+         "\",\"ends\":" + json_timestamp(each.validity ? std::optional(each.validity->ends) : std::nullopt) +
+         ",\"due\":" + json_timestamp(each.due) + ",\"issuer\":" + in_quotes(each.issuer) +
          ",\"fingerprint\":" + in_quotes(each.fingerprint) +
-         ",\"failures\":" + std::to_string(each.failures) + ",\"next_attempt\":" + or_null(each.next) +
+         ",\"failures\":" + std::to_string(each.failures) + ",\"next_attempt\":" + json_timestamp(each.next) +
          ",\"last_failure\":" + in_quotes(each.last_failure) +
          ",\"order_open\":" + (each.order_open ? "true" : "false") + "}";
 }
@@ -88,24 +89,24 @@
   if (each.order_open) std::printf("%16s an order is open\n", "");
 }
 
-int code_of(Alarm alarm) { return alarm <= Alarm::due ? 0 : alarm == Alarm::late ? 1 : 2; }
+int exit_code_for(Alarm alarm) { return alarm <= Alarm::due ? 0 : alarm == Alarm::late ? 1 : 2; }
 
 // A certificate file by itself: the key, the chain, the times.
-int check_certificate(const std::string& path, const std::string& text, bool json) {
+int check_certificate_file(const std::string& path, const std::string& text, bool json) {
   const acme::Certificate leaf = acme::first_certificate(text);
   const acme::Key key = acme::key_from_pem(text);
   const auto names = acme::names_of(leaf);
   const auto now = std::chrono::floor<acme::Seconds>(std::chrono::system_clock::now());
-  const std::string wrong = acme::unsound(text, key, names, now, std::nullopt);
+  const std::string problem = acme::unsound(text, key, names, now, std::nullopt);
   if (json) {
     std::printf("{\"file\":%s,\"sound\":%s,\"wrong\":%s,\"names\":%s,\"ends\":\"%s\"}\n",
-                in_quotes(path).c_str(), wrong.empty() ? "true" : "false", in_quotes(wrong).c_str(),
+                in_quotes(path).c_str(), problem.empty() ? "true" : "false", in_quotes(problem).c_str(),
                 acme::in_brackets(names).c_str(), acme::timestamp(acme::validity_of(leaf).ends).c_str());
   } else {
-    std::printf("%s: %s, ends %s\n", path.c_str(), wrong.empty() ? "can be used" : wrong.c_str(),
+    std::printf("%s: %s, ends %s\n", path.c_str(), problem.empty() ? "can be used" : problem.c_str(),
                 acme::timestamp(acme::validity_of(leaf).ends).c_str());
   }
-  return wrong.empty() ? 0 : 1;
+  return problem.empty() ? 0 : 1;
 }
 
 }  // namespace
@@ -129,7 +130,7 @@
   revoke_->add_option("ID", id_, "the certificate")->required();
   revoke_->add_option("--reason", reason_, "why (RFC 5280)")->transform(CLI::IsMember([] {
     std::vector<std::string> names;
-    for (const auto& each : kReasons) names.push_back(each.first);
+    for (const auto& each : kRevocationReasons) names.push_back(each.first);
     return names;
   }()));
   rollover_ = add("rollover", "give the account a new key");
@@ -142,11 +143,11 @@
     each->add_option("--authority", authority_, "by its name in the settings; the first if left out");
   }
   check_ = add("check", "check a settings file, or a certificate file");
-  check_->add_option("FILE", checked_, "the file")->required();
+  check_->add_option("FILE", checked_file_, "the file")->required();
 }
 
 int CertsCommand::run(Logger& log) const {
-  const std::string& path = check_->parsed() ? checked_ : file_;
+  const std::string& path = check_->parsed() ? checked_file_ : file_;
   try {
     if (check_->parsed()) return check();
     if (status_->parsed()) return status();
@@ -166,8 +167,8 @@
 }
 
 int CertsCommand::status() const {
-  std::FILE* const nowhere = std::fopen("/dev/null", "w");
-  Logger quiet(nowhere);
+  std::FILE* const null_stream = std::fopen("/dev/null", "w");
+  Logger quiet(null_stream);
   acme::Keeper keeper(Certificates::read(file_), quiet, nullptr, acme::Environment::real({}));
   int code = 0;
   std::string out;
@@ -175,14 +176,14 @@
   for (const acme::Standing& each : keeper.standings()) {
     if (!id_.empty() && each.id != id_) continue;
     found = true;
-    code = std::max(code, code_of(each.alarm));
+    code = std::max(code, exit_code_for(each.alarm));
     if (json_) {
-      out += (out.empty() ? "" : ",") + as_json(each);
+      out += (out.empty() ? "" : ",") + status_json(each);
     } else {
       print(each);
     }
   }
-  std::fclose(nowhere);
+  std::fclose(null_stream);
   if (!found) throw acme::SettingsError("there is no certificate \"" + id_ + "\" in " + file_);
   if (json_) std::printf("[%s]\n", out.c_str());
   return code;
@@ -190,7 +191,7 @@
 
 int CertsCommand::renew(Logger& log) const {
   if (id_.empty() == !all_) throw acme::SettingsError("renew needs an ID or --all");
-  Hand keeper(file_, fleet_, log);
+  CertificateAccess keeper(file_, fleet_, log);
   int code = 0;
   std::string out;
   for (const auto& each : keeper->settings().certificates) {
@@ -210,8 +211,8 @@
 }
 
 int CertsCommand::revoke(Logger& log) const {
-  Hand keeper(file_, fleet_, log);
-  const std::string failure = keeper->revoke(id_, kReasons.at(reason_));
+  CertificateAccess keeper(file_, fleet_, log);
+  const std::string failure = keeper->revoke(id_, kRevocationReasons.at(reason_));
   if (json_) {
     std::printf("{\"id\":%s,\"revoked\":%s,\"failure\":%s}\n", in_quotes(id_).c_str(),
                 failure.empty() ? "true" : "false", in_quotes(failure).c_str());
@@ -222,7 +223,7 @@
 }
 
 int CertsCommand::account(Logger& log) const {
-  Hand keeper(file_, fleet_, log);
+  CertificateAccess keeper(file_, fleet_, log);
   const auto& authorities = keeper->settings().authorities;
   std::size_t index = 0;
   while (index < authorities.size() && !authority_.empty() && authorities[index].name != authority_) ++index;
@@ -241,14 +242,14 @@
 }
 
 int CertsCommand::check() const {
-  const std::string text = read_file(checked_);
-  if (text.find("-----BEGIN") != std::string::npos) return check_certificate(checked_, text, json_);
-  const acme::Settings settings = Certificates::read(checked_);
+  const std::string text = read_file(checked_file_);
+  if (text.find("-----BEGIN") != std::string::npos) return check_certificate_file(checked_file_, text, json_);
+  const acme::Settings settings = Certificates::read(checked_file_);
   if (json_) {
     std::printf("{\"file\":%s,\"sound\":true,\"certificates\":%zu,\"authorities\":%zu}\n",
-                in_quotes(checked_).c_str(), settings.certificates.size(), settings.authorities.size());
+                in_quotes(checked_file_).c_str(), settings.certificates.size(), settings.authorities.size());
   } else {
-    std::printf("%s: good: %zu certificates, %zu authorities\n", checked_.c_str(),
+    std::printf("%s: good: %zu certificates, %zu authorities\n", checked_file_.c_str(),
                 settings.certificates.size(), settings.authorities.size());
   }
   return 0;
--- a/src/cli/certs.hpp
+++ b/src/cli/certs.hpp
@@ -27,7 +27,7 @@
   CLI::App* command_;
   CLI::App *status_, *renew_, *revoke_, *rollover_, *contact_, *deactivate_, *check_;
   std::string file_ = "deploy/certs.toml";
-  std::string id_{}, reason_ = "unspecified", authority_{}, checked_{};
+  std::string id_{}, reason_ = "unspecified", authority_{}, checked_file_{};
   std::optional<std::string> fleet_{};
   bool json_ = false, all_ = false;
 };
