--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -18,18 +18,18 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kPatience = milliseconds(3000);
+constexpr Duration kRequestTimeout = milliseconds(3000);
 
 // Asks one voter one thing on a connection of its own.
-class Question : private Stream::Owner {
+class VoterQuery : private Stream::Owner {
  public:
-  Question(Loop& loop, const sockaddr_in& to, std::string frame)
+  VoterQuery(Loop& loop, const sockaddr_in& to, std::string frame)
       : stream_(std::make_shared<Stream>(loop, to, milliseconds(500), static_cast<Stream::Owner&>(*this),
                                          Priority::servers)) {
     stream_->send({std::move(frame), {}, 0});
   }
-  ~Question() override { stream_->close(); }
-  bool over() const { return over_; }
+  ~VoterQuery() override { stream_->close(); }
+  bool finished() const { return finished_; }
   // The answer's values; empty: there was none.
   const std::vector<std::string>& answer() const { return answer_; }
 
@@ -37,31 +37,31 @@
   void on_data(Stream& stream) override {
     link::LinkMessage message;
     std::size_t length = 0;
-    const auto taken = link::decode(stream.input(), message, length);
-    if (taken == link::Taken::part) return;
-    if (taken == link::Taken::whole) answer_.assign(message.values.begin(), message.values.end());
-    over_ = true;
+    const auto decoded = link::decode(stream.input(), message, length);
+    if (decoded == link::Taken::part) return;
+    if (decoded == link::Taken::whole) answer_.assign(message.values.begin(), message.values.end());
+    finished_ = true;
   }
-  void on_disconnected(Stream&, DisconnectReason) override { over_ = true; }
+  void on_disconnected(Stream&, DisconnectReason) override { finished_ = true; }
 
   std::shared_ptr<Stream> stream_;
   std::vector<std::string> answer_;
-  bool over_ = false;
+  bool finished_ = false;
 };
 
-std::uint64_t seed() { return static_cast<std::uint64_t>(unix_time().count()); }
+std::uint64_t time_seed() { return static_cast<std::uint64_t>(unix_time().count()); }
 
 // Asks until it was done or the patience is over.
-std::optional<reg::Reply> ask(const fleet::FleetSettings& settings, const reg::Command& command) {
+std::optional<reg::Reply> execute(const fleet::FleetSettings& settings, const reg::Command& command) {
   Loop loop(steady_time);
-  reg::Client client(loop, fleet::addresses(settings), seed());
+  reg::Client client(loop, fleet::addresses(settings), time_seed());
   std::optional<reg::Reply> reply;
-  bool asked = false;
-  for (const Time until = loop.now() + kPatience; !reply && loop.now() < until;) {
-    if (!std::exchange(asked, true)) {
-      client.ask(command, [&](const std::optional<reg::Reply>& came) {
-        reply = came;
-        asked = came.has_value();
+  bool in_flight = false;
+  for (const Time until = loop.now() + kRequestTimeout; !reply && loop.now() < until;) {
+    if (!std::exchange(in_flight, true)) {
+      client.ask(command, [&](const std::optional<reg::Reply>& received) {
+        reply = received;
+        in_flight = received.has_value();
       });
     }
     client.pump();
@@ -71,41 +71,42 @@
 }
 
 // What each voter says of itself, in the file's order; empty: it did not answer.
-std::vector<std::vector<std::string>> ask_voters(const fleet::FleetSettings& settings) {
+std::vector<std::vector<std::string>> query_voters(const fleet::FleetSettings& settings) {
   Loop loop(steady_time);
-  std::vector<std::unique_ptr<Question>> questions;
+  std::vector<std::unique_ptr<VoterQuery>> queries;
   for (const auto& voter : settings.voters) {
-    questions.push_back(
-        std::make_unique<Question>(loop, voter.address, reg::frame(reg::FrameType::status, 0, {})));
+    queries.push_back(
+        std::make_unique<VoterQuery>(loop, voter.address, reg::frame(reg::FrameType::status, 0, {})));
   }
-  const auto open = [&] {
-    return std::any_of(questions.begin(), questions.end(), [](const auto& each) { return !each->over(); });
+  const auto pending = [&] {
+    return std::any_of(queries.begin(), queries.end(), [](const auto& each) { return !each->finished(); });
   };
-  for (const Time until = loop.now() + kPatience; open() && loop.now() < until;) loop.pass(milliseconds(20));
+  for (const Time until = loop.now() + kRequestTimeout; pending() && loop.now() < until;)
+    loop.pass(milliseconds(20));
   std::vector<std::vector<std::string>> answers;
-  for (const auto& each : questions) answers.push_back(each->answer());
+  for (const auto& each : queries) answers.push_back(each->answer());
   return answers;
 }
 
 // Everything under the prefix, in parts; false: no voter answered as the leader.
-bool each_item(const fleet::FleetSettings& settings, std::string_view prefix,
-               const std::function<void(const reg::Item&)>& take) {
+bool for_each_item(const fleet::FleetSettings& settings, std::string_view prefix,
+                   const std::function<void(const reg::Item&)>& visit) {
   reg::Command command;
   command.op = reg::Op::list;
   command.name = prefix;
   for (bool more = true; more;) {
-    const auto reply = ask(settings, command);
+    const auto reply = execute(settings, command);
     if (!reply) return false;
-    for (const reg::Item& item : reply->items) take(item);
+    for (const reg::Item& item : reply->items) visit(item);
     more = reply->more;
     if (more) command.value = reply->items.back().key;
   }
   return true;
 }
 
-int unreached() {
+int report_no_leader() {
   std::fprintf(stderr, "no voter answered as the leader within %lld s\n",
-               static_cast<long long>(kPatience / std::chrono::seconds(1)));
+               static_cast<long long>(kRequestTimeout / std::chrono::seconds(1)));
   return 1;
 }
 
@@ -114,37 +115,38 @@
 FleetCommands::FleetCommands(CLI::App& app)
     : fleet_(app.add_subcommand("fleet", "the register that a fleet agrees on")),
       duty_(app.add_subcommand("duty", "duties that one controller holds at a time")) {
-  const auto add = [&](CLI::App* group, const char* name, const char* what) {
+  const auto add_command = [&](CLI::App* group, const char* name, const char* what) {
     group->require_subcommand(1);
     CLI::App* const command = group->add_subcommand(name, what);
     command->add_option("--fleet", file_, "the fleet's file")->capture_default_str();
     return command;
   };
-  const auto of_duty = [&](const char* name, const char* what) {
-    CLI::App* const command = add(duty_, name, what);
+  const auto add_duty_command = [&](const char* name, const char* what) {
+    CLI::App* const command = add_command(duty_, name, what);
     command->add_option("duty", duty_name_, "the duty's name")->required();
     return command;
   };
-  init_ = add(fleet_, "init", "make this voter's part of a new register, once, at each of the voters");
+  init_ =
+      add_command(fleet_, "init", "make this voter's part of a new register, once, at each of the voters");
   init_->add_option("--name", name_, "the controller's name among the voters")->required();
-  status_ = add(fleet_, "status", "each voter: leader, term, log, sessions");
+  status_ = add_command(fleet_, "status", "each voter: leader, term, log, sessions");
   status_->add_flag("--json", json_, "a line of JSON for each voter");
-  sessions_ = add(fleet_, "sessions", "the controllers that are there");
+  sessions_ = add_command(fleet_, "sessions", "the controllers that are there");
   sessions_->add_flag("--json", json_, "a line of JSON for each session");
-  remove_ = add(fleet_, "remove", "take out a voter that no controller's file names any more");
+  remove_ = add_command(fleet_, "remove", "take out a voter that no controller's file names any more");
   remove_->add_option("voter", name_, "the voter's name")->required();
-  lead_ =
-      add(fleet_, "lead", "have leadership handed to another voter, as before work on the leader's machine");
+  lead_ = add_command(fleet_, "lead",
+                      "have leadership handed to another voter, as before work on the leader's machine");
   lead_->add_option("voter", name_, "the voter's name; none: whichever is nearest to the leader's log");
-  list_ = add(duty_, "list", "all duties and who holds them");
+  list_ = add_command(duty_, "list", "all duties and who holds them");
   list_->add_flag("--json", json_, "a line of JSON for each duty");
-  show_ = of_duty("show", "one duty");
+  show_ = add_duty_command("show", "one duty");
   show_->add_flag("--json", json_, "JSON");
-  move_ = of_duty("move", "have it handed to another controller");
+  move_ = add_duty_command("move", "have it handed to another controller");
   move_->add_option("to", to_, "the controller's name")->required();
-  pause_ = of_duty("pause", "have it given up, and taken up by nobody");
-  resume_ = of_duty("resume", "end the pause");
-  hold_ = of_duty("hold", "run a program while the duty is held: duty hold NAME -- COMMAND");
+  pause_ = add_duty_command("pause", "have it given up, and taken up by nobody");
+  resume_ = add_duty_command("resume", "end the pause");
+  hold_ = add_duty_command("hold", "run a program while the duty is held: duty hold NAME -- COMMAND");
   hold_->add_option("--name", name_, "this holder's name; as a rule the machine's");
   hold_->add_flag("--once", once_, "end when the program has ended with 0");
   hold_->add_option("command", command_, "the program and its arguments, after --")->required();
@@ -162,11 +164,11 @@
   if (init_->parsed()) return init(log, settings);
   if (status_->parsed()) return status(settings);
   if (sessions_->parsed()) return sessions(settings);
-  if (remove_->parsed()) return ask_leader(settings, reg::FrameType::remove);
-  if (lead_->parsed()) return ask_leader(settings, reg::FrameType::lead);
+  if (remove_->parsed()) return request_leader(settings, reg::FrameType::remove);
+  if (lead_->parsed()) return request_leader(settings, reg::FrameType::lead);
   if (hold_->parsed()) return hold(log, settings);
   if (list_->parsed() || show_->parsed()) return list(log, settings);
-  return operate(log, settings);
+  return change_duty(log, settings);
 }
 
 int FleetCommands::init(Logger& log, const fleet::FleetSettings& settings) {
@@ -189,7 +191,7 @@
 }
 
 int FleetCommands::status(const fleet::FleetSettings& settings) {
-  const auto answers = ask_voters(settings);
+  const auto answers = query_voters(settings);
   std::uint64_t newest = 0;
   for (const auto& a : answers) {
     if (a.size() >= 10) newest = std::max<std::uint64_t>(newest, std::strtoull(a[4].c_str(), nullptr, 10));
@@ -236,7 +238,7 @@
 
 int FleetCommands::sessions(const fleet::FleetSettings& settings) {
   if (!json_) std::printf("%-24s %s\n", "controller", "incarnation");
-  const bool reached = each_item(settings, reg::kSessionPrefix, [this](const reg::Item& item) {
+  const bool reached = for_each_item(settings, reg::kSessionPrefix, [this](const reg::Item& item) {
     const std::string key = item.key.substr(reg::kSessionPrefix.size());
     const auto slash = key.rfind('/');
     const std::string name = key.substr(0, slash), incarnation = key.substr(slash + 1);
@@ -247,33 +249,34 @@
       std::printf("%-24s %s\n", name.c_str(), incarnation.c_str());
     }
   });
-  return reached ? 0 : unreached();
+  return reached ? 0 : report_no_leader();
 }
 
-int FleetCommands::ask_leader(const fleet::FleetSettings& settings, reg::FrameType what) {
-  const auto answers = ask_voters(settings);
-  const auto leads = std::find_if(answers.begin(), answers.end(),
-                                  [](const auto& a) { return a.size() >= 10 && a[1] == "1"; });
-  if (leads == answers.end()) return unreached();
+int FleetCommands::request_leader(const fleet::FleetSettings& settings, reg::FrameType type) {
+  const auto answers = query_voters(settings);
+  const auto leader = std::find_if(answers.begin(), answers.end(),
+                                   [](const auto& a) { return a.size() >= 10 && a[1] == "1"; });
+  if (leader == answers.end()) return report_no_leader();
   Loop loop(steady_time);
-  const Question question(loop, settings.voters[static_cast<std::size_t>(leads - answers.begin())].address,
-                          reg::frame(what, 0, {name_}));
-  for (const Time until = loop.now() + kPatience; !question.over() && loop.now() < until;) {
+  const VoterQuery query(loop, settings.voters[static_cast<std::size_t>(leader - answers.begin())].address,
+                         reg::frame(type, 0, {name_}));
+  for (const Time until = loop.now() + kRequestTimeout; !query.finished() && loop.now() < until;) {
     loop.pass(milliseconds(20));
   }
-  if (question.answer().size() != 1) {
+  if (query.answer().size() != 1) {
     std::fprintf(stderr, "the leader does not answer: whether it was done, \"fleet status\" tells\n");
     return 1;
   }
-  const std::string& wrong = question.answer().front();
-  if (!wrong.empty()) std::fprintf(stderr, "%s: %s\n", name_.empty() ? "-" : name_.c_str(), wrong.c_str());
-  return wrong.empty() ? 0 : 1;
+  const std::string& problem = query.answer().front();
+  if (!problem.empty())
+    std::fprintf(stderr, "%s: %s\n", name_.empty() ? "-" : name_.c_str(), problem.c_str());
+  return problem.empty() ? 0 : 1;
 }
 
 int FleetCommands::list(Logger&, const fleet::FleetSettings& settings) {
   std::size_t shown = 0;
   if (!json_) std::printf("%-24s %-16s %10s  %s\n", "duty", "holder", "token", "");
-  const bool reached = each_item(settings, reg::kDutyPrefix, [&](const reg::Item& item) {
+  const bool reached = for_each_item(settings, reg::kDutyPrefix, [&](const reg::Item& item) {
     const std::string name = item.key.substr(reg::kDutyPrefix.size());
     if (show_->parsed() && name != duty_name_) return;
     ++shown;
@@ -292,18 +295,18 @@
     std::printf("%-24s %-16s %10llu  %s\n", name.c_str(), holder.empty() ? "-" : holder.c_str(),
                 static_cast<unsigned long long>(duty.token), notes.c_str());
   });
-  if (!reached) return unreached();
+  if (!reached) return report_no_leader();
   return show_->parsed() && shown == 0 ? 1 : 0;
 }
 
-int FleetCommands::operate(Logger&, const fleet::FleetSettings& settings) {
+int FleetCommands::change_duty(Logger&, const fleet::FleetSettings& settings) {
   reg::Command command;
   command.name = duty_name_;
   command.op = move_->parsed() ? reg::Op::move : reg::Op::pause;
   command.value = to_;
   command.number = pause_->parsed() ? 1 : 0;
-  const auto reply = ask(settings, command);
-  if (!reply) return unreached();
+  const auto reply = execute(settings, command);
+  if (!reply) return report_no_leader();
   if (reply->code == reg::Code::ok) return 0;
   std::fprintf(
       stderr, "%s: %s\n", duty_name_.c_str(),
@@ -321,7 +324,7 @@
   const Signals signals(loop);
   duty::Member member(loop, log, fleet::addresses(settings), fleet::lease_settings(settings, name_),
                       {fleet::duty_settings(settings, duty_name_, name_)},
-                      seed() ^ static_cast<std::uint64_t>(::getpid()));
+                      time_seed() ^ static_cast<std::uint64_t>(::getpid()));
   duty::Runner runner(loop, log, member, duty_name_, command_, settings.ending);
   member.set_work(duty_name_, runner);
   member.start();
--- a/src/cli/fleet.hpp
+++ b/src/cli/fleet.hpp
@@ -24,10 +24,10 @@
   int init(Logger& log, const fleet::FleetSettings& settings);
   int status(const fleet::FleetSettings& settings);
   int sessions(const fleet::FleetSettings& settings);
-  int ask_leader(const fleet::FleetSettings& settings, reg::FrameType what);
+  int request_leader(const fleet::FleetSettings& settings, reg::FrameType type);
   int hold(Logger& log, const fleet::FleetSettings& settings);
   int list(Logger& log, const fleet::FleetSettings& settings);
-  int operate(Logger& log, const fleet::FleetSettings& settings);
+  int change_duty(Logger& log, const fleet::FleetSettings& settings);
 
   CLI::App *fleet_, *duty_;
   CLI::App *init_, *status_, *sessions_, *remove_, *lead_, *hold_, *list_, *show_, *move_, *pause_, *resume_;
