--- a/src/cli/gap.cpp
+++ b/src/cli/gap.cpp
@@ -16,28 +16,28 @@
 namespace quartzarch::cli {
 namespace {
 
-constexpr std::chrono::milliseconds kPatience{5000};
+constexpr std::chrono::milliseconds kRequestTimeout{5000};
 
-std::string list_of(const std::vector<std::string>& values) {
+std::string json_array(const std::vector<std::string>& values) {
   std::string out;
   for (const std::string& each : values) out += (out.empty() ? "" : ",") + in_quotes(each);
   return "[" + out + "]";
 }
 
-std::string number_text(double value) {
+std::string format_number(double value) {
   char out[32];
   std::snprintf(out, sizeof out, "%.10g", value);
   return out;
 }
 
-std::string head(const char* op) { return "{\"v\":1,\"op\":\"" + std::string(op) + "\""; }
+std::string request_head(const char* op) { return "{\"v\":1,\"op\":\"" + std::string(op) + "\""; }
 
-std::int64_t figure(simdjson::dom::element from, const char* name) {
+std::int64_t integer_field(simdjson::dom::element from, const char* name) {
   std::int64_t value = 0;
   return from[name].get(value) == simdjson::SUCCESS ? value : 0;
 }
 
-std::string text(simdjson::dom::element from, const char* name) {
+std::string string_field(simdjson::dom::element from, const char* name) {
   std::string_view value;
   return from[name].get(value) == simdjson::SUCCESS ? std::string(value) : std::string();
 }
@@ -49,25 +49,25 @@
   command_->require_subcommand(1);
   const char* const user = std::getenv("USER");
   who_ = user ? user : "";
-  const auto add = [&](const char* name, const char* what) {
+  const auto add_command = [&](const char* name, const char* what) {
     CLI::App* const command = command_->add_subcommand(name, what);
     command->add_option("--control", instances_, "the instances' control connections")->capture_default_str();
     command->add_flag("--json", json_, "print JSON, a line an instance");
     return command;
   };
-  const auto call = [&](CLI::App* command) {
+  const auto add_match_options = [&](CLI::App* command) {
     command->add_option("--number", number_, "7f3a, 7f3*, 7?3a, 1000..1999, several with commas")
         ->capture_default_str();
     command->add_option("--front", front_, "binary or sip")->check(CLI::IsMember({"binary", "sip"}));
   };
-  const auto reason = [&](CLI::App* command) {
+  const auto add_audit_options = [&](CLI::App* command) {
     command->add_option("--who", who_, "for the audit log")->capture_default_str();
     command->add_option("--why", why_, "for the audit log");
   };
-  add_ = add("add", "announce a gap, or change one by its id");
+  add_ = add_command("add", "announce a gap, or change one by its id");
   add_->add_option("ID", id_, "its name");
-  call(add_);
-  reason(add_);
+  add_match_options(add_);
+  add_audit_options(add_);
   add_->add_option("--file", file_, "rules from a file, one JSON object a line, all or none");
   add_->add_option("--class", classes_, "classes of call");
   add_->add_option("--caller", callers_, "networks of callers");
@@ -82,28 +82,28 @@
   interval->excludes(bucket)->excludes(part)->excludes(block);
   bucket->excludes(part)->excludes(block);
   part->excludes(block);
-  add_->add_option("--start-s", from_s_, "begins so many seconds from now");
+  add_->add_option("--start-s", start_in_s_, "begins so many seconds from now");
   add_->add_option("--for-s", for_s_, "ends so many seconds after its beginning");
   add_->add_option("--weekly", weekly_, "\"mon,tue 08:30-10:00\", UTC");
   add_->add_option("--revision", revision_, "the next one if left out");
-  lift_ = add("lift", "lift a gap");
+  lift_ = add_command("lift", "lift a gap");
   lift_->add_option("ID", id_, "its name")->required();
   lift_->add_option("--revision", revision_, "of the lifting; the next one if left out");
-  reason(lift_);
-  list_ = add("list", "the gaps in force");
-  show_ = add("show", "one gap with its counts");
+  add_audit_options(lift_);
+  list_ = add_command("list", "the gaps in force");
+  show_ = add_command("show", "one gap with its counts");
   show_->add_option("ID", id_, "its name")->required();
-  watch_ = add("watch", "the counts once a second");
+  watch_ = add_command("watch", "the counts once a second");
   watch_->add_option("--times", times_, "so often; without end if left out");
-  suggest_ = add("suggest", "the numbers that swamp");
-  test_ = add("test", "what would happen to a call, without one");
-  call(test_);
+  suggest_ = add_command("suggest", "the numbers that swamp");
+  test_ = add_command("test", "what would happen to a call, without one");
+  add_match_options(test_);
   test_->add_option("--class", classes_, "its class");
   test_->add_option("--caller", caller_, "the address it comes from");
   test_->add_flag("--repeat", repeat_, "a repeated try");
 }
 
-std::string GapCommand::add_line() const {
+std::string GapCommand::add_request() const {
   if (!file_.empty()) {
     std::string rules, line;
     std::istringstream lines(read_file(file_));
@@ -111,39 +111,39 @@
       if (line.find_first_not_of(" \t\r") == std::string::npos) continue;
       rules += (rules.empty() ? "" : ",") + line;
     }
-    return head("gap.add") + ",\"rules\":[" + rules + "]}";
+    return request_head("gap.add") + ",\"rules\":[" + rules + "]}";
   }
   if (id_.empty()) throw gap::RuleError("an ID or --file is needed");
   std::string rule = "{\"id\":" + in_quotes(id_) + ",\"number\":" + in_quotes(number_);
   if (revision_ > 0) rule += ",\"revision\":" + std::to_string(revision_);
-  if (!classes_.empty()) rule += ",\"class\":" + list_of(classes_);
-  if (!callers_.empty()) rule += ",\"caller\":" + list_of(callers_);
+  if (!classes_.empty()) rule += ",\"class\":" + json_array(classes_);
+  if (!callers_.empty()) rule += ",\"caller\":" + json_array(callers_);
   if (!front_.empty()) rule += ",\"front\":" + in_quotes(front_);
   if (!try_.empty()) rule += ",\"try\":" + in_quotes(try_);
-  if (!exempt_classes_.empty()) rule += ",\"exempt_class\":" + list_of(exempt_classes_);
-  if (!exempt_callers_.empty()) rule += ",\"exempt_caller\":" + list_of(exempt_callers_);
+  if (!exempt_classes_.empty()) rule += ",\"exempt_class\":" + json_array(exempt_classes_);
+  if (!exempt_callers_.empty()) rule += ",\"exempt_caller\":" + json_array(exempt_callers_);
   std::string control;
-  if (interval_ms_ != 0) control = "\"interval_ms\":" + number_text(interval_ms_);
-  if (per_s_ != 0) control = "\"per_s\":" + number_text(per_s_);
-  if (burst_ != 0) control += ",\"burst\":" + number_text(burst_);
-  if (percentage_ >= 0) control = "\"percentage\":" + number_text(percentage_);
+  if (interval_ms_ != 0) control = "\"interval_ms\":" + format_number(interval_ms_);
+  if (per_s_ != 0) control = "\"per_s\":" + format_number(per_s_);
+  if (burst_ != 0) control += ",\"burst\":" + format_number(burst_);
+  if (percentage_ >= 0) control = "\"percentage\":" + format_number(percentage_);
   if (block_) control = "\"block\":true";
   rule += ",\"control\":{" + control + "}";
   const auto now =
       std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch());
-  if (from_s_ > 0) rule += ",\"start_s\":" + std::to_string(now.count() + from_s_);
+  if (start_in_s_ > 0) rule += ",\"start_s\":" + std::to_string(now.count() + start_in_s_);
   if (for_s_ > 0)
-    rule += ",\"end_s\":" + std::to_string(now.count() + std::max<std::int64_t>(from_s_, 0) + for_s_);
-  if (!weekly_.empty()) rule += ",\"weekly\":" + list_of(weekly_);
+    rule += ",\"end_s\":" + std::to_string(now.count() + std::max<std::int64_t>(start_in_s_, 0) + for_s_);
+  if (!weekly_.empty()) rule += ",\"weekly\":" + json_array(weekly_);
   if (!who_.empty()) rule += ",\"who\":" + in_quotes(who_);
   if (!why_.empty()) rule += ",\"why\":" + in_quotes(why_);
   rule += "}";
   gap::parse_rule(rule);  // a fault is told here, before any instance hears of it
-  return head("gap.add") + ",\"rule\":" + rule + "}";
+  return request_head("gap.add") + ",\"rule\":" + rule + "}";
 }
 
-std::string GapCommand::test_line() const {
-  return head("gap.test") + ",\"number\":" + in_quotes(number_) +
+std::string GapCommand::test_request() const {
+  return request_head("gap.test") + ",\"number\":" + in_quotes(number_) +
          (classes_.empty() ? "" : ",\"class\":" + in_quotes(classes_.front())) +
          (caller_.empty() ? "" : ",\"caller\":" + in_quotes(caller_)) +
          (front_.empty() ? "" : ",\"front\":" + in_quotes(front_)) + (repeat_ ? ",\"repeat\":true" : "") +
@@ -163,47 +163,51 @@
     return;
   }
   if (!ok) {
-    std::printf("%s: refused: %s\n", instance.c_str(), text(root, "error").c_str());
+    std::printf("%s: refused: %s\n", instance.c_str(), string_field(root, "error").c_str());
     return;
   }
-  simdjson::dom::array all;
-  if (root["gaps"].get(all) == simdjson::SUCCESS) {
+  simdjson::dom::array items;
+  if (root["gaps"].get(items) == simdjson::SUCCESS) {
     std::printf("%s\n", instance.c_str());
     std::printf("  %-16s %-20s %-28s %9s %9s %9s %9s %7s %7s\n", "id", "number", "lets pass", "offered",
                 "passed", "refused", "repeated", "kept", "early");
-    for (const simdjson::dom::element each : all) {
-      std::printf(
-          "  %-16s %-20s %-28s %9lld %9lld %9lld %9lld %7lld %7lld\n",
-          text(each["rule"].value(), "id").c_str(),
-          text(each["rule"].value(), "number").substr(0, 20).c_str(), text(each, "says").c_str(),
-          static_cast<long long>(figure(each, "offered")), static_cast<long long>(figure(each, "passed")),
-          static_cast<long long>(figure(each, "refused")), static_cast<long long>(figure(each, "repeated")),
-          static_cast<long long>(figure(each, "kept")), static_cast<long long>(figure(each, "early")));
+    for (const simdjson::dom::element each : items) {
+      std::printf("  %-16s %-20s %-28s %9lld %9lld %9lld %9lld %7lld %7lld\n",
+                  string_field(each["rule"].value(), "id").c_str(),
+                  string_field(each["rule"].value(), "number").substr(0, 20).c_str(),
+                  string_field(each, "says").c_str(), static_cast<long long>(integer_field(each, "offered")),
+                  static_cast<long long>(integer_field(each, "passed")),
+                  static_cast<long long>(integer_field(each, "refused")),
+                  static_cast<long long>(integer_field(each, "repeated")),
+                  static_cast<long long>(integer_field(each, "kept")),
+                  static_cast<long long>(integer_field(each, "early")));
     }
     return;
   }
-  if (root["numbers"].get(all) == simdjson::SUCCESS) {
-    std::printf("%s: %lld calls in %lld s\n", instance.c_str(), static_cast<long long>(figure(root, "calls")),
-                static_cast<long long>(figure(root, "window_ms") / 1000));
-    for (const simdjson::dom::element each : all) {
+  if (root["numbers"].get(items) == simdjson::SUCCESS) {
+    std::printf("%s: %lld calls in %lld s\n", instance.c_str(),
+                static_cast<long long>(integer_field(root, "calls")),
+                static_cast<long long>(integer_field(root, "window_ms") / 1000));
+    for (const simdjson::dom::element each : items) {
       std::printf("  %-24s offered %8lld (at most %lld too many)  answered %8lld  refused %8lld\n",
-                  text(each, "number").c_str(), static_cast<long long>(figure(each, "offered")),
-                  static_cast<long long>(figure(each, "error")),
-                  static_cast<long long>(figure(each, "answered")),
-                  static_cast<long long>(figure(each, "refused")));
+                  string_field(each, "number").c_str(),
+                  static_cast<long long>(integer_field(each, "offered")),
+                  static_cast<long long>(integer_field(each, "error")),
+                  static_cast<long long>(integer_field(each, "answered")),
+                  static_cast<long long>(integer_field(each, "refused")));
     }
     return;
   }
   if (bool passes = false; root["passes"].get(passes) == simdjson::SUCCESS) {
     std::printf("%s: %s%s\n", instance.c_str(), passes ? "passes" : "refused by ",
-                text(root, "refused_by").c_str());
+                string_field(root, "refused_by").c_str());
     return;
   }
   std::printf("%s: done, revision %lld\n", instance.c_str(),
-              static_cast<long long>(figure(root, "revision")));
+              static_cast<long long>(integer_field(root, "revision")));
 }
 
-int GapCommand::ask_all(Logger& log, const std::string& line, bool quiet) const {
+int GapCommand::send_to_all(Logger& log, const std::string& line, bool quiet) const {
   int code = 0;
   for (const std::string& instance : instances_) {
     const auto address = parse_address(instance);
@@ -212,7 +216,7 @@
       return 2;
     }
     try {
-      const std::string reply = control::Client(*address, kPatience).send_command(line);
+      const std::string reply = control::Client(*address, kRequestTimeout).send_command(line);
       if (!quiet) print(instance, reply);
       if (reply.find("\"ok\":true") == std::string::npos) code = 1;
     } catch (const std::runtime_error& error) {
@@ -227,7 +231,7 @@
   int code = 0;
   for (std::int64_t i = 0; times_ == 0 || i < times_; ++i) {
     if (i > 0) std::this_thread::sleep_for(std::chrono::seconds(1));
-    code = ask_all(log, head("gap.list") + "}");
+    code = send_to_all(log, request_head("gap.list") + "}");
     std::fflush(stdout);
   }
   return code;
@@ -235,16 +239,17 @@
 
 int GapCommand::run(Logger& log) const {
   try {
-    if (add_->parsed()) return ask_all(log, add_line());
+    if (add_->parsed()) return send_to_all(log, add_request());
     if (lift_->parsed()) {
-      return ask_all(log, head("gap.lift") + ",\"id\":" + in_quotes(id_) +
-                              (revision_ > 0 ? ",\"revision\":" + std::to_string(revision_) : "") +
-                              ",\"who\":" + in_quotes(who_) + ",\"why\":" + in_quotes(why_) + "}");
+      return send_to_all(log, request_head("gap.lift") + ",\"id\":" + in_quotes(id_) +
+                                  (revision_ > 0 ? ",\"revision\":" + std::to_string(revision_) : "") +
+                                  ",\"who\":" + in_quotes(who_) + ",\"why\":" + in_quotes(why_) + "}");
     }
-    if (list_->parsed()) return ask_all(log, head("gap.list") + "}");
-    if (show_->parsed()) return ask_all(log, head("gap.list") + ",\"id\":" + in_quotes(id_) + "}");
-    if (suggest_->parsed()) return ask_all(log, head("gap.suggest") + "}");
-    if (test_->parsed()) return ask_all(log, test_line());
+    if (list_->parsed()) return send_to_all(log, request_head("gap.list") + "}");
+    if (show_->parsed())
+      return send_to_all(log, request_head("gap.list") + ",\"id\":" + in_quotes(id_) + "}");
+    if (suggest_->parsed()) return send_to_all(log, request_head("gap.suggest") + "}");
+    if (test_->parsed()) return send_to_all(log, test_request());
     return watch(log);
   } catch (const gap::RuleError& error) {
     log.line("gap: %s", error.what());
--- a/src/cli/gap.hpp
+++ b/src/cli/gap.hpp
@@ -18,10 +18,10 @@
   int run(Logger& log) const;
 
  private:
-  std::string add_line() const;
-  std::string test_line() const;
+  std::string add_request() const;
+  std::string test_request() const;
   int watch(Logger& log) const;
-  int ask_all(Logger& log, const std::string& line, bool quiet = false) const;
+  int send_to_all(Logger& log, const std::string& line, bool quiet = false) const;
   void print(const std::string& instance, const std::string& reply) const;
 
   CLI::App* command_;
@@ -30,7 +30,7 @@
   std::string id_{}, number_ = "*", front_{}, try_{}, who_{}, why_{}, file_{}, caller_{};
   std::vector<std::string> classes_{}, callers_{}, exempt_classes_{}, exempt_callers_{}, weekly_{};
   double interval_ms_ = 0, per_s_ = 0, burst_ = 0, percentage_ = -1;
-  std::int64_t revision_ = 0, for_s_ = 0, from_s_ = 0, times_ = 0;
+  std::int64_t revision_ = 0, for_s_ = 0, start_in_s_ = 0, times_ = 0;
   bool block_ = false, json_ = false, repeat_ = false;
 };
 
