--- a/src/logging/output.cpp
+++ b/src/logging/output.cpp
@@ -13,37 +13,37 @@
 
 struct Output::Sink {
   explicit Sink(const Settings& settings) : json(settings.json) {
-    spdlog::sink_ptr to;
+    spdlog::sink_ptr target;
     if (settings.file.empty()) {
-      to = std::make_shared<spdlog::sinks::stderr_sink_mt>();
+      target = std::make_shared<spdlog::sinks::stderr_sink_mt>();
     } else {
-      to = std::make_shared<spdlog::sinks::rotating_file_sink_mt>(settings.file, settings.max_bytes,
-                                                                  settings.files);
+      target = std::make_shared<spdlog::sinks::rotating_file_sink_mt>(settings.file, settings.max_bytes,
+                                                                      settings.files);
     }
-    logger = std::make_unique<spdlog::logger>("quartzarch", to);
+    logger = std::make_unique<spdlog::logger>("quartzarch", target);
     logger->set_pattern("%v");
     logger->flush_on(spdlog::level::info);
     // A disk that is full is no reason to say anything more.
     logger->set_error_handler([](const std::string&) {});
   }
   // Whole lines, as Logger flushes each; a part of one waits for the rest.
-  void take(std::string_view bytes) {
-    rest += bytes;
+  void write(std::string_view bytes) {
+    partial_line += bytes;
     std::size_t begin = 0;
-    for (std::size_t end; (end = rest.find('\n', begin)) != std::string::npos; begin = end + 1) {
-      const std::string_view line(rest.data() + begin, end - begin);
+    for (std::size_t end; (end = partial_line.find('\n', begin)) != std::string::npos; begin = end + 1) {
+      const std::string_view line(partial_line.data() + begin, end - begin);
       if (json) {
-        logger->info("{}", structured(line));
+        logger->info("{}", to_json_line(line));
       } else {
         logger->info("{}", line);
       }
     }
-    rest.erase(0, begin);
+    partial_line.erase(0, begin);
   }
 
   bool json;
   std::unique_ptr<spdlog::logger> logger;
-  std::string rest;
+  std::string partial_line;
 };
 
 Output::Output(Logger& log, const Settings& settings) : log_(log) {
@@ -54,7 +54,7 @@
   }
   cookie_io_functions_t io{};
   io.write = [](void* sink, const char* bytes, std::size_t size) {
-    static_cast<Sink*>(sink)->take({bytes, size});
+    static_cast<Sink*>(sink)->write({bytes, size});
     return static_cast<ssize_t>(size);
   };
   stream_ = ::fopencookie(sink_.get(), "w", io);
--- a/src/logging/structured.cpp
+++ b/src/logging/structured.cpp
@@ -16,16 +16,16 @@
   bool quoted = false;
 };
 
-bool name_letter(char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '_'; }
+bool is_key_char(char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '_'; }
 
 // Nothing if anything in it is no pair.
-std::optional<std::vector<Pair>> pairs(std::string_view text) {
+std::optional<std::vector<Pair>> parse_pairs(std::string_view text) {
   std::vector<Pair> found;
   while (!text.empty()) {
     const auto equals = text.find('=');
     if (equals == 0 || equals == std::string_view::npos) return std::nullopt;
     Pair pair{text.substr(0, equals)};
-    if (!std::all_of(pair.key.begin(), pair.key.end(), name_letter) || pair.key == "time")
+    if (!std::all_of(pair.key.begin(), pair.key.end(), is_key_char) || pair.key == "time")
       return std::nullopt;
     text.remove_prefix(equals + 1);
     pair.quoted = !text.empty() && text.front() == '"';
@@ -43,7 +43,7 @@
   return found;
 }
 
-bool whole_number(std::string_view text) {
+bool is_integer(std::string_view text) {
   std::int64_t value = 0;
   const auto end = text.data() + text.size();
   const bool zeros = text.size() > 1 && (text[0] == '0' || (text[0] == '-' && text[1] == '0'));
@@ -51,7 +51,7 @@
 }
 
 // "1796171125.837 what" -> the time as text, and what was said.
-std::string time_off(std::string_view& line) {
+std::string take_timestamp(std::string_view& line) {
   std::time_t seconds = 0;
   const auto [dot, error] = std::from_chars(line.data(), line.data() + line.size(), seconds);
   const auto at = static_cast<std::size_t>(dot - line.data());
@@ -68,29 +68,29 @@
 
 }  // namespace
 
-std::string structured(std::string_view line) {
-  const std::string time = time_off(line);
+std::string to_json_line(std::string_view line) {
+  const std::string time = take_timestamp(line);
   std::string out = "{";
-  const auto add = [&](std::string_view key, const std::string& value) {
+  const auto add_field = [&](std::string_view key, const std::string& value) {
     if (out.size() > 1) out += ',';
     out += in_quotes(key) + ":" + value;
   };
-  if (!time.empty()) add("time", in_quotes(time));
-  if (const auto fields = pairs(line); fields && !fields->empty()) {
+  if (!time.empty()) add_field("time", in_quotes(time));
+  if (const auto fields = parse_pairs(line); fields && !fields->empty()) {
     for (const Pair& pair : *fields) {
-      add(pair.key,
-          !pair.quoted && whole_number(pair.value) ? std::string(pair.value) : in_quotes(pair.value));
+      add_field(pair.key,
+                !pair.quoted && is_integer(pair.value) ? std::string(pair.value) : in_quotes(pair.value));
     }
     return out + "}";
   }
   const auto colon = line.find(": ");
-  const std::string_view part = line.substr(0, std::min(colon, line.size()));
-  if (colon != std::string_view::npos && !part.empty() &&
-      std::all_of(part.begin(), part.end(), name_letter)) {
-    add("part", in_quotes(part));
+  const std::string_view component = line.substr(0, std::min(colon, line.size()));
+  if (colon != std::string_view::npos && !component.empty() &&
+      std::all_of(component.begin(), component.end(), is_key_char)) {
+    add_field("part", in_quotes(component));
     line.remove_prefix(colon + 2);
   }
-  add("text", in_quotes(line));
+  add_field("text", in_quotes(line));
   return out + "}";
 }
 
--- a/tests/logging_test.cpp
+++ b/tests/logging_test.cpp
@@ -9,21 +9,21 @@
 namespace quartzarch::test {
 namespace {
 
-using logging::structured;
+using logging::to_json_line;
 
 TEST(Logging, ALineOfPairsGetsAFieldForEachAndAnyOtherStaysWhole) {
   EXPECT_EQ(
-      structured("1796171125.837 duty=work event=end token=17 why=\"handed on in order\""),
+      to_json_line("1796171125.837 duty=work event=end token=17 why=\"handed on in order\""),
       R"({"time":"2026-12-02T00:25:25.837Z","duty":"work","event":"end","token":17,"why":"handed on in order"})");
-  EXPECT_EQ(structured("1796171125.837 register: term 2, the leader is a"),
+  EXPECT_EQ(to_json_line("1796171125.837 register: term 2, the leader is a"),
             R"({"time":"2026-12-02T00:25:25.837Z","part":"register","text":"term 2, the leader is a"})");
   // Nothing is lost of what only looks like pairs, and no field comes twice.
   for (const char* const odd : {"a=1 b", "a=\"1", "=1", "a=1 a=2", "time=1", "", "a=1  b=2"}) {
-    const std::string text = structured(std::string("1796171125.837 ") + odd);
+    const std::string text = to_json_line(std::string("1796171125.837 ") + odd);
     EXPECT_NE(text.find("\"text\":" + in_quotes(odd)), std::string::npos) << text;
   }
-  EXPECT_EQ(structured("no time"), R"({"text":"no time"})");
-  EXPECT_EQ(structured("1.000 number=007"), R"({"time":"1970-01-01T00:00:01.000Z","number":"007"})");
+  EXPECT_EQ(to_json_line("no time"), R"({"text":"no time"})");
+  EXPECT_EQ(to_json_line("1.000 number=007"), R"({"time":"1970-01-01T00:00:01.000Z","number":"007"})");
 }
 
 TEST(Logging, ASettingsFileThatIsWrongIsToldInOneLine) {
