--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -275,13 +275,13 @@
 // ---- Handshakes by SNI
 
 double handshakes_per_s(tls::Registry& registry, std::size_t names, milliseconds how_long) {
-  const std::unique_ptr<SSL_CTX, tls::FreeSsl> context(SSL_CTX_new(TLS_client_method()));
+  const std::unique_ptr<SSL_CTX, tls::OpenSslDeleter> context(SSL_CTX_new(TLS_client_method()));
   std::size_t done = 0;
   const auto begun = std::chrono::steady_clock::now();
   auto now = begun;
   while (now - begun < how_long) {
     for (int i = 0; i < 10; ++i, ++done) {
-      const std::unique_ptr<SSL, tls::FreeSsl> client(SSL_new(context.get())),
+      const std::unique_ptr<SSL, tls::OpenSslDeleter> client(SSL_new(context.get())),
           server(SSL_new(registry.server()));
       BIO *ours = nullptr, *theirs = nullptr;
       BIO_new_bio_pair(&ours, 1 << 16, &theirs, 1 << 16);
--- a/src/front/sip/tls.hpp
+++ b/src/front/sip/tls.hpp
@@ -37,7 +37,7 @@
   std::shared_ptr<tls::Registry> registry_;
   std::string certificate_;
   std::string stamp_{};
-  std::unique_ptr<SSL_CTX, tls::FreeSsl> client_{};
+  std::unique_ptr<SSL_CTX, tls::OpenSslDeleter> client_{};
 };
 
 class TlsSession {
@@ -60,7 +60,7 @@
   explicit TlsSession(SSL_CTX* context);
   bool step();
 
-  std::unique_ptr<SSL, tls::FreeSsl> ssl_;
+  std::unique_ptr<SSL, tls::OpenSslDeleter> ssl_;
   std::string plain_{}, held_{};
 };
 
--- a/src/tls/registry.cpp
+++ b/src/tls/registry.cpp
@@ -69,8 +69,8 @@
 }  // namespace
 
 struct Registry::Identity {
-  std::unique_ptr<EVP_PKEY, FreeSsl> key{};
-  std::unique_ptr<X509, FreeSsl> certificate{};
+  std::unique_ptr<EVP_PKEY, OpenSslDeleter> key{};
+  std::unique_ptr<X509, OpenSslDeleter> certificate{};
   STACK_OF(X509) * chain = sk_X509_new_null();
   std::vector<std::string> names{};
 
--- a/src/tls/registry.hpp
+++ b/src/tls/registry.hpp
@@ -24,7 +24,7 @@
   using std::runtime_error::runtime_error;
 };
 
-struct FreeSsl {
+struct OpenSslDeleter {
   void operator()(SSL_CTX* context) const { SSL_CTX_free(context); }
   void operator()(SSL* session) const { SSL_free(session); }
   void operator()(X509* certificate) const { X509_free(certificate); }
@@ -78,7 +78,7 @@
   static SSL_TICKET_RETURN take_ticket(SSL* session, SSL_SESSION* resumed, const unsigned char* name,
                                        std::size_t name_size, SSL_TICKET_STATUS status, void* self);
 
-  std::unique_ptr<SSL_CTX, FreeSsl> server_;
+  std::unique_ptr<SSL_CTX, OpenSslDeleter> server_;
   mutable std::mutex mutex_;
   std::shared_ptr<const Table> table_ = std::make_shared<Table>();
 };
--- a/standin/authority/authority.cpp
+++ b/standin/authority/authority.cpp
@@ -15,7 +15,7 @@
 constexpr int kLookForStopMs = 20;
 constexpr std::size_t kLongestRequest = 256 * 1024;
 
-using Session = std::unique_ptr<SSL, tls::FreeSsl>;
+using Session = std::unique_ptr<SSL, tls::OpenSslDeleter>;
 
 void set_patience(int fd, int seconds) {
   const timeval patience{seconds, 0};
@@ -202,7 +202,7 @@
 std::string Authority::look_tls(const Look& look) const {
   const Fd fd = setup_.tls_alpn ? connect_to(*setup_.tls_alpn) : Fd();
   if (!fd) return "no connection for tls-alpn-01";
-  const std::unique_ptr<SSL_CTX, tls::FreeSsl> context(SSL_CTX_new(TLS_client_method()));
+  const std::unique_ptr<SSL_CTX, tls::OpenSslDeleter> context(SSL_CTX_new(TLS_client_method()));
   const Session session(SSL_new(context.get()));
   SSL_set_fd(session.get(), fd.get());
   SSL_set_tlsext_host_name(session.get(), look.name.c_str());
--- a/standin/gateway/gateway.hpp
+++ b/standin/gateway/gateway.hpp
@@ -60,8 +60,8 @@
 
   Options options_;
   Fd fd_{};
-  std::unique_ptr<SSL_CTX, tls::FreeSsl> context_{};
-  std::unique_ptr<SSL, tls::FreeSsl> ssl_{};
+  std::unique_ptr<SSL_CTX, tls::OpenSslDeleter> context_{};
+  std::unique_ptr<SSL, tls::OpenSslDeleter> ssl_{};
   SSL_SESSION* session_ = nullptr;  // for a resumption
   std::string input_{}, certificate_{}, why_{}, local_{};
   bool resumed_ = false;
--- a/tests/handshake.hpp
+++ b/tests/handshake.hpp
@@ -18,9 +18,10 @@
 
 inline Handshake handshake(SSL_CTX* server_context, const std::string& name, const std::string& alpn = {},
                            const std::shared_ptr<SSL_SESSION>& session = {}, int version = TLS1_3_VERSION) {
-  const std::unique_ptr<SSL_CTX, tls::FreeSsl> context(SSL_CTX_new(TLS_client_method()));
+  const std::unique_ptr<SSL_CTX, tls::OpenSslDeleter> context(SSL_CTX_new(TLS_client_method()));
   SSL_CTX_set_max_proto_version(context.get(), version);
-  const std::unique_ptr<SSL, tls::FreeSsl> client(SSL_new(context.get())), server(SSL_new(server_context));
+  const std::unique_ptr<SSL, tls::OpenSslDeleter> client(SSL_new(context.get())),
+      server(SSL_new(server_context));
   BIO *ours = nullptr, *theirs = nullptr;
   BIO_new_bio_pair(&ours, 1 << 18, &theirs, 1 << 18);
   SSL_set_bio(client.get(), ours, ours);
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -419,7 +419,7 @@
   config.default_class = "voice";
   sip_front = std::make_unique<sip::SipFront>(loop, log, *planner, config, 7);
 
-  std::unique_ptr<SSL_CTX, tls::FreeSsl> context(SSL_CTX_new(TLS_client_method()));
+  std::unique_ptr<SSL_CTX, tls::OpenSslDeleter> context(SSL_CTX_new(TLS_client_method()));
   Peer peer = gateway(TransportKind::tls);
   auto session = sip::TlsSession::connecting(context.get(), "127.0.0.1");
   std::string heard;
