--- a/src/acme/challenges.cpp
+++ b/src/acme/challenges.cpp
@@ -17,7 +17,7 @@
 
 Challenges::~Challenges() {
   for (const auto& [record, answered] : answered_) {
-    if (registry_ && answered.type == "tls-alpn-01") registry_->end_challenge(answered.name);
+    if (registry_ && answered.type == "tls-alpn-01") registry_->remove_challenge(answered.name);
   }
 }
 
@@ -40,7 +40,7 @@
       ++at;
       continue;
     }
-    if (registry_ && at->second.type == "tls-alpn-01") registry_->end_challenge(at->second.name);
+    if (registry_ && at->second.type == "tls-alpn-01") registry_->remove_challenge(at->second.name);
     at = answered_.erase(at);
   }
   if (answered_.empty()) responder_.reset();
@@ -62,8 +62,8 @@
     }
     if (put_up->type == "tls-alpn-01") {
       if (registry_) {
-        registry_->answer_challenge(put_up->name,
-                                    challenge_identity(put_up->name, put_up->authorization).view());
+        registry_->add_challenge(put_up->name,
+                                 challenge_identity(put_up->name, put_up->authorization).view());
       }
     } else if (settings_.http01) {
       try {
--- a/src/tls/registry.cpp
+++ b/src/tls/registry.cpp
@@ -156,7 +156,7 @@
 
 std::size_t Registry::size() const { return table()->by_id.size(); }
 
-void Registry::answer_challenge(const std::string& name, std::string_view pem) {
+void Registry::add_challenge(const std::string& name, std::string_view pem) {
   auto identity = load(pem);
   const std::lock_guard lock(mutex_);
   auto next = std::make_shared<Table>(*table_);
@@ -164,7 +164,7 @@
   table_ = next;
 }
 
-void Registry::end_challenge(const std::string& name) {
+void Registry::remove_challenge(const std::string& name) {
   const std::lock_guard lock(mutex_);
   auto next = std::make_shared<Table>(*table_);
   next->challenges.erase(lower(name));
--- a/src/tls/registry.hpp
+++ b/src/tls/registry.hpp
@@ -50,8 +50,8 @@
   std::size_t size() const;
 
   // The certificate for a client that asks for `name` and offers acme-tls/1.
-  void answer_challenge(const std::string& name, std::string_view pem);
-  void end_challenge(const std::string& name);
+  void add_challenge(const std::string& name, std::string_view pem);
+  void remove_challenge(const std::string& name);
 
   // Whether `session`, its handshake done, was a look at a challenge's answer: nothing more is to come on it.
   static bool was_challenge(const SSL* session);
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -622,10 +622,10 @@
     EXPECT_FALSE(handshake(registry.server(), "a.example", "", expired.session, version).resumed);
     EXPECT_THROW(registry.put("a", "nonsense"), tls::TlsError);
     EXPECT_EQ(handshake(registry.server(), "a.example", "", {}, version).certificate, spent);
-    registry.answer_challenge("a.example", acme::challenge_identity("a.example", "token.print").view());
+    registry.add_challenge("a.example", acme::challenge_identity("a.example", "token.print").view());
     EXPECT_EQ(handshake(registry.server(), "a.example", "acme-tls/1", {}, version).protocol, "acme-tls/1");
     EXPECT_EQ(handshake(registry.server(), "a.example", "sip", {}, version).certificate, spent);
-    registry.end_challenge("a.example");
+    registry.remove_challenge("a.example");
     EXPECT_EQ(handshake(registry.server(), "a.example", "acme-tls/1", {}, version).protocol, "");
   }
 }
