--- a/src/tls/registry.hpp
+++ b/src/tls/registry.hpp
@@ -62,21 +62,21 @@
     std::map<std::string, std::shared_ptr<const Identity>> by_id{};
     std::unordered_map<std::string, std::shared_ptr<const Identity>> by_name{};  // lower case, "*.x" too
     std::unordered_map<std::string, std::shared_ptr<const Identity>> challenges{};
-    std::shared_ptr<const Identity> otherwise{};
-    std::string otherwise_id{};
+    std::shared_ptr<const Identity> default_identity{};
+    std::string default_id{};
   };
 
   static std::shared_ptr<const Identity> load(std::string_view pem);
   std::shared_ptr<const Table> table() const;
-  void replace(const std::shared_ptr<Table>& table);
-  static std::shared_ptr<const Identity> find(const Table& table, std::string name);
-
-  static int hello(SSL* session, int* alert, void* self);
-  static int choose_protocol(SSL* session, const unsigned char** out, unsigned char* size,
-                             const unsigned char* offered, unsigned offered_size, void* self);
-  static int give_ticket(SSL* session, void* self);
-  static SSL_TICKET_RETURN take_ticket(SSL* session, SSL_SESSION* resumed, const unsigned char* name,
-                                       std::size_t name_size, SSL_TICKET_STATUS status, void* self);
+  void publish(const std::shared_ptr<Table>& table);
+  static std::shared_ptr<const Identity> select_identity(const Table& table, std::string name);
+
+  static int on_client_hello(SSL* session, int* alert, void* self);
+  static int on_select_alpn(SSL* session, const unsigned char** out, unsigned char* size,
+                            const unsigned char* offered, unsigned offered_size, void* self);
+  static int on_issue_ticket(SSL* session, void* self);
+  static SSL_TICKET_RETURN on_decrypt_ticket(SSL* session, SSL_SESSION* resumed, const unsigned char* name,
+                                             std::size_t name_size, SSL_TICKET_STATUS status, void* self);
 
   std::unique_ptr<SSL_CTX, OpenSslDeleter> server_;
   mutable std::mutex mutex_;
