--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -15,17 +15,20 @@
 
 using acme::Alarm;
 
-// Running instances look for challenges twice a second; they answer those of this command.
+// How long to wait before the authority is asked to validate a challenge. Running instances look for new
+// challenges twice a second and answer those that this command has stored.
 constexpr std::chrono::milliseconds kChallengeSettleTime{2500};
+// How long the fleet's register may take to answer the request for the certificates duty.
 constexpr Duration kDutyTimeout = std::chrono::seconds(5);
 
-// RFC 5280, 5.3.1.
+// The reason codes of RFC 5280, 5.3.1.
 const std::map<std::string, int> kRevocationReasons{{"unspecified", 0},          {"keyCompromise", 1},
                                                     {"affiliationChanged", 3},   {"superseded", 4},
                                                     {"cessationOfOperation", 5}, {"privilegeWithdrawn", 9}};
 
-// A keeper for the commands. With a fleet it asks for the duty, does what it does under its token and sealed,
-// and hands the duty on.
+// A certificate keeper for the duration of one command. With a fleet it first requests the certificates duty,
+// writes to the register under that duty's fencing token with sealed (encrypted) values, and hands the duty
+// on when it ends.
 class CertificateAccess {
  public:
   CertificateAccess(const std::string& file, const std::optional<std::string>& fleet_file, Logger& log) {
@@ -44,7 +47,7 @@
       move.name = fleet::kCertificatesDuty;
       move.value = name;
       if (!member_->ask_and_wait(move, kDutyTimeout))
-        throw std::runtime_error("no voter of the fleet answers");
+        throw std::runtime_error("the fleet's register did not answer the request for the certificates duty");
     } else {
       kept = acme::kept_on_disk(settings, log);
     }
@@ -54,7 +57,7 @@
 
  private:
   std::optional<fleet::Membership> member_;
-  std::optional<acme::Keeper> keeper_;  // ends first
+  std::optional<acme::Keeper> keeper_;  // declared last: it uses member_ and is destroyed before it
 };
 
 std::string json_timestamp(const std::optional<acme::Instant>& at) {
@@ -78,12 +81,12 @@
     std::printf(" ends %s, renewal due %s, issued by %s", acme::timestamp(each.validity->ends).c_str(),
                 acme::timestamp(*each.due).c_str(), each.issuer.c_str());
   } else {
-    std::printf(" there is none yet");
+    std::printf(" not issued yet");
   }
   std::printf("\n");
   for (const std::string& name : each.names) std::printf("%16s %s\n", "", name.c_str());
   if (each.failures > 0) {
-    std::printf("%16s %u attempts failed, the last: %s\n", "", each.failures, each.last_failure.c_str());
+    std::printf("%16s %u failed attempts, the last: %s\n", "", each.failures, each.last_failure.c_str());
   }
   if (each.next) std::printf("%16s next attempt %s\n", "", acme::timestamp(*each.next).c_str());
   if (each.order_open) std::printf("%16s an order is open\n", "");
@@ -91,7 +94,7 @@
 
 int exit_code_for(Alarm alarm) { return alarm <= Alarm::due ? 0 : alarm == Alarm::late ? 1 : 2; }
 
-// A certificate file by itself: the key, the chain, the times.
+// Checks one certificate file without any settings: its key, its chain and its validity period.
 int check_certificate_file(const std::string& path, const std::string& text, bool json) {
   const acme::Certificate leaf = acme::first_certificate(text);
   const acme::Key key = acme::key_from_pem(text);
@@ -112,35 +115,36 @@
 }  // namespace
 
 CertsCommand::CertsCommand(CLI::App& app)
-    : command_(app.add_subcommand("certs", "the certificates that the program keeps")) {
+    : command_(app.add_subcommand("certs", "show and manage the certificates of the program")) {
   command_->require_subcommand(1);
-  command_->add_option("--file", file_, "the settings")->capture_default_str();
+  command_->add_option("--file", file_, "the settings file")->capture_default_str();
   const auto add = [&](const char* name, const char* what) {
     CLI::App* const command = command_->add_subcommand(name, what);
     command->add_flag("--json", json_, "print JSON");
-    command->add_option("--file", file_, "the settings")->capture_default_str();
+    command->add_option("--file", file_, "the settings file")->capture_default_str();
     return command;
   };
-  status_ = add("status", "how they stand; exit code 0 good or due, 1 late, 2 critical or expired");
-  status_->add_option("ID", id_, "one certificate; all if left out");
-  renew_ = add("renew", "renew now, due or not");
+  status_ = add("status", "show their state; exit code 0 good or due, 1 late, 2 critical or expired");
+  status_->add_option("ID", id_, "one certificate; default: all");
+  renew_ = add("renew", "renew now, even if not due");
   renew_->add_option("ID", id_, "the certificate");
   renew_->add_flag("--all", all_, "all of them");
   revoke_ = add("revoke", "revoke the certificate in use");
   revoke_->add_option("ID", id_, "the certificate")->required();
-  revoke_->add_option("--reason", reason_, "why (RFC 5280)")->transform(CLI::IsMember([] {
+  revoke_->add_option("--reason", reason_, "the revocation reason (RFC 5280)")->transform(CLI::IsMember([] {
     std::vector<std::string> names;
     for (const auto& each : kRevocationReasons) names.push_back(each.first);
     return names;
   }()));
-  rollover_ = add("rollover", "give the account a new key");
-  contact_ = add("contact", "tell the authority the contact of the settings");
-  deactivate_ = add("deactivate", "end the account; the next order opens a new one");
+  rollover_ = add("rollover", "replace the account's key");
+  contact_ = add("contact", "send the contact of the settings to the authority");
+  deactivate_ = add("deactivate", "deactivate the account; the next order opens a new one");
   for (CLI::App* const each : {renew_, revoke_, rollover_, contact_, deactivate_}) {
-    each->add_option("--fleet", fleet_, "the fleet whose certificates they are (deploy/fleet.toml)");
+    each->add_option("--fleet", fleet_,
+                     "settings file of the fleet that shares the certificates (deploy/fleet.toml)");
   }
   for (CLI::App* const each : {rollover_, contact_, deactivate_}) {
-    each->add_option("--authority", authority_, "by its name in the settings; the first if left out");
+    each->add_option("--authority", authority_, "the authority's name in the settings; default: the first");
   }
   check_ = add("check", "check a settings file, or a certificate file");
   check_->add_option("FILE", checked_file_, "the file")->required();
@@ -184,7 +188,7 @@
     }
   }
   std::fclose(null_stream);
-  if (!found) throw acme::SettingsError("there is no certificate \"" + id_ + "\" in " + file_);
+  if (!found) throw acme::SettingsError("no certificate has the ID \"" + id_ + "\" in " + file_);
   if (json_) std::printf("[%s]\n", out.c_str());
   return code;
 }
@@ -227,7 +231,8 @@
   const auto& authorities = keeper->settings().authorities;
   std::size_t index = 0;
   while (index < authorities.size() && !authority_.empty() && authorities[index].name != authority_) ++index;
-  if (index == authorities.size()) throw acme::SettingsError("there is no authority \"" + authority_ + "\"");
+  if (index == authorities.size())
+    throw acme::SettingsError("no authority has the name \"" + authority_ + "\"");
   const std::string failure = rollover_->parsed()  ? keeper->roll_over(index)
                               : contact_->parsed() ? keeper->change_contact(index)
                                                    : keeper->deactivate(index);
@@ -249,7 +254,7 @@
     std::printf("{\"file\":%s,\"sound\":true,\"certificates\":%zu,\"authorities\":%zu}\n",
                 in_quotes(checked_file_).c_str(), settings.certificates.size(), settings.authorities.size());
   } else {
-    std::printf("%s: good: %zu certificates, %zu authorities\n", checked_file_.c_str(),
+    std::printf("%s: valid: %zu certificates, %zu authorities\n", checked_file_.c_str(),
                 settings.certificates.size(), settings.authorities.size());
   }
   return 0;
--- a/src/cli/certs.hpp
+++ b/src/cli/certs.hpp
@@ -1,4 +1,5 @@
-// `quartzarch certs ...`: how the certificates stand, and what is done to them by hand.
+// `quartzarch certs ...`: shows the state of the managed certificates, and renews and revokes them or changes
+// their ACME account on an operator's request.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -13,8 +14,10 @@
  public:
   explicit CertsCommand(CLI::App& app);
 
+  // Whether the command line selects this command.
   bool selected() const { return command_->parsed(); }
-  // Exit codes: 0 good, 1 warning or failed, 2 critical, or a settings file that cannot be used.
+  // Runs the selected sub-command. Exit codes: 0 good, 1 a warning or a failed operation, 2 critical or an
+  // unusable settings file.
   int run(Logger& log) const;
 
  private:
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -19,26 +19,31 @@
 namespace {
 
 void add_serve_options(CLI::App& app, ServeOptions& options) {
-  app.add_option("--sip", options.sip, "the SIP front's file (deploy/sip.toml)");
-  auto* const levels = app.add_option("--levels", options.levels, "the planners' file (deploy/levels.toml)");
-  auto* const planner =
-      app.add_option("--planner", options.planner, "be planner N of that file: decisions, no callers");
-  auto* const forwarder =
-      app.add_flag("--forwarder", options.forwarder, "be a forwarder: callers, no decisions");
-  app.add_option("--certs", options.certs, "keep the certificates of this file (deploy/certs.toml)");
-  app.add_option("--control", options.control, "the control connection's file (deploy/control.toml)");
-  app.add_option("--fleet", options.fleet, "the register and duties of this file (deploy/fleet.toml)");
+  app.add_option("--sip", options.sip, "settings file of the SIP front end (deploy/sip.toml)");
+  auto* const levels = app.add_option("--levels", options.levels,
+                                      "settings file of planners and forwarders (deploy/levels.toml)");
+  auto* const planner = app.add_option("--planner", options.planner,
+                                       "run as planner N of that file: makes decisions, accepts no callers");
+  auto* const forwarder = app.add_flag("--forwarder", options.forwarder,
+                                       "run as a forwarder: accepts callers, makes no decisions");
+  app.add_option("--certs", options.certs,
+                 "manage the certificates of this settings file (deploy/certs.toml)");
+  app.add_option("--control", options.control,
+                 "settings file of the control connection (deploy/control.toml)");
+  app.add_option("--fleet", options.fleet,
+                 "use the register and the duties of this settings file (deploy/fleet.toml)");
   planner->needs(levels)->excludes(forwarder);
   forwarder->needs(levels);
 }
 
-// What CLI11 cannot say of one option.
+// Checks the combinations of options that CLI11 cannot express. Returns the error message; empty if there is
+// none.
 std::string contradiction(const ServeOptions& options) {
   if (options.levels && !options.planner && !options.forwarder)
     return "--levels needs --planner N or --forwarder";
-  if (options.planner && options.sip) return "--planner has no callers: no --sip";
-  if (options.forwarder && options.control) return "--forwarder decides nothing: no --control";
-  if (options.planner && options.certs) return "--planner has no callers: no --certs";
+  if (options.planner && options.sip) return "--planner accepts no callers and excludes --sip";
+  if (options.forwarder && options.control) return "--forwarder makes no decisions and excludes --control";
+  if (options.planner && options.certs) return "--planner accepts no callers and excludes --certs";
   return {};
 }
 
@@ -54,21 +59,22 @@
   app.set_version_flag("--version", "quartzarch 0.2");
   ServeOptions serve_options;
   add_serve_options(app, serve_options);
-  CLI::App* const serve_command = app.add_subcommand("serve", "serve calls (what no sub-command means too)");
+  CLI::App* const serve_command =
+      app.add_subcommand("serve", "serve calls (the default without a sub-command)");
   add_serve_options(*serve_command, serve_options);
   CertsCommand certs(app);
   GapCommand gap(app);
   FleetCommands fleet(app);
   std::string log_file;
-  app.add_option("--log", log_file, "where the log goes and in which form (deploy/log.toml)");
+  app.add_option("--log", log_file, "settings file of the log: destination and format (deploy/log.toml)");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    if (error.get_exit_code() == 0) return app.exit(error);  // help or the version was asked for
-    log.line("usage: %s (quartzarch --help tells more)", one_line(error.what()).c_str());
+    if (error.get_exit_code() == 0) return app.exit(error);  // --help or --version
+    log.line("usage: %s (see quartzarch --help)", one_line(error.what()).c_str());
     return 2;
   }
-  std::optional<logging::Output> output;  // of the log, to the end
+  std::optional<logging::Output> output;  // must outlive everything below that logs
   if (!log_file.empty()) {
     try {
       output.emplace(log, logging::parse_log(read_file(log_file)));
@@ -81,11 +87,11 @@
   if (gap.selected()) return gap.run(log);
   if (fleet.selected()) return fleet.run(log);
   if (const std::string wrong = contradiction(serve_options); !wrong.empty()) {
-    log.line("usage: %s (quartzarch --help tells more)", wrong.c_str());
+    log.line("usage: %s (see quartzarch --help)", wrong.c_str());
     return 2;
   }
   fleet::FleetSettings fleet_settings;
-  fleet::Membership* member = nullptr;  // lives longer than what is made after it
+  fleet::Membership* member = nullptr;  // serve() destroys it after the objects created later
   std::optional<fleet::Seal> seal;
   serve_options.make_fleet = [&](Logger& to, const std::string& path, const std::string& name,
                                  std::uint64_t seed) {
--- a/src/cli/command_line.hpp
+++ b/src/cli/command_line.hpp
@@ -1,11 +1,13 @@
-// The command line: `serve` (also meant by no sub-command) and `certs`.
+// The command line of quartzarch_full: `serve`, which is also the default without a sub-command, and the
+// operators' commands `certs`, `gap`, `fleet` and `duty`.
 #pragma once
 
 #include "log.hpp"
 
 namespace quartzarch::cli {
 
-// The exit code; 2 for a command line that cannot be taken.
+// Parses the command line and runs the selected command. Returns the process's exit code; 2 for an invalid
+// command line or an unusable file.
 int run(Logger& log, int argc, char** argv);
 
 }  // namespace quartzarch::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,5 +1,5 @@
-// quartzarch_full: the call controller with all that is off on the platform, and the commands of its
-// operators.
+// Entry point of quartzarch_full: the call controller with the features that the platform build leaves out
+// (SIP, certificates, fleet, gap control) and the operators' commands.
 #include "cli/command_line.hpp"
 
 int main(int argc, char** argv) {
