--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -18,9 +18,10 @@
 
 using std::chrono::milliseconds;
 
+// How long a command waits for answers of the voters.
 constexpr Duration kRequestTimeout = milliseconds(3000);
 
-// Asks one voter one thing on a connection of its own.
+// Sends one request frame to one voter on a connection of its own.
 class VoterQuery : private Stream::Owner {
  public:
   VoterQuery(Loop& loop, const sockaddr_in& to, std::string frame)
@@ -30,7 +31,7 @@
   }
   ~VoterQuery() override { stream_->close(); }
   bool finished() const { return finished_; }
-  // The answer's values; empty: there was none.
+  // The values of the answer; empty if there was none.
   const std::vector<std::string>& answer() const { return answer_; }
 
  private:
@@ -51,7 +52,8 @@
 
 std::uint64_t time_seed() { return static_cast<std::uint64_t>(unix_time().count()); }
 
-// Asks until it was done or the patience is over.
+// Sends a command to the register, and again after each attempt without a reply, until a reply arrives or
+// kRequestTimeout has passed.
 std::optional<reg::Reply> execute(const fleet::FleetSettings& settings, const reg::Command& command) {
   Loop loop(steady_time);
   reg::Client client(loop, fleet::addresses(settings), time_seed());
@@ -70,7 +72,7 @@
   return reply;
 }
 
-// What each voter says of itself, in the file's order; empty: it did not answer.
+// The status values of each voter, in the order of the settings file; empty for a voter that did not answer.
 std::vector<std::vector<std::string>> query_voters(const fleet::FleetSettings& settings) {
   Loop loop(steady_time);
   std::vector<std::unique_ptr<VoterQuery>> queries;
@@ -88,7 +90,8 @@
   return answers;
 }
 
-// Everything under the prefix, in parts; false: no voter answered as the leader.
+// Reads all items whose keys have the prefix, page by page, and calls `visit` for each. Returns false if no
+// voter answered as the leader.
 bool for_each_item(const fleet::FleetSettings& settings, std::string_view prefix,
                    const std::function<void(const reg::Item&)>& visit) {
   reg::Command command;
@@ -104,6 +107,7 @@
   return true;
 }
 
+// Prints that no leader answered. Returns the exit code for it.
 int report_no_leader() {
   std::fprintf(stderr, "no voter answered as the leader within %lld s\n",
                static_cast<long long>(kRequestTimeout / std::chrono::seconds(1)));
@@ -113,12 +117,13 @@
 }  // namespace
 
 FleetCommands::FleetCommands(CLI::App& app)
-    : fleet_(app.add_subcommand("fleet", "the register that a fleet agrees on")),
-      duty_(app.add_subcommand("duty", "duties that one controller holds at a time")) {
+    : fleet_(app.add_subcommand("fleet", "show and administer the register that a fleet replicates")),
+      duty_(app.add_subcommand("duty",
+                               "show and administer the duties, each held by one controller at a time")) {
   const auto add_command = [&](CLI::App* group, const char* name, const char* what) {
     group->require_subcommand(1);
     CLI::App* const command = group->add_subcommand(name, what);
-    command->add_option("--fleet", file_, "the fleet's file")->capture_default_str();
+    command->add_option("--fleet", file_, "the fleet's settings file")->capture_default_str();
     return command;
   };
   const auto add_duty_command = [&](const char* name, const char* what) {
@@ -126,29 +131,31 @@
     command->add_option("duty", duty_name_, "the duty's name")->required();
     return command;
   };
-  init_ =
-      add_command(fleet_, "init", "make this voter's part of a new register, once, at each of the voters");
+  init_ = add_command(fleet_, "init", "create this voter's part of a new register; run once on each voter");
   init_->add_option("--name", name_, "the controller's name among the voters")->required();
-  status_ = add_command(fleet_, "status", "each voter: leader, term, log, sessions");
+  status_ = add_command(fleet_, "status", "the state of each voter: leader, term, log, sessions");
   status_->add_flag("--json", json_, "a line of JSON for each voter");
-  sessions_ = add_command(fleet_, "sessions", "the controllers that are there");
+  sessions_ = add_command(fleet_, "sessions", "the controllers that have a session");
   sessions_->add_flag("--json", json_, "a line of JSON for each session");
-  remove_ = add_command(fleet_, "remove", "take out a voter that no controller's file names any more");
+  remove_ =
+      add_command(fleet_, "remove", "remove a voter that is no longer in any controller's settings file");
   remove_->add_option("voter", name_, "the voter's name")->required();
-  lead_ = add_command(fleet_, "lead",
-                      "have leadership handed to another voter, as before work on the leader's machine");
-  lead_->add_option("voter", name_, "the voter's name; none: whichever is nearest to the leader's log");
-  list_ = add_command(duty_, "list", "all duties and who holds them");
+  lead_ = add_command(
+      fleet_, "lead",
+      "transfer leadership to another voter, for example before maintenance of the leader's machine");
+  lead_->add_option("voter", name_,
+                    "the voter's name; default: the voter whose log is closest to the leader's");
+  list_ = add_command(duty_, "list", "all duties and their holders");
   list_->add_flag("--json", json_, "a line of JSON for each duty");
   show_ = add_duty_command("show", "one duty");
   show_->add_flag("--json", json_, "JSON");
-  move_ = add_duty_command("move", "have it handed to another controller");
+  move_ = add_duty_command("move", "hand the duty over to another controller");
   move_->add_option("to", to_, "the controller's name")->required();
-  pause_ = add_duty_command("pause", "have it given up, and taken up by nobody");
-  resume_ = add_duty_command("resume", "end the pause");
+  pause_ = add_duty_command("pause", "make the holder release the duty, and let no controller take it");
+  resume_ = add_duty_command("resume", "let controllers take a paused duty again");
   hold_ = add_duty_command("hold", "run a program while the duty is held: duty hold NAME -- COMMAND");
-  hold_->add_option("--name", name_, "this holder's name; as a rule the machine's");
-  hold_->add_flag("--once", once_, "end when the program has ended with 0");
+  hold_->add_option("--name", name_, "the name of this holder; default: the host name");
+  hold_->add_flag("--once", once_, "exit when the program has exited with 0");
   hold_->add_option("command", command_, "the program and its arguments, after --")->required();
 }
 
@@ -173,7 +180,7 @@
 
 int FleetCommands::init(Logger& log, const fleet::FleetSettings& settings) {
   if (!settings.voter(name_)) {
-    log.line("configuration: %s: no voter is called \"%s\"", file_.c_str(), name_.c_str());
+    log.line("configuration: %s: no voter has the name \"%s\"", file_.c_str(), name_.c_str());
     return 2;
   }
   reg::VoterServer::Settings voter;
@@ -186,7 +193,7 @@
     std::fprintf(stderr, "%s\n", error.what());
     return 1;
   }
-  std::printf("voter %s: a new register begins with %zu voters\n", name_.c_str(), settings.voters.size());
+  std::printf("voter %s: created a new register with %zu voters\n", name_.c_str(), settings.voters.size());
   return 0;
 }
 
@@ -264,7 +271,8 @@
     loop.pass(milliseconds(20));
   }
   if (query.answer().size() != 1) {
-    std::fprintf(stderr, "the leader does not answer: whether it was done, \"fleet status\" tells\n");
+    std::fprintf(stderr,
+                 "the leader did not answer; \"fleet status\" shows whether the request was carried out\n");
     return 1;
   }
   const std::string& problem = query.answer().front();
@@ -330,7 +338,8 @@
   member.start();
   while (!signals.stop_requested_at() && !(once_ && runner.done())) loop.pass(milliseconds(200));
   member.leave();
-  // The program has the lease's time to end, and no longer.
+  // Waits for the program to end, for one lease period at most: the supervisor stops it before the lease
+  // ends.
   for (const Time until = loop.now() + settings.ttl + milliseconds(500);
        !member.left() && loop.now() < until;) {
     loop.pass(milliseconds(10));
--- a/src/cli/gap.cpp
+++ b/src/cli/gap.cpp
@@ -16,6 +16,7 @@
 namespace quartzarch::cli {
 namespace {
 
+// How long an instance may take to answer.
 constexpr std::chrono::milliseconds kRequestTimeout{5000};
 
 std::string json_array(const std::vector<std::string>& values) {
@@ -30,13 +31,16 @@
   return out;
 }
 
+// The beginning of a control request, up to its operation.
 std::string request_head(const char* op) { return "{\"v\":1,\"op\":\"" + std::string(op) + "\""; }
 
+// 0 if the member is missing or not an integer.
 std::int64_t integer_field(simdjson::dom::element from, const char* name) {
   std::int64_t value = 0;
   return from[name].get(value) == simdjson::SUCCESS ? value : 0;
 }
 
+// Empty if the member is missing or not a string.
 std::string string_field(simdjson::dom::element from, const char* name) {
   std::string_view value;
   return from[name].get(value) == simdjson::SUCCESS ? std::string(value) : std::string();
@@ -45,18 +49,20 @@
 }  // namespace
 
 GapCommand::GapCommand(CLI::App& app)
-    : command_(app.add_subcommand("gap", "gaps on mass calls, on running instances")) {
+    : command_(app.add_subcommand("gap", "manage call gaps on running instances")) {
   command_->require_subcommand(1);
   const char* const user = std::getenv("USER");
   who_ = user ? user : "";
   const auto add_command = [&](const char* name, const char* what) {
     CLI::App* const command = command_->add_subcommand(name, what);
-    command->add_option("--control", instances_, "the instances' control connections")->capture_default_str();
-    command->add_flag("--json", json_, "print JSON, a line an instance");
+    command->add_option("--control", instances_, "addresses of the instances' control connections")
+        ->capture_default_str();
+    command->add_flag("--json", json_, "print one line of JSON for each instance");
     return command;
   };
   const auto add_match_options = [&](CLI::App* command) {
-    command->add_option("--number", number_, "7f3a, 7f3*, 7?3a, 1000..1999, several with commas")
+    command
+        ->add_option("--number", number_, "called numbers: 7f3a, 7f3*, 7?3a, 1000..1999; separated by commas")
         ->capture_default_str();
     command->add_option("--front", front_, "binary or sip")->check(CLI::IsMember({"binary", "sip"}));
   };
@@ -64,43 +70,46 @@
     command->add_option("--who", who_, "for the audit log")->capture_default_str();
     command->add_option("--why", why_, "for the audit log");
   };
-  add_ = add_command("add", "announce a gap, or change one by its id");
-  add_->add_option("ID", id_, "its name");
+  add_ = add_command("add", "add a gap, or change the one with that ID");
+  add_->add_option("ID", id_, "the gap's ID");
   add_match_options(add_);
   add_audit_options(add_);
-  add_->add_option("--file", file_, "rules from a file, one JSON object a line, all or none");
-  add_->add_option("--class", classes_, "classes of call");
-  add_->add_option("--caller", callers_, "networks of callers");
-  add_->add_option("--try", try_, "first or repeat")->check(CLI::IsMember({"first", "repeat"}));
-  add_->add_option("--exempt-class", exempt_classes_, "classes that it does not touch");
-  add_->add_option("--exempt-caller", exempt_callers_, "networks that it does not touch");
-  auto* const interval = add_->add_option("--interval-ms", interval_ms_, "one call every so long");
-  auto* const bucket = add_->add_option("--per-s", per_s_, "so many calls a second");
-  add_->add_option("--burst", burst_, "with --per-s: so many at once after a quiet time")->needs(bucket);
-  auto* const part = add_->add_option("--percentage", percentage_, "so many of a hundred first tries pass");
-  auto* const block = add_->add_flag("--block", block_, "none pass");
+  add_->add_option("--file", file_,
+                   "read the rules from a file, one JSON object a line; all are added or none");
+  add_->add_option("--class", classes_, "only calls of these classes");
+  add_->add_option("--caller", callers_, "only callers in these networks");
+  add_->add_option("--try", try_, "only first tries or only repeated ones: first or repeat")
+      ->check(CLI::IsMember({"first", "repeat"}));
+  add_->add_option("--exempt-class", exempt_classes_, "classes that are exempt");
+  add_->add_option("--exempt-caller", exempt_callers_, "networks that are exempt");
+  auto* const interval =
+      add_->add_option("--interval-ms", interval_ms_, "one call passes in each interval of this length");
+  auto* const bucket = add_->add_option("--per-s", per_s_, "this many calls a second pass (token bucket)");
+  add_->add_option("--burst", burst_, "with --per-s: size of the token bucket")->needs(bucket);
+  auto* const part = add_->add_option("--percentage", percentage_, "this percentage of first tries passes");
+  auto* const block = add_->add_flag("--block", block_, "no call passes");
   interval->excludes(bucket)->excludes(part)->excludes(block);
   bucket->excludes(part)->excludes(block);
   part->excludes(block);
-  add_->add_option("--start-s", start_in_s_, "begins so many seconds from now");
-  add_->add_option("--for-s", for_s_, "ends so many seconds after its beginning");
-  add_->add_option("--weekly", weekly_, "\"mon,tue 08:30-10:00\", UTC");
-  add_->add_option("--revision", revision_, "the next one if left out");
-  lift_ = add_command("lift", "lift a gap");
-  lift_->add_option("ID", id_, "its name")->required();
-  lift_->add_option("--revision", revision_, "of the lifting; the next one if left out");
+  add_->add_option("--start-s", start_in_s_, "starts in this many seconds");
+  add_->add_option("--for-s", for_s_, "ends this many seconds after its start");
+  add_->add_option("--weekly", weekly_, "weekly windows, for example \"mon,tue 08:30-10:00\", UTC");
+  add_->add_option("--revision", revision_, "default: the next one");
+  lift_ = add_command("lift", "remove a gap");
+  lift_->add_option("ID", id_, "the gap's ID")->required();
+  lift_->add_option("--revision", revision_, "revision of the removal; default: the next one");
   add_audit_options(lift_);
   list_ = add_command("list", "the gaps in force");
-  show_ = add_command("show", "one gap with its counts");
-  show_->add_option("ID", id_, "its name")->required();
-  watch_ = add_command("watch", "the counts once a second");
-  watch_->add_option("--times", times_, "so often; without end if left out");
-  suggest_ = add_command("suggest", "the numbers that swamp");
-  test_ = add_command("test", "what would happen to a call, without one");
+  show_ = add_command("show", "one gap with its counters");
+  show_->add_option("ID", id_, "the gap's ID")->required();
+  watch_ = add_command("watch", "print the counters once a second");
+  watch_->add_option("--times", times_, "number of repetitions; default: no limit");
+  suggest_ = add_command("suggest", "the numbers that are called too often");
+  test_ = add_command("test", "show what would happen to a call, without placing it");
   add_match_options(test_);
-  test_->add_option("--class", classes_, "its class");
-  test_->add_option("--caller", caller_, "the address it comes from");
-  test_->add_flag("--repeat", repeat_, "a repeated try");
+  test_->add_option("--class", classes_, "the class of the call");
+  test_->add_option("--caller", caller_, "the address of the caller");
+  test_->add_flag("--repeat", repeat_, "treat it as a repeated try");
 }
 
 std::string GapCommand::add_request() const {
@@ -113,7 +122,7 @@
     }
     return request_head("gap.add") + ",\"rules\":[" + rules + "]}";
   }
-  if (id_.empty()) throw gap::RuleError("an ID or --file is needed");
+  if (id_.empty()) throw gap::RuleError("add needs an ID or --file");
   std::string rule = "{\"id\":" + in_quotes(id_) + ",\"number\":" + in_quotes(number_);
   if (revision_ > 0) rule += ",\"revision\":" + std::to_string(revision_);
   if (!classes_.empty()) rule += ",\"class\":" + json_array(classes_);
@@ -138,7 +147,7 @@
   if (!who_.empty()) rule += ",\"who\":" + in_quotes(who_);
   if (!why_.empty()) rule += ",\"why\":" + in_quotes(why_);
   rule += "}";
-  gap::parse_rule(rule);  // a fault is told here, before any instance hears of it
+  gap::parse_rule(rule);  // reports an error before anything is sent to an instance
   return request_head("gap.add") + ",\"rule\":" + rule + "}";
 }
 
@@ -159,7 +168,7 @@
   simdjson::dom::element root;
   bool ok = false;
   if (parser.parse(reply).get(root) != simdjson::SUCCESS || root["ok"].get(ok) != simdjson::SUCCESS) {
-    std::printf("%s: an answer that is not understood\n", instance.c_str());
+    std::printf("%s: unreadable reply\n", instance.c_str());
     return;
   }
   if (!ok) {
@@ -212,7 +221,7 @@
   for (const std::string& instance : instances_) {
     const auto address = parse_address(instance);
     if (!address) {
-      log.line("%s is no address", instance.c_str());
+      log.line("\"%s\" is not an address", instance.c_str());
       return 2;
     }
     try {
--- a/src/cli/gap.hpp
+++ b/src/cli/gap.hpp
@@ -1,4 +1,5 @@
-// `quartzarch gap ...`: gaps on mass calls, announced to running instances.
+// `quartzarch gap ...`: manages call gaps (rate limits on calls to dialled numbers, against mass calling) on
+// running instances through their control connections.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -13,15 +14,21 @@
  public:
   explicit GapCommand(CLI::App& app);
 
+  // Whether the command line selects this command.
   bool selected() const { return command_->parsed(); }
-  // Exit codes: 0 done, 1 refused or not reached by one of the instances, 2 a command that cannot be taken.
+  // Runs the selected sub-command. Exit codes: 0 done, 1 at least one instance refused it or was not reached,
+  // 2 an invalid command.
   int run(Logger& log) const;
 
  private:
+  // The gap.add request: of the rules in `file_`, or of the one rule that the options describe. Throws
+  // gap::RuleError for an invalid rule.
   std::string add_request() const;
   std::string test_request() const;
   int watch(Logger& log) const;
+  // Sends a request to every instance and prints the replies. Returns the exit code.
   int send_to_all(Logger& log, const std::string& line, bool quiet = false) const;
+  // Prints an instance's reply: as it is with --json, else as text or a table.
   void print(const std::string& instance, const std::string& reply) const;
 
   CLI::App* command_;
