--- a/src/cli/gap.cpp
+++ b/src/cli/gap.cpp
@@ -86,11 +86,12 @@
       add_->add_option("--interval-ms", interval_ms_, "one call passes in each interval of this length");
   auto* const bucket = add_->add_option("--per-s", per_s_, "this many calls a second pass (token bucket)");
   add_->add_option("--burst", burst_, "with --per-s: size of the token bucket")->needs(bucket);
-  auto* const part = add_->add_option("--percentage", percentage_, "this percentage of first tries passes");
+  auto* const percentage =
+      add_->add_option("--percentage", percentage_, "this percentage of first tries passes");
   auto* const block = add_->add_flag("--block", block_, "no call passes");
-  interval->excludes(bucket)->excludes(part)->excludes(block);
-  bucket->excludes(part)->excludes(block);
-  part->excludes(block);
+  interval->excludes(bucket)->excludes(percentage)->excludes(block);
+  bucket->excludes(percentage)->excludes(block);
+  percentage->excludes(block);
   add_->add_option("--start-s", start_in_s_, "starts in this many seconds");
   add_->add_option("--for-s", for_s_, "ends this many seconds after its start");
   add_->add_option("--weekly", weekly_, "weekly windows, for example \"mon,tue 08:30-10:00\", UTC");
