--- a/src/logging/output.cpp
+++ b/src/logging/output.cpp
@@ -11,6 +11,7 @@
 
 namespace quartzarch::logging {
 
+// Splits what Logger writes into lines and passes them to spdlog.
 struct Output::Sink {
   explicit Sink(const Settings& settings) : json(settings.json) {
     spdlog::sink_ptr target;
@@ -23,10 +24,11 @@
     logger = std::make_unique<spdlog::logger>("quartzarch", target);
     logger->set_pattern("%v");
     logger->flush_on(spdlog::level::info);
-    // A disk that is full is no reason to say anything more.
+    // Write errors, such as a full disk, are ignored: reporting them would only write more.
     logger->set_error_handler([](const std::string&) {});
   }
-  // Whole lines, as Logger flushes each; a part of one waits for the rest.
+  // Logger flushes after each line, so the bytes usually end with a line. An incomplete line is buffered
+  // until the rest arrives.
   void write(std::string_view bytes) {
     partial_line += bytes;
     std::size_t begin = 0;
@@ -58,7 +60,7 @@
     return static_cast<ssize_t>(size);
   };
   stream_ = ::fopencookie(sink_.get(), "w", io);
-  if (!stream_) throw ConfigError("no memory for the log's stream");
+  if (!stream_) throw ConfigError("cannot create the log stream: out of memory");
   log_.write_to(stream_);
 }
 
--- a/src/logging/output.hpp
+++ b/src/logging/output.hpp
@@ -1,5 +1,5 @@
-// Where the program's log goes with `--log FILE`: spdlog's sinks behind the stream that Logger writes to, as
-// long as this lives; then it goes to standard error again.
+// The destination of the program's log with `--log FILE`: redirects Logger to a stream backed by an spdlog
+// sink. Destroying it directs Logger to standard error again.
 #pragma once
 
 #include <cstdio>
@@ -12,7 +12,7 @@
 
 class Output {
  public:
-  // Throws ConfigError if the file cannot be opened.
+  // Throws ConfigError if the log file cannot be opened. `log` must outlive this object.
   Output(Logger& log, const Settings& settings);
   ~Output();
   Output(const Output&) = delete;
--- a/src/logging/settings.hpp
+++ b/src/logging/settings.hpp
@@ -1,4 +1,4 @@
-// deploy/log.toml: where the program's lines go, and in which form.
+// Settings of the log (deploy/log.toml): destination, format and rotation.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,13 @@
 namespace quartzarch::logging {
 
 struct Settings {
-  std::string file{};                   // none: standard error
-  bool json = true;                     // else the program's plain lines
-  std::uint64_t max_bytes = 16u << 20;  // then the file is put aside as file.1, file.2, ...
-  unsigned files = 4;                   // so many are kept beside it
+  std::string file{};                   // empty: standard error
+  bool json = true;                     // JSON lines; false: plain text lines
+  std::uint64_t max_bytes = 16u << 20;  // size at which the file is rotated, e.g. log.txt to log.1.txt
+  unsigned files = 4;                   // number of rotated files to keep
 };
 
-// Throws ConfigError.
+// Parses the contents of a settings file. Throws ConfigError with the line and key of the first error.
 Settings parse_log(std::string_view source);
 
 }  // namespace quartzarch::logging
--- a/src/logging/structured.cpp
+++ b/src/logging/structured.cpp
@@ -18,7 +18,8 @@
 
 bool is_key_char(char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '_'; }
 
-// Nothing if anything in it is no pair.
+// Splits a message into key=value pairs. Returns nullopt if any of it is not such a pair, a key is repeated,
+// or a key is "time", which the object already has.
 std::optional<std::vector<Pair>> parse_pairs(std::string_view text) {
   std::vector<Pair> found;
   while (!text.empty()) {
@@ -43,6 +44,7 @@
   return found;
 }
 
+// True for an integer in JSON's notation, that is without leading zeros.
 bool is_integer(std::string_view text) {
   std::int64_t value = 0;
   const auto end = text.data() + text.size();
@@ -50,7 +52,8 @@
   return !zeros && std::from_chars(text.data(), end, value).ptr == end && !text.empty();
 }
 
-// "1796171125.837 what" -> the time as text, and what was said.
+// Removes the time from the start of a line such as "1796171125.837 message" and returns it as ISO 8601 text;
+// returns an empty string and leaves the line as it is if it does not start with a time.
 std::string take_timestamp(std::string_view& line) {
   std::time_t seconds = 0;
   const auto [dot, error] = std::from_chars(line.data(), line.data() + line.size(), seconds);
--- a/src/logging/structured.hpp
+++ b/src/logging/structured.hpp
@@ -1,4 +1,4 @@
-// A line of the program's log as one JSON object, so that it can be searched by its fields. No I/O.
+// Converts a line of the program's log into a JSON object, so that logs can be searched by field. No I/O.
 #pragma once
 
 #include <string>
@@ -6,9 +6,13 @@
 
 namespace quartzarch::logging {
 
-// `line`: seconds since 1970, a blank, and what was said. What is made of pairs (duty=work event=begin
-// token=17 why="...") gets a field for each, numbers as numbers; "part: text" gets `part` and `text`;
-// anything else `text` alone. Always `time`, in UTC to the millisecond.
+// `line`: Unix time with milliseconds, a space and the message. The object has the member `time` (UTC, to the
+// millisecond; absent if the line does not begin with a time) and the message's members:
+//   - a message of key=value pairs (duty=work event=begin token=17 why="...") has one member for each pair,
+//   with
+//     integers as JSON numbers;
+//   - "part: text" has `part` and `text`;
+//   - any other message has `text` alone.
 std::string to_json_line(std::string_view line);
 
 }  // namespace quartzarch::logging
--- a/src/tls/registry.cpp
+++ b/src/tls/registry.cpp
@@ -15,6 +15,7 @@
 
 constexpr std::size_t kDigestSize = 32;
 
+// Takes OpenSSL's oldest queued error and clears the queue.
 std::string openssl_error() {
   char reason[256] = "";
   ERR_error_string_n(ERR_get_error(), reason, sizeof reason);
@@ -27,6 +28,7 @@
   return text;
 }
 
+// The SHA-256 digest of a certificate; zeros if there is none.
 std::array<unsigned char, kDigestSize> digest_of(X509* certificate) {
   std::array<unsigned char, kDigestSize> digest{};
   unsigned size = 0;
@@ -34,6 +36,7 @@
   return digest;
 }
 
+// The contents of an extension of the ClientHello; empty if it is absent.
 std::string_view extension_data(SSL* session, unsigned type) {
   const unsigned char* data = nullptr;
   std::size_t size = 0;
@@ -41,11 +44,12 @@
   return {reinterpret_cast<const char*>(data), size};
 }
 
+// Big-endian.
 std::size_t read_uint16(std::string_view at) {
   return std::size_t{static_cast<unsigned char>(at[0])} << 8 | static_cast<unsigned char>(at[1]);
 }
 
-// The host name in a server_name extension; empty if there is none.
+// The host name in a server_name extension, in lower case; empty if there is none.
 std::string requested_name(std::string_view bytes) {
   if (bytes.size() < 5 || read_uint16(bytes) + 2 != bytes.size() || bytes[2] != 0) return {};
   const std::size_t size = read_uint16(bytes.substr(3));
@@ -53,6 +57,7 @@
   return to_lower(std::string(bytes.substr(5, size)));
 }
 
+// Whether an ALPN extension (RFC 7301, 3.1) lists the protocol.
 bool offers_protocol(std::string_view bytes, std::string_view protocol) {
   if (bytes.size() < 2) return false;
   bytes.remove_prefix(2);
@@ -82,7 +87,7 @@
 
 Registry::Registry() : server_(SSL_CTX_new(TLS_server_method())) {
   SSL_CTX* const context = server_.get();
-  if (!context) throw TlsError("no TLS: " + openssl_error());
+  if (!context) throw TlsError("cannot create the TLS context: " + openssl_error());
   SSL_CTX_set_min_proto_version(context, TLS1_2_VERSION);
   SSL_CTX_set_session_cache_mode(context, SSL_SESS_CACHE_OFF);
   SSL_CTX_set_client_hello_cb(context, on_client_hello, this);
@@ -95,7 +100,7 @@
   const std::unique_ptr<BIO, int (*)(BIO*)> bio(BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size())),
                                                 BIO_free);
   identity->key.reset(PEM_read_bio_PrivateKey(bio.get(), nullptr, nullptr, nullptr));
-  if (!identity->key) throw TlsError("no private key: " + openssl_error());
+  if (!identity->key) throw TlsError("no readable private key: " + openssl_error());
   BIO_reset(bio.get());
   while (X509* const each = PEM_read_bio_X509(bio.get(), nullptr, nullptr, nullptr)) {
     if (!identity->certificate) {
@@ -105,9 +110,9 @@
     }
   }
   ERR_clear_error();
-  if (!identity->certificate) throw TlsError("no certificate");
+  if (!identity->certificate) throw TlsError("no certificate found");
   if (X509_check_private_key(identity->certificate.get(), identity->key.get()) != 1) {
-    throw TlsError("the private key is not the certificate's: " + openssl_error());
+    throw TlsError("the private key does not belong to the certificate: " + openssl_error());
   }
   const std::unique_ptr<GENERAL_NAMES, void (*)(GENERAL_NAMES*)> names(
       static_cast<GENERAL_NAMES*>(
@@ -189,7 +194,7 @@
     const auto challenge = table->challenges.find(name);
     if (challenge != table->challenges.end()) {
       chosen = challenge->second;
-      SSL_set_app_data(session, self);  // marks it for choose_protocol
+      SSL_set_app_data(session, self);  // marks the session for on_select_alpn() and was_challenge()
     }
   }
   if (!chosen) chosen = select_identity(*table, name);
