--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -197,6 +197,9 @@
   return 0;
 }
 
+// The values of an answer are those of the status frame in register/frames.hpp: name, leads, term, leader's
+// name, last index, committed, applied, failed, sessions, revision, then (name, identity, votes) of each
+// voter.
 int FleetCommands::status(const fleet::FleetSettings& settings) {
   const auto answers = query_voters(settings);
   std::uint64_t newest = 0;
--- a/src/logging/structured.hpp
+++ b/src/logging/structured.hpp
@@ -8,9 +8,8 @@
 
 // `line`: Unix time with milliseconds, a space and the message. The object has the member `time` (UTC, to the
 // millisecond; absent if the line does not begin with a time) and the message's members:
-//   - a message of key=value pairs (duty=work event=begin token=17 why="...") has one member for each pair,
-//   with
-//     integers as JSON numbers;
+//   - a message of key=value pairs (duty=work event=begin token=17 why="...") has one member for each pair;
+//     integers become JSON numbers;
 //   - "part: text" has `part` and `text`;
 //   - any other message has `text` alone.
 std::string to_json_line(std::string_view line);
