--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -86,8 +86,8 @@
   if (certs.selected()) return certs.run(log);
   if (gap.selected()) return gap.run(log);
   if (fleet.selected()) return fleet.run(log);
-  if (const std::string wrong = contradiction(serve_options); !wrong.empty()) {
-    log.line("usage: %s (see quartzarch --help)", wrong.c_str());
+  if (const std::string problem = contradiction(serve_options); !problem.empty()) {
+    log.line("usage: %s (see quartzarch --help)", problem.c_str());
     return 2;
   }
   fleet::FleetSettings fleet_settings;
@@ -100,9 +100,9 @@
     if (serve_options.certs) duties.emplace_back(fleet::kCertificatesDuty);
     if (serve_options.control) duties.emplace_back(fleet::kGapsDuty);
     if (serve_options.certs) seal = fleet::read_seal(fleet_settings);
-    auto made = std::make_unique<fleet::Membership>(to, fleet_settings, name, seed, duties);
-    member = made.get();
-    return made;
+    auto membership = std::make_unique<fleet::Membership>(to, fleet_settings, name, seed, duties);
+    member = membership.get();
+    return membership;
   };
   serve_options.make_certificates = [&](Logger& to, const std::string& path, bool tls_port) {
     Certificates::KeepIn keep_in;
@@ -117,9 +117,9 @@
   serve_options.make_operation = [&](Loop& loop, Logger& to, Planner& planner, const std::string& path,
                                      std::uint64_t seed) {
     ControlSettings settings = parse_control(read_file(path));
-    std::unique_ptr<gap::SharedList> sharing;
-    if (member) sharing = std::make_unique<fleet::GapList>(to, *member, fleet_settings.start_wait);
-    return std::make_unique<ControlService>(loop, to, planner, settings, seed, std::move(sharing));
+    std::unique_ptr<gap::SharedList> shared_list;
+    if (member) shared_list = std::make_unique<fleet::GapList>(to, *member, fleet_settings.start_wait);
+    return std::make_unique<ControlService>(loop, to, planner, settings, seed, std::move(shared_list));
   };
   return serve(log, serve_options);
 }
