--- a/src/tls/registry.cpp
+++ b/src/tls/registry.cpp
@@ -13,7 +13,7 @@
 namespace quartzarch::tls {
 namespace {
 
-constexpr std::size_t kDigestSize = 32;
+constexpr std::size_t kDigestSize = 32;  // SHA-256
 
 // Takes OpenSSL's oldest queued error and clears the queue.
 std::string openssl_error() {
