--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -15,22 +15,25 @@
 
 using acme::Alarm;
 
-// Running instances look for challenges twice a second; they answer those of this command.
-constexpr std::chrono::milliseconds kSettle{2500};
-constexpr Duration kPatience = std::chrono::seconds(5);
+// How long to wait before the authority is asked to validate a challenge. Running instances look for new
+// challenges twice a second and answer those that this command has stored.
+constexpr std::chrono::milliseconds kChallengeSettleTime{2500};
+// How long the fleet's register may take to answer the request for the certificates duty.
+constexpr Duration kDutyTimeout = std::chrono::seconds(5);
 
-// RFC 5280, 5.3.1.
-const std::map<std::string, int> kReasons{{"unspecified", 0},          {"keyCompromise", 1},
-                                          {"affiliationChanged", 3},   {"superseded", 4},
-                                          {"cessationOfOperation", 5}, {"privilegeWithdrawn", 9}};
+// The reason codes of RFC 5280, 5.3.1.
+const std::map<std::string, int> kRevocationReasons{{"unspecified", 0},          {"keyCompromise", 1},
+                                                    {"affiliationChanged", 3},   {"superseded", 4},
+                                                    {"cessationOfOperation", 5}, {"privilegeWithdrawn", 9}};
 
-// A keeper for the commands. With a fleet it asks for the duty, does what it does under its token and sealed,
-// and hands the duty on.
-class Hand {
+// A certificate keeper for the duration of one command. With a fleet it first requests the certificates duty,
+// writes to the register under that duty's fencing token with sealed (encrypted) values, and hands the duty
+// on when it ends.
+class CertificateAccess {
  public:
-  Hand(const std::string& file, const std::optional<std::string>& fleet_file, Logger& log) {
+  CertificateAccess(const std::string& file, const std::optional<std::string>& fleet_file, Logger& log) {
     acme::Settings settings = Certificates::read(file);
-    settings.settle = std::max(settings.settle, kSettle);
+    settings.settle = std::max(settings.settle, kChallengeSettleTime);
     acme::Kept kept;
     if (fleet_file) {
       const fleet::FleetSettings fleet = fleet::parse_fleet(read_file(*fleet_file));
@@ -43,7 +46,8 @@
       move.op = reg::Op::move;
       move.name = fleet::kCertificatesDuty;
       move.value = name;
-      if (!member_->ask_and_wait(move, kPatience)) throw std::runtime_error("no voter of the fleet answers");
+      if (!member_->ask_and_wait(move, kDutyTimeout))
+        throw std::runtime_error("the fleet's register did not answer the request for the certificates duty");
     } else {
       kept = acme::kept_on_disk(settings, log);
     }
@@ -53,20 +57,20 @@
 
  private:
   std::optional<fleet::Membership> member_;
-  std::optional<acme::Keeper> keeper_;  // ends first
+  std::optional<acme::Keeper> keeper_;  // declared last: it uses member_ and is destroyed before it
 };
 
-std::string or_null(const std::optional<acme::Instant>& at) {
+std::string json_timestamp(const std::optional<acme::Instant>& at) {
   return at ? "\"" + acme::timestamp(*at) + "\"" : "null";
 }
 
-std::string as_json(const acme::Standing& each) {
+std::string status_json(const acme::Standing& each) {
   return "{\"id\":" + json_quoted(each.id) + ",\"names\":" + acme::in_brackets(each.names) + ",\"alarm\":\"" +
          acme::name_of(each.alarm) +
-         "\",\"ends\":" + or_null(each.validity ? std::optional(each.validity->ends) : std::nullopt) +
-         ",\"due\":" + or_null(each.due) + ",\"issuer\":" + json_quoted(each.issuer) +
+         "\",\"ends\":" + json_timestamp(each.validity ? std::optional(each.validity->ends) : std::nullopt) +
+         ",\"due\":" + json_timestamp(each.due) + ",\"issuer\":" + json_quoted(each.issuer) +
          ",\"fingerprint\":" + json_quoted(each.fingerprint) +
-         ",\"failures\":" + std::to_string(each.failures) + ",\"next_attempt\":" + or_null(each.next) +
+         ",\"failures\":" + std::to_string(each.failures) + ",\"next_attempt\":" + json_timestamp(each.next) +
          ",\"last_failure\":" + json_quoted(each.last_failure) +
          ",\"order_open\":" + (each.order_open ? "true" : "false") + "}";
 }
@@ -77,76 +81,77 @@
     std::printf(" ends %s, renewal due %s, issued by %s", acme::timestamp(each.validity->ends).c_str(),
                 acme::timestamp(*each.due).c_str(), each.issuer.c_str());
   } else {
-    std::printf(" there is none yet");
+    std::printf(" not issued yet");
   }
   std::printf("\n");
   for (const std::string& name : each.names) std::printf("%16s %s\n", "", name.c_str());
   if (each.failures > 0) {
-    std::printf("%16s %u attempts failed, the last: %s\n", "", each.failures, each.last_failure.c_str());
+    std::printf("%16s %u failed attempts, the last: %s\n", "", each.failures, each.last_failure.c_str());
   }
   if (each.next) std::printf("%16s next attempt %s\n", "", acme::timestamp(*each.next).c_str());
   if (each.order_open) std::printf("%16s an order is open\n", "");
 }
 
-int code_of(Alarm alarm) { return alarm <= Alarm::due ? 0 : alarm == Alarm::late ? 1 : 2; }
+int exit_code_for(Alarm alarm) { return alarm <= Alarm::due ? 0 : alarm == Alarm::late ? 1 : 2; }
 
-// A certificate file by itself: the key, the chain, the times.
-int check_certificate(const std::string& path, const std::string& text, bool json) {
+// Checks one certificate file without any settings: its key, its chain and its validity period.
+int check_certificate_file(const std::string& path, const std::string& text, bool json) {
   const acme::Certificate leaf = acme::first_certificate(text);
   const acme::Key key = acme::key_from_pem(text);
   const auto names = acme::names_of(leaf);
   const auto now = std::chrono::floor<acme::Seconds>(std::chrono::system_clock::now());
-  const std::string wrong = acme::unsound(text, key, names, now, std::nullopt);
+  const std::string problem = acme::unsound(text, key, names, now, std::nullopt);
   if (json) {
     std::printf("{\"file\":%s,\"sound\":%s,\"wrong\":%s,\"names\":%s,\"ends\":\"%s\"}\n",
-                json_quoted(path).c_str(), wrong.empty() ? "true" : "false", json_quoted(wrong).c_str(),
+                json_quoted(path).c_str(), problem.empty() ? "true" : "false", json_quoted(problem).c_str(),
                 acme::in_brackets(names).c_str(), acme::timestamp(acme::validity_of(leaf).ends).c_str());
   } else {
-    std::printf("%s: %s, ends %s\n", path.c_str(), wrong.empty() ? "can be used" : wrong.c_str(),
+    std::printf("%s: %s, ends %s\n", path.c_str(), problem.empty() ? "can be used" : problem.c_str(),
                 acme::timestamp(acme::validity_of(leaf).ends).c_str());
   }
-  return wrong.empty() ? 0 : 1;
+  return problem.empty() ? 0 : 1;
 }
 
 }  // namespace
 
-Certs::Certs(CLI::App& app)
-    : command_(app.add_subcommand("certs", "the certificates that the program keeps")) {
+CertsCommand::CertsCommand(CLI::App& app)
+    : command_(app.add_subcommand("certs", "show and manage the certificates of the program")) {
   command_->require_subcommand(1);
-  command_->add_option("--file", file_, "the settings")->capture_default_str();
+  command_->add_option("--file", file_, "the settings file")->capture_default_str();
   const auto add = [&](const char* name, const char* what) {
     CLI::App* const command = command_->add_subcommand(name, what);
     command->add_flag("--json", json_, "print JSON");
-    command->add_option("--file", file_, "the settings")->capture_default_str();
+    command->add_option("--file", file_, "the settings file")->capture_default_str();
     return command;
   };
-  status_ = add("status", "how they stand; exit code 0 good or due, 1 late, 2 critical or expired");
-  status_->add_option("ID", id_, "one certificate; all if left out");
-  renew_ = add("renew", "renew now, due or not");
+  status_ = add("status", "show their state; exit code 0 good or due, 1 late, 2 critical or expired");
+  status_->add_option("ID", id_, "one certificate; default: all");
+  renew_ = add("renew", "renew now, even if not due");
   renew_->add_option("ID", id_, "the certificate");
   renew_->add_flag("--all", all_, "all of them");
   revoke_ = add("revoke", "revoke the certificate in use");
   revoke_->add_option("ID", id_, "the certificate")->required();
-  revoke_->add_option("--reason", reason_, "why (RFC 5280)")->transform(CLI::IsMember([] {
+  revoke_->add_option("--reason", reason_, "the revocation reason (RFC 5280)")->transform(CLI::IsMember([] {
     std::vector<std::string> names;
-    for (const auto& each : kReasons) names.push_back(each.first);
+    for (const auto& each : kRevocationReasons) names.push_back(each.first);
     return names;
   }()));
-  rollover_ = add("rollover", "give the account a new key");
-  contact_ = add("contact", "tell the authority the contact of the settings");
-  deactivate_ = add("deactivate", "end the account; the next order opens a new one");
+  rollover_ = add("rollover", "replace the account's key");
+  contact_ = add("contact", "send the contact of the settings to the authority");
+  deactivate_ = add("deactivate", "deactivate the account; the next order opens a new one");
   for (CLI::App* const each : {renew_, revoke_, rollover_, contact_, deactivate_}) {
-    each->add_option("--fleet", fleet_, "the fleet whose certificates they are (deploy/fleet.toml)");
+    each->add_option("--fleet", fleet_,
+                     "settings file of the fleet that shares the certificates (deploy/fleet.toml)");
   }
   for (CLI::App* const each : {rollover_, contact_, deactivate_}) {
-    each->add_option("--authority", authority_, "by its name in the settings; the first if left out");
+    each->add_option("--authority", authority_, "the authority's name in the settings; default: the first");
   }
   check_ = add("check", "check a settings file, or a certificate file");
-  check_->add_option("FILE", checked_, "the file")->required();
+  check_->add_option("FILE", checked_file_, "the file")->required();
 }
 
-int Certs::run(Logger& log) const {
-  const std::string& path = check_->parsed() ? checked_ : file_;
+int CertsCommand::run(Logger& log) const {
+  const std::string& path = check_->parsed() ? checked_file_ : file_;
   try {
     if (check_->parsed()) return check();
     if (status_->parsed()) return status();
@@ -165,9 +170,9 @@
   }
 }
 
-int Certs::status() const {
-  std::FILE* const nowhere = std::fopen("/dev/null", "w");
-  Logger quiet(nowhere);
+int CertsCommand::status() const {
+  std::FILE* const null_stream = std::fopen("/dev/null", "w");
+  Logger quiet(null_stream);
   acme::Keeper keeper(Certificates::read(file_), quiet, nullptr, acme::Environment::real({}));
   int code = 0;
   std::string out;
@@ -175,22 +180,22 @@
   for (const acme::Standing& each : keeper.standings()) {
     if (!id_.empty() && each.id != id_) continue;
     found = true;
-    code = std::max(code, code_of(each.alarm));
+    code = std::max(code, exit_code_for(each.alarm));
     if (json_) {
-      out += (out.empty() ? "" : ",") + as_json(each);
+      out += (out.empty() ? "" : ",") + status_json(each);
     } else {
       print(each);
     }
   }
-  std::fclose(nowhere);
-  if (!found) throw acme::SettingsError("there is no certificate \"" + id_ + "\" in " + file_);
+  std::fclose(null_stream);
+  if (!found) throw acme::SettingsError("no certificate has the ID \"" + id_ + "\" in " + file_);
   if (json_) std::printf("[%s]\n", out.c_str());
   return code;
 }
 
-int Certs::renew(Logger& log) const {
+int CertsCommand::renew(Logger& log) const {
   if (id_.empty() == !all_) throw acme::SettingsError("renew needs an ID or --all");
-  Hand keeper(file_, fleet_, log);
+  CertificateAccess keeper(file_, fleet_, log);
   int code = 0;
   std::string out;
   for (const auto& each : keeper->settings().certificates) {
@@ -209,9 +214,9 @@
   return code;
 }
 
-int Certs::revoke(Logger& log) const {
-  Hand keeper(file_, fleet_, log);
-  const std::string failure = keeper->revoke(id_, kReasons.at(reason_));
+int CertsCommand::revoke(Logger& log) const {
+  CertificateAccess keeper(file_, fleet_, log);
+  const std::string failure = keeper->revoke(id_, kRevocationReasons.at(reason_));
   if (json_) {
     std::printf("{\"id\":%s,\"revoked\":%s,\"failure\":%s}\n", json_quoted(id_).c_str(),
                 failure.empty() ? "true" : "false", json_quoted(failure).c_str());
@@ -221,12 +226,13 @@
   return failure.empty() ? 0 : 1;
 }
 
-int Certs::account(Logger& log) const {
-  Hand keeper(file_, fleet_, log);
+int CertsCommand::account(Logger& log) const {
+  CertificateAccess keeper(file_, fleet_, log);
   const auto& authorities = keeper->settings().authorities;
   std::size_t index = 0;
   while (index < authorities.size() && !authority_.empty() && authorities[index].name != authority_) ++index;
-  if (index == authorities.size()) throw acme::SettingsError("there is no authority \"" + authority_ + "\"");
+  if (index == authorities.size())
+    throw acme::SettingsError("no authority has the name \"" + authority_ + "\"");
   const std::string failure = rollover_->parsed()  ? keeper->roll_over(index)
                               : contact_->parsed() ? keeper->change_contact(index)
                                                    : keeper->deactivate(index);
@@ -240,15 +246,16 @@
   return failure.empty() ? 0 : 1;
 }
 
-int Certs::check() const {
-  const std::string text = read_file(checked_);
-  if (text.find("-----BEGIN") != std::string::npos) return check_certificate(checked_, text, json_);
-  const acme::Settings settings = Certificates::read(checked_);
+int CertsCommand::check() const {
+  const std::string text = read_file(checked_file_);
+  if (text.find("-----BEGIN") != std::string::npos) return check_certificate_file(checked_file_, text, json_);
+  const acme::Settings settings = Certificates::read(checked_file_);
   if (json_) {
     std::printf("{\"file\":%s,\"sound\":true,\"certificates\":%zu,\"authorities\":%zu}\n",
-                json_quoted(checked_).c_str(), settings.certificates.size(), settings.authorities.size());
+                json_quoted(checked_file_).c_str(), settings.certificates.size(),
+                settings.authorities.size());
   } else {
-    std::printf("%s: good: %zu certificates, %zu authorities\n", checked_.c_str(),
+    std::printf("%s: valid: %zu certificates, %zu authorities\n", checked_file_.c_str(),
                 settings.certificates.size(), settings.authorities.size());
   }
   return 0;
--- a/src/cli/certs.hpp
+++ b/src/cli/certs.hpp
@@ -1,4 +1,5 @@
-// `quartzarch certs ...`: how the certificates stand, and what is done to them by hand.
+// `quartzarch certs ...`: shows the state of the managed certificates, and renews and revokes them or changes
+// their ACME account on an operator's request.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -9,12 +10,14 @@
 
 namespace quartzarch::cli {
 
-class Certs {
+class CertsCommand {
  public:
-  explicit Certs(CLI::App& app);
+  explicit CertsCommand(CLI::App& app);
 
-  bool asked() const { return command_->parsed(); }
-  // Exit codes: 0 good, 1 warning or failed, 2 critical, or a settings file that cannot be used.
+  // Whether the command line selects this command.
+  bool selected() const { return command_->parsed(); }
+  // Runs the selected sub-command. Exit codes: 0 good, 1 a warning or a failed operation, 2 critical or an
+  // unusable settings file.
   int run(Logger& log) const;
 
  private:
@@ -27,7 +30,7 @@
   CLI::App* command_;
   CLI::App *status_, *renew_, *revoke_, *rollover_, *contact_, *deactivate_, *check_;
   std::string file_ = "deploy/certs.toml";
-  std::string id_{}, reason_ = "unspecified", authority_{}, checked_{};
+  std::string id_{}, reason_ = "unspecified", authority_{}, checked_file_{};
   std::optional<std::string> fleet_{};
   bool json_ = false, all_ = false;
 };
--- a/src/front/sip/tls.hpp
+++ b/src/front/sip/tls.hpp
@@ -41,7 +41,7 @@
   std::shared_ptr<tls::Registry> registry_;
   std::string certificate_file_;
   std::string file_version_{};
-  std::unique_ptr<SSL_CTX, tls::FreeSsl> client_{};
+  std::unique_ptr<SSL_CTX, tls::OpenSslDeleter> client_{};
 };
 
 // One TLS connection: converts between the ciphertext of the socket and the plaintext of the application.
@@ -68,7 +68,7 @@
   explicit TlsSession(SSL_CTX* context);
   bool advance();
 
-  std::unique_ptr<SSL, tls::FreeSsl> ssl_;
+  std::unique_ptr<SSL, tls::OpenSslDeleter> ssl_;
   std::string received_plain_{}, pending_plain_{};
 };
 
