--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -88,7 +88,7 @@
     settings.authorities[0].access.ca_file = folder + "/roots";
     std::ofstream(folder + "/roots") << authority.root();
     settings.certificates = {{"sip", {"sip.lab.example"}, "ecdsa-p256"}};
-    acme::Keeper keeper(settings, log, registry, acme::Environment::real({}));
+    acme::CertificateRenewer keeper(settings, log, registry, acme::Environment::real({}));
     if (const std::string failure = keeper.renew_now("sip"); !failure.empty()) {
       std::fprintf(stderr, "no certificate: %s\n", failure.c_str());
       std::exit(1);
--- a/src/acme/keeper.cpp
+++ b/src/acme/keeper.cpp
@@ -31,8 +31,9 @@
   return {std::move(directory), std::move(lease)};
 }
 
-Keeper::Keeper(Settings settings, Logger& log, std::shared_ptr<tls::Registry> registry,
-               Environment environment, Kept kept)
+CertificateRenewer::CertificateRenewer(Settings settings, Logger& log,
+                                       std::shared_ptr<tls::Registry> registry, Environment environment,
+                                       Kept kept)
     : settings_(std::move(settings)),
       log_(log),
       registry_(std::move(registry)),
@@ -63,12 +64,12 @@
 // ---- The pass
 
 // The certificate at hand, if it is what the settings want.
-std::optional<Validity> Keeper::wanted(const Managed& managed) const {
+std::optional<Validity> CertificateRenewer::wanted(const Managed& managed) const {
   if (!managed.leaf || !names_all(managed.leaf, managed.settings.names)) return std::nullopt;
   return managed.held;
 }
 
-Instant Keeper::work() {
+Instant CertificateRenewer::work() {
   const Instant begun = environment_.now();
   Instant next = begun + kLongestSleep;
   bool ours = false;
@@ -131,7 +132,7 @@
   return std::max(next, environment_.now() + Seconds(1));
 }
 
-void Keeper::run(const std::stop_token& stop) {
+void CertificateRenewer::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     const Instant next = work();
     // Counted besides, for a clock that is set back meanwhile.
@@ -147,7 +148,7 @@
   }
 }
 
-void Keeper::look() {
+void CertificateRenewer::look() {
   store_->look();
   challenges_.answer(environment_.now());
   const Instant now = environment_.now();
@@ -157,7 +158,7 @@
   }
 }
 
-void Keeper::refresh(Managed& managed) {
+void CertificateRenewer::refresh(Managed& managed) {
   const std::string name = file(managed, ".current.pem");
   if (std::string stamp = store_->stamp(name); stamp != managed.current_stamp) {
     managed.current_stamp = std::move(stamp);
@@ -192,7 +193,7 @@
   }
 }
 
-void Keeper::tell_alarm(Managed& managed, Instant now) {
+void CertificateRenewer::tell_alarm(Managed& managed, Instant now) {
   const Alarm alarm = managed.renewal->alarm(now, managed.held);
   const bool grave = alarm >= Alarm::late;
   const bool again = grave && (now - managed.told_at >= kRepeatAlarm || now < managed.told_at);
@@ -217,7 +218,7 @@
   }
 }
 
-Keeper::Managed& Keeper::find(const std::string& id) {
+CertificateRenewer::Managed& CertificateRenewer::find(const std::string& id) {
   for (Managed& each : managed_) {
     if (each.settings.id == id) return each;
   }
@@ -226,7 +227,7 @@
   throw SettingsError("there is no certificate \"" + id + "\"; there is: " + known);
 }
 
-std::vector<Standing> Keeper::standings() {
+std::vector<Standing> CertificateRenewer::standings() {
   const Instant now = environment_.now();
   std::vector<Standing> all;
   for (Managed& managed : managed_) {
@@ -250,7 +251,7 @@
   return all;
 }
 
-void Keeper::save_schedule(Managed& managed) {
+void CertificateRenewer::save_schedule(Managed& managed) {
   const std::string name = file(managed, ".schedule.json");
   try {
     store_->write(name, to_text(Schedule{managed.renewal->memory(), managed.seed, managed.last_failure}));
@@ -261,7 +262,7 @@
   }
 }
 
-std::string Keeper::attempt(Managed& managed, std::size_t authority) {
+std::string CertificateRenewer::attempt(Managed& managed, std::size_t authority) {
   Failure why = Failure::local;
   std::optional<Seconds> retry;
   std::string what;
@@ -296,7 +297,7 @@
   return what;
 }
 
-void Keeper::swap(Managed& managed, const Issued& issued) {
+void CertificateRenewer::swap(Managed& managed, const Issued& issued) {
   steps_.step("swap");  // the turn is looked at here for the last time
   const Secret pem(std::string(pem_of(issued.key).view()) + issued.chain);
   store_->write_pem(file(managed, ".current.pem"), pem);
@@ -306,7 +307,7 @@
             settings_.authorities[issued.record.authority].name.c_str(), date(managed.held->ends).c_str());
 }
 
-void Keeper::taken_into_use(Managed& managed, const OrderRecord& record) {
+void CertificateRenewer::taken_into_use(Managed& managed, const OrderRecord& record) {
   managed.renewal->succeeded(environment_.now(), record.authority);
   managed.last_failure.clear();
   save_schedule(managed);
@@ -315,7 +316,7 @@
   issuing_.drop(managed.settings.id, record);
 }
 
-void Keeper::ask_window(Managed& managed, Instant now) {
+void CertificateRenewer::ask_window(Managed& managed, Instant now) {
   const std::size_t authority = 0;
   try {
     Client client(settings_.authorities[authority].access, environment_.now, environment_.stopped);
@@ -334,7 +335,7 @@
 
 // ---- By hand
 
-std::string Keeper::with_lease(const std::function<void()>& work) {
+std::string CertificateRenewer::with_lease(const std::function<void()>& work) {
   try {
     for (int tries = 0; !turn_->take(environment_.now()); ++tries) {
       const auto holder = turn_->holder(environment_.now());
@@ -359,7 +360,7 @@
   }
 }
 
-std::string Keeper::renew_now(const std::string& id) {
+std::string CertificateRenewer::renew_now(const std::string& id) {
   std::string failure;
   const std::string other = with_lease([&] {
     Managed& managed = find(id);
@@ -378,7 +379,7 @@
   return other.empty() ? failure : other;
 }
 
-std::string Keeper::revoke(const std::string& id, int reason) {
+std::string CertificateRenewer::revoke(const std::string& id, int reason) {
   return with_lease([&] {
     Managed& managed = find(id);
     refresh(managed);
@@ -398,15 +399,15 @@
   });
 }
 
-std::string Keeper::roll_over(std::size_t authority) {
+std::string CertificateRenewer::roll_over(std::size_t authority) {
   return with_lease([&] { accounts_.roll_over(authority); });
 }
 
-std::string Keeper::deactivate(std::size_t authority) {
+std::string CertificateRenewer::deactivate(std::size_t authority) {
   return with_lease([&] { accounts_.deactivate(authority); });
 }
 
-std::string Keeper::change_contact(std::size_t authority) {
+std::string CertificateRenewer::change_contact(std::size_t authority) {
   return with_lease([&] {
     const auto session = accounts_.open(authority);  // changes it if the settings have another
     if (session->account.contact != settings_.authorities[authority].access.contact) {
--- a/src/acme/keeper.hpp
+++ b/src/acme/keeper.hpp
@@ -35,14 +35,16 @@
 // In the settings' directory, by a lease in it. Throws StateError if it cannot be trusted.
 Kept kept_on_disk(const Settings& settings, Logger& log);
 
-class Keeper {
+class CertificateRenewer {
  public:
   // `registry`: whom to give certificates and challenge answers; may be null (the command line). Throws
   // StateError if what is kept cannot be read, SettingsError if a file that the settings name cannot be used.
-  Keeper(Settings settings, Logger& log, std::shared_ptr<tls::Registry> registry, Environment environment,
-         Kept kept);
-  Keeper(Settings settings, Logger& log, std::shared_ptr<tls::Registry> registry, Environment environment)
-      : Keeper(settings, log, std::move(registry), std::move(environment), kept_on_disk(settings, log)) {}
+  CertificateRenewer(Settings settings, Logger& log, std::shared_ptr<tls::Registry> registry,
+                     Environment environment, Kept kept);
+  CertificateRenewer(Settings settings, Logger& log, std::shared_ptr<tls::Registry> registry,
+                     Environment environment)
+      : CertificateRenewer(settings, log, std::move(registry), std::move(environment),
+                           kept_on_disk(settings, log)) {}
 
   // Does what is due; when to be called again at the latest. Never throws.
   Instant work();
--- a/src/certificates.cpp
+++ b/src/certificates.cpp
@@ -25,11 +25,12 @@
   keeper_ = keeper(std::move(settings), round_.get_token());
 }
 
-std::unique_ptr<acme::Keeper> Certificates::keeper(acme::Settings settings, std::stop_token round) const {
+std::unique_ptr<acme::CertificateRenewer> Certificates::keeper(acme::Settings settings,
+                                                               std::stop_token round) const {
   acme::Kept kept = keep_in_ ? keep_in_(settings, [round] { return round.stop_requested(); })
                              : acme::kept_on_disk(settings, log_);
-  return std::make_unique<acme::Keeper>(std::move(settings), log_, registry_,
-                                        acme::Environment::real(std::move(round)), std::move(kept));
+  return std::make_unique<acme::CertificateRenewer>(
+      std::move(settings), log_, registry_, acme::Environment::real(std::move(round)), std::move(kept));
 }
 
 void Certificates::start() {
--- a/src/certificates.hpp
+++ b/src/certificates.hpp
@@ -33,7 +33,7 @@
   void stop() override { thread_.request_stop(); }
 
  private:
-  std::unique_ptr<acme::Keeper> keeper(acme::Settings settings, std::stop_token round) const;
+  std::unique_ptr<acme::CertificateRenewer> keeper(acme::Settings settings, std::stop_token round) const;
   void take(acme::Settings settings);
   void run(const std::stop_token& stop);
 
@@ -44,7 +44,7 @@
   std::mutex mutex_;
   std::optional<acme::Settings> fresh_{};
   std::stop_source round_{};  // ends when settings have come, or the thread is told to stop
-  std::unique_ptr<acme::Keeper> keeper_{};
+  std::unique_ptr<acme::CertificateRenewer> keeper_{};
   std::jthread thread_{};  // last: ends before what it uses
 };
 
--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -49,11 +49,11 @@
     }
     keeper_.emplace(std::move(settings), log, nullptr, acme::Environment::real({}), std::move(kept));
   }
-  acme::Keeper* operator->() { return &*keeper_; }
+  acme::CertificateRenewer* operator->() { return &*keeper_; }
 
  private:
   std::optional<fleet::Membership> member_;
-  std::optional<acme::Keeper> keeper_;  // ends first
+  std::optional<acme::CertificateRenewer> keeper_;  // ends first
 };
 
 std::string or_null(const std::optional<acme::Instant>& at) {
@@ -168,7 +168,7 @@
 int Certs::status() const {
   std::FILE* const nowhere = std::fopen("/dev/null", "w");
   Logger quiet(nowhere);
-  acme::Keeper keeper(Certificates::read(file_), quiet, nullptr, acme::Environment::real({}));
+  acme::CertificateRenewer keeper(Certificates::read(file_), quiet, nullptr, acme::Environment::real({}));
   int code = 0;
   std::string out;
   bool found = false;
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -405,7 +405,7 @@
   settings.directory = folder.file("certs");
   acme::Environment skewed = environment();
   skewed.now = [&] { return Instant(Seconds(time.load() + offset)); };
-  acme::Keeper wrong(settings, log, registry, skewed);
+  acme::CertificateRenewer wrong(settings, log, registry, skewed);
   for (const std::int64_t each : {365 * 86400L, -86400L}) {
     offset = each;
     for (int i = 0; i < 20; ++i) {
@@ -480,7 +480,7 @@
   std::fflush(log_file);
   std::FILE* const nowhere = std::fopen("/dev/null", "w");
   Logger quiet(nowhere);
-  acme::Keeper starved(settings, quiet, registry, environment());
+  acme::CertificateRenewer starved(settings, quiet, registry, environment());
   ::setrlimit(RLIMIT_FSIZE, &none);
   for (int i = 0; i < 5; ++i) set(starved.work());
   ::setrlimit(RLIMIT_FSIZE, &old);
@@ -550,7 +550,8 @@
 TEST_F(Installation, OfTwoThatWakeTogetherOneRenewsAndBothServeIt) {
   Authority& there = authority();
   const auto other_registry = std::make_shared<tls::Registry>();
-  acme::Keeper a(settings, log, registry, environment()), b(settings, log, other_registry, environment());
+  acme::CertificateRenewer a(settings, log, registry, environment()),
+      b(settings, log, other_registry, environment());
   std::jthread first([&] { a.work(); }), second([&] { b.work(); });
   first.join();
   second.join();
@@ -569,7 +570,7 @@
   const auto other_registry = std::make_shared<tls::Registry>();
   acme::Environment plain = environment();
   plain.step = {};
-  acme::Keeper b(settings, log, other_registry, plain);
+  acme::CertificateRenewer b(settings, log, other_registry, plain);
   bool once = false;
   on_step = [&](const char* what) {
     if (std::string(what) != "fetched" || std::exchange(once, true)) return;
@@ -577,7 +578,7 @@
     set(now() + settings.lease + Seconds(1));
     b.work();
   };
-  acme::Keeper a(settings, log, registry, environment());
+  acme::CertificateRenewer a(settings, log, registry, environment());
   a.work();
   EXPECT_NE(said().find("the lease went to another instance"), std::string::npos);
   EXPECT_EQ(there.counts().orders, 1) << said();
@@ -834,7 +835,7 @@
     if (++step == die_at) ::raise(SIGKILL);
   };
   Logger log;
-  acme::Keeper keeper(settings, log, nullptr, environment);
+  acme::CertificateRenewer keeper(settings, log, nullptr, environment);
   keeper.work();
   return keeper.standings()[0].validity ? 0 : 1;
 }
--- a/tests/installation.hpp
+++ b/tests/installation.hpp
@@ -79,11 +79,11 @@
     };
     return made;
   }
-  std::unique_ptr<acme::Keeper> keeper() {
-    return std::make_unique<acme::Keeper>(settings, log, registry, environment());
+  std::unique_ptr<acme::CertificateRenewer> keeper() {
+    return std::make_unique<acme::CertificateRenewer>(settings, log, registry, environment());
   }
   // Passes of the keeper, each when it asked to be called, until `end`.
-  void run(acme::Keeper& keeper, Instant end, const std::function<void()>& each = {}) {
+  void run(acme::CertificateRenewer& keeper, Instant end, const std::function<void()>& each = {}) {
     while (now() < end) {
       const Instant next = keeper.work();
       if (each) each();
