--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -8,7 +8,7 @@
 #include <queue>
 #include <thread>
 
-#include "acme/keeper.hpp"
+#include "acme/certificate_renewer.hpp"
 #include "authority/authority.hpp"
 #include "bench.hpp"
 #include "config.hpp"
--- a/src/acme/keeper.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -1,4 +1,4 @@
-#include "acme/keeper.hpp"
+#include "acme/certificate_renewer.hpp"
 
 #include <unistd.h>
 
--- a/src/certificates.hpp
+++ b/src/certificates.hpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <thread>
 
-#include "acme/keeper.hpp"
+#include "acme/certificate_renewer.hpp"
 #include "config.hpp"
 #include "serve.hpp"
 
--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -4,8 +4,8 @@
 #include <map>
 #include <optional>
 
+#include "acme/certificate_renewer.hpp"
 #include "acme/json.hpp"
-#include "acme/keeper.hpp"
 #include "certificates.hpp"
 #include "config.hpp"
 #include "fleet/certificate_store.hpp"
--- a/src/fleet/certificate_store.hpp
+++ b/src/fleet/certificate_store.hpp
@@ -11,7 +11,7 @@
 #include <mutex>
 #include <set>
 
-#include "acme/keeper.hpp"
+#include "acme/certificate_renewer.hpp"
 #include "acme/state.hpp"
 #include "fleet/membership.hpp"
 #include "fleet/seal.hpp"
--- a/tests/installation.hpp
+++ b/tests/installation.hpp
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <thread>
 
-#include "acme/keeper.hpp"
+#include "acme/certificate_renewer.hpp"
 #include "authority/authority.hpp"
 #include "config.hpp"
 #include "loopback.hpp"
