--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Kept kept_on_disk(const Settings& settings, Logger& log) {
+SharedState open_state_on_disk(const Settings& settings, Logger& log) {
   auto directory = std::make_unique<StateDirectory>(
       settings.directory, [&log](const std::string& line) { log.line("certificates: %s", line.c_str()); });
   auto lease = std::make_unique<Lease>(
@@ -33,14 +33,14 @@
 
 CertificateRenewer::CertificateRenewer(Settings settings, Logger& log,
                                        std::shared_ptr<tls::Registry> registry, Environment environment,
-                                       Kept kept)
+                                       SharedState shared)
     : settings_(std::move(settings)),
       log_(log),
       registry_(std::move(registry)),
       environment_(std::move(environment)),
-      store_(std::move(kept.store)),
-      turn_(std::move(kept.turn)),
-      steps_(environment_, *turn_, settings_.lease / 4),
+      store_(std::move(shared.store)),
+      lease_(std::move(shared.lease)),
+      steps_(environment_, *lease_, settings_.lease / 4),
       accounts_(*store_, settings_, environment_, steps_),
       challenges_(*store_, settings_, log_, registry_),
       issuing_(*store_, settings_, log_, steps_, accounts_, challenges_) {
@@ -88,7 +88,7 @@
       const bool asks = managed.held && managed.renewal->wants_window(now) &&
                         managed.renewal->memory().failures == 0 && now < managed.held->ends;
       if (advice.action == Advice::Do::renew || asks) {
-        if (!ours) ours = turn_->take(now);
+        if (!ours) ours = lease_->take(now);
         if (!ours) {
           next = std::min(next, now + std::min(settings_.lease / 4 + Seconds(1), Seconds(30)));
           continue;
@@ -125,7 +125,7 @@
     next = begun + kAfterStateError;
   }
   try {
-    if (ours) turn_->give_back();
+    if (ours) lease_->give_back();
   } catch (const StateError& error) {
     log_.line("certificates: %s", error.what());
   }
@@ -337,8 +337,8 @@
 
 std::string CertificateRenewer::with_lease(const std::function<void()>& work) {
   try {
-    for (int tries = 0; !turn_->take(environment_.now()); ++tries) {
-      const auto holder = turn_->holder(environment_.now());
+    for (int tries = 0; !lease_->take(environment_.now()); ++tries) {
+      const auto holder = lease_->holder(environment_.now());
       if (tries >= kLeaseTries || !environment_.pause(milliseconds(1000))) {
         return "another instance is at work (" + (holder ? holder->name : std::string("unknown")) + ")";
       }
@@ -353,7 +353,7 @@
     } catch (const std::runtime_error& error) {
       failure = error.what();
     }
-    turn_->give_back();
+    lease_->give_back();
     return failure;
   } catch (const StateError& error) {
     return error.what();
--- a/src/acme/certificate_renewer.hpp
+++ b/src/acme/certificate_renewer.hpp
@@ -28,23 +28,23 @@
 };
 
 // Where a keeper's state is, and whose turn it is. The turn is ended before the store.
-struct Kept {
+struct SharedState {
   std::unique_ptr<Store> store{};
-  std::unique_ptr<Turn> turn{};
+  std::unique_ptr<Turn> lease{};
 };
 // In the settings' directory, by a lease in it. Throws StateError if it cannot be trusted.
-Kept kept_on_disk(const Settings& settings, Logger& log);
+SharedState open_state_on_disk(const Settings& settings, Logger& log);
 
 class CertificateRenewer {
  public:
   // `registry`: whom to give certificates and challenge answers; may be null (the command line). Throws
   // StateError if what is kept cannot be read, SettingsError if a file that the settings name cannot be used.
   CertificateRenewer(Settings settings, Logger& log, std::shared_ptr<tls::Registry> registry,
-                     Environment environment, Kept kept);
+                     Environment environment, SharedState shared);
   CertificateRenewer(Settings settings, Logger& log, std::shared_ptr<tls::Registry> registry,
                      Environment environment)
       : CertificateRenewer(settings, log, std::move(registry), std::move(environment),
-                           kept_on_disk(settings, log)) {}
+                           open_state_on_disk(settings, log)) {}
 
   // Does what is due; when to be called again at the latest. Never throws.
   Instant work();
@@ -96,7 +96,7 @@
   std::shared_ptr<tls::Registry> registry_;
   Environment environment_;
   std::unique_ptr<Store> store_;
-  std::unique_ptr<Turn> turn_;
+  std::unique_ptr<Turn> lease_;
   Steps steps_;
   Accounts accounts_;
   Challenges challenges_;
--- a/src/certificates.cpp
+++ b/src/certificates.cpp
@@ -27,8 +27,8 @@
 
 std::unique_ptr<acme::CertificateRenewer> Certificates::keeper(acme::Settings settings,
                                                                std::stop_token round) const {
-  acme::Kept kept = keep_in_ ? keep_in_(settings, [round] { return round.stop_requested(); })
-                             : acme::kept_on_disk(settings, log_);
+  acme::SharedState kept = keep_in_ ? keep_in_(settings, [round] { return round.stop_requested(); })
+                                    : acme::open_state_on_disk(settings, log_);
   return std::make_unique<acme::CertificateRenewer>(
       std::move(settings), log_, registry_, acme::Environment::real(std::move(round)), std::move(kept));
 }
--- a/src/certificates.hpp
+++ b/src/certificates.hpp
@@ -17,7 +17,8 @@
 class Certificates : public CertificateManager {
  public:
   // Where a keeper's state is; `stopped` ends what waits. Called for each new keeper.
-  using KeepIn = std::function<acme::Kept(const acme::Settings& settings, std::function<bool()> stopped)>;
+  using KeepIn =
+      std::function<acme::SharedState(const acme::Settings& settings, std::function<bool()> stopped)>;
 
   // Throws ConfigError if the file is bad, std::runtime_error if the state cannot be trusted. `tls_port`:
   // whether the process has one, which tls-alpn-01 is answered on. `keep_in`: empty for the directory.
--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -31,7 +31,7 @@
   Hand(const std::string& file, const std::optional<std::string>& fleet_file, Logger& log) {
     acme::Settings settings = Certificates::read(file);
     settings.settle = std::max(settings.settle, kSettle);
-    acme::Kept kept;
+    acme::SharedState kept;
     if (fleet_file) {
       const fleet::FleetSettings fleet = fleet::parse_fleet(read_file(*fleet_file));
       const std::string name = "certs-by-hand-" + std::to_string(acme::random_bits());
@@ -45,7 +45,7 @@
       move.value = name;
       if (!member_->ask_and_wait(move, kPatience)) throw std::runtime_error("no voter of the fleet answers");
     } else {
-      kept = acme::kept_on_disk(settings, log);
+      kept = acme::open_state_on_disk(settings, log);
     }
     keeper_.emplace(std::move(settings), log, nullptr, acme::Environment::real({}), std::move(kept));
   }
--- a/src/fleet/certificate_store.cpp
+++ b/src/fleet/certificate_store.cpp
@@ -299,8 +299,8 @@
   }
 }
 
-acme::Kept open_fleet_store(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
-                            Duration timeout, std::function<bool()> stopped) {
+acme::SharedState open_fleet_store(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
+                                   Duration timeout, std::function<bool()> stopped) {
   auto store =
       std::make_unique<CertificateStore>(log, fleet, std::move(seal), settings.directory, std::move(stopped));
   if (!store->wait_for_contents(timeout)) {
--- a/src/fleet/certificate_store.hpp
+++ b/src/fleet/certificate_store.hpp
@@ -118,7 +118,7 @@
 // file does not hold one.
 Seal read_seal(const FleetSettings& settings);
 // The store and the turn for a controller of a fleet; waits `timeout` for the register's contents.
-acme::Kept open_fleet_store(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
-                            Duration timeout, std::function<bool()> stopped);
+acme::SharedState open_fleet_store(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
+                                   Duration timeout, std::function<bool()> stopped);
 
 }  // namespace quartzarch::fleet
