--- a/bench/duty.cpp
+++ b/bench/duty.cpp
@@ -509,7 +509,7 @@
  private:
   [[noreturn]] void work(const std::string& name, bool believes) const {
     acme::StateDirectory directory(directory_, {});
-    acme::Lease lease(directory, name, kLease);
+    acme::FileLease lease(directory, name, kLease);
     const auto now = [] { return std::chrono::floor<acme::Seconds>(std::chrono::system_clock::now()); };
     bool ours = false;
     for (;;) {
--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -26,7 +26,7 @@
 SharedState open_state_on_disk(const Settings& settings, Logger& log) {
   auto directory = std::make_unique<StateDirectory>(
       settings.directory, [&log](const std::string& line) { log.line("certificates: %s", line.c_str()); });
-  auto lease = std::make_unique<Lease>(
+  auto lease = std::make_unique<FileLease>(
       *directory, std::to_string(::getpid()) + "-" + std::to_string(random_bits()), settings.lease);
   return {std::move(directory), std::move(lease)};
 }
--- a/src/acme/state.cpp
+++ b/src/acme/state.cpp
@@ -16,19 +16,19 @@
 namespace quartzarch::acme {
 namespace {
 
-constexpr std::string_view kMagic = "quartzarch-state 1 ";
-constexpr std::size_t kLongestFile = 1024 * 1024;
-constexpr const char* kLease = "lease";
-constexpr const char* kLeaseLock = "lease.lock";
+constexpr std::string_view kRecordPrefix = "quartzarch-state 1 ";
+constexpr std::size_t kMaxFileBytes = 1024 * 1024;
+constexpr const char* kLeaseFile = "lease";
+constexpr const char* kLeaseLockFile = "lease.lock";
 
-std::string failure(const std::string& path) { return path + ": " + std::strerror(errno); }
+std::string errno_text(const std::string& path) { return path + ": " + std::strerror(errno); }
 
 void sync_directory_of(const std::string& path) {
   const auto slash = path.rfind('/');
   const std::string directory =
       slash == std::string::npos ? "." : path.substr(0, std::max<std::size_t>(slash, 1));
   const Fd fd(::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  if (!fd || ::fsync(fd.get()) != 0) throw StateError(failure(directory));
+  if (!fd || ::fsync(fd.get()) != 0) throw StateError(errno_text(directory));
 }
 
 std::string mode_text(mode_t mode) {
@@ -38,7 +38,7 @@
 }
 
 // Ours alone: a key that others may read is no key, and what others may write is not what we wrote.
-void check_owned(const struct stat& info, const std::string& path) {
+void check_private(const struct stat& info, const std::string& path) {
   if (info.st_uid != ::geteuid()) {
     throw StateError(path + ": belongs to user " + std::to_string(info.st_uid) + ", not to " +
                      std::to_string(::geteuid()));
@@ -52,9 +52,9 @@
 
 std::optional<std::string> read_secret(const std::string& path) {
   const auto slash = path.rfind('/');
-  const bool here = slash == std::string::npos;
-  const StateDirectory beside(here ? "." : path.substr(0, slash), {});
-  const auto read = beside.read_pem(here ? path : path.substr(slash + 1));
+  const bool in_working_directory = slash == std::string::npos;
+  const StateDirectory directory(in_working_directory ? "." : path.substr(0, slash), {});
+  const auto read = directory.read_pem(in_working_directory ? path : path.substr(slash + 1));
   if (!read) return std::nullopt;
   std::string text = read->text();
   while (!text.empty() && std::isspace(static_cast<unsigned char>(text.back()))) text.pop_back();
@@ -62,11 +62,11 @@
 }
 
 void replace_file(const std::string& path, std::string_view text) {
-  const std::string beside = path + ".new." + std::to_string(::getpid());
+  const std::string temporary = path + ".new." + std::to_string(::getpid());
   {
     const Fd fd(
-        ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW, S_IRUSR | S_IWUSR));
-    if (!fd) throw StateError(failure(beside));
+        ::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW, S_IRUSR | S_IWUSR));
+    if (!fd) throw StateError(errno_text(temporary));
     std::size_t done = 0;
     while (done < text.size()) {
       const ssize_t count = ::write(fd.get(), text.data() + done, text.size() - done);
@@ -74,26 +74,26 @@
       if (count <= 0) break;
       done += static_cast<std::size_t>(count);
     }
-    if (done != text.size() || ::fsync(fd.get()) != 0 || ::rename(beside.c_str(), path.c_str()) != 0) {
-      const std::string why = failure(path);
-      ::unlink(beside.c_str());
+    if (done != text.size() || ::fsync(fd.get()) != 0 || ::rename(temporary.c_str(), path.c_str()) != 0) {
+      const std::string why = errno_text(path);
+      ::unlink(temporary.c_str());
       throw StateError(why);
     }
   }
   sync_directory_of(path);
 }
 
-StateDirectory::StateDirectory(std::string path, std::function<void(const std::string&)> note)
-    : path_(std::move(path)), note_(std::move(note)) {
+StateDirectory::StateDirectory(std::string path, std::function<void(const std::string&)> on_set_aside)
+    : path_(std::move(path)), on_set_aside_(std::move(on_set_aside)) {
   if (::mkdir(path_.c_str(), S_IRWXU) == 0) {
     sync_directory_of(path_);
   } else if (errno != EEXIST) {
-    throw StateError(failure(path_));
+    throw StateError(errno_text(path_));
   }
   struct stat info {};
-  if (::stat(path_.c_str(), &info) != 0) throw StateError(failure(path_));
+  if (::stat(path_.c_str(), &info) != 0) throw StateError(errno_text(path_));
   if (!S_ISDIR(info.st_mode)) throw StateError(path_ + ": is no directory");
-  check_owned(info, path_);
+  check_private(info, path_);
 }
 
 std::optional<std::string> StateDirectory::load(const std::string& name) const {
@@ -101,18 +101,18 @@
   const Fd fd(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW | O_NONBLOCK));
   if (!fd) {
     if (errno == ENOENT) return std::nullopt;
-    throw StateError(failure(path));
+    throw StateError(errno_text(path));
   }
   struct stat info {};
-  if (::fstat(fd.get(), &info) != 0) throw StateError(failure(path));
+  if (::fstat(fd.get(), &info) != 0) throw StateError(errno_text(path));
   if (!S_ISREG(info.st_mode)) throw StateError(path + ": is no plain file");
-  check_owned(info, path);
-  std::string text(std::min(static_cast<std::size_t>(info.st_size), kLongestFile), '\0');
+  check_private(info, path);
+  std::string text(std::min(static_cast<std::size_t>(info.st_size), kMaxFileBytes), '\0');
   std::size_t done = 0;
   while (done < text.size()) {
     const ssize_t count = ::read(fd.get(), text.data() + done, text.size() - done);
     if (count < 0 && errno == EINTR) continue;
-    if (count < 0) throw StateError(failure(path));
+    if (count < 0) throw StateError(errno_text(path));
     if (count == 0) break;
     done += static_cast<std::size_t>(count);
   }
@@ -123,16 +123,18 @@
 std::optional<std::string> StateDirectory::read(const std::string& name) const {
   const auto text = load(name);
   if (!text) return std::nullopt;
-  const std::size_t head = kMagic.size() + 64 + 1;
-  const bool whole = text->starts_with(kMagic) && text->size() >= head && (*text)[head - 1] == '\n' &&
-                     text->compare(kMagic.size(), 64, hex(sha256(std::string_view(*text).substr(head)))) == 0;
-  if (whole) return text->substr(head);
-  set_aside(name, text->starts_with(kMagic) ? "torn or changed by hand" : "not a record of this program");
+  const std::size_t header_size = kRecordPrefix.size() + 64 + 1;
+  const bool intact =
+      text->starts_with(kRecordPrefix) && text->size() >= header_size && (*text)[header_size - 1] == '\n' &&
+      text->compare(kRecordPrefix.size(), 64, hex(sha256(std::string_view(*text).substr(header_size)))) == 0;
+  if (intact) return text->substr(header_size);
+  set_aside(name,
+            text->starts_with(kRecordPrefix) ? "torn or changed by hand" : "not a record of this program");
   return std::nullopt;
 }
 
 void StateDirectory::write(const std::string& name, std::string_view text) {
-  replace_file(path_of(name), std::string(kMagic) + hex(sha256(text)) + "\n" + std::string(text));
+  replace_file(path_of(name), std::string(kRecordPrefix) + hex(sha256(text)) + "\n" + std::string(text));
 }
 
 std::optional<Secret> StateDirectory::read_pem(const std::string& name) const {
@@ -147,7 +149,7 @@
 
 void StateDirectory::remove(const std::string& name) {
   const std::string path = path_of(name);
-  if (::unlink(path.c_str()) != 0 && errno != ENOENT) throw StateError(failure(path));
+  if (::unlink(path.c_str()) != 0 && errno != ENOENT) throw StateError(errno_text(path));
   sync_directory_of(path);
 }
 
@@ -158,11 +160,11 @@
     // link() fails where something is: nothing that was put aside before is written over.
     if (::link(path.c_str(), aside.c_str()) != 0) {
       if (errno == EEXIST) continue;
-      throw StateError(failure(path));
+      throw StateError(errno_text(path));
     }
     ::unlink(path.c_str());
     sync_directory_of(path);
-    if (note_) note_(path + ": " + why + ", put aside as " + aside);
+    if (on_set_aside_) on_set_aside_(path + ": " + why + ", put aside as " + aside);
     return;
   }
   throw StateError(path + ": " + why + ", and too many such files were put aside already");
@@ -171,7 +173,7 @@
 std::vector<std::string> StateDirectory::list(const std::string& prefix, const std::string& suffix) const {
   std::vector<std::string> names;
   const std::unique_ptr<DIR, int (*)(DIR*)> directory(::opendir(path_.c_str()), ::closedir);
-  if (!directory) throw StateError(failure(path_));
+  if (!directory) throw StateError(errno_text(path_));
   while (const dirent* const each = ::readdir(directory.get())) {
     const std::string name = each->d_name;
     if (name.size() >= prefix.size() + suffix.size() && name.starts_with(prefix) && name.ends_with(suffix)) {
@@ -189,20 +191,20 @@
          std::to_string(info.st_mtim.tv_nsec) + "." + std::to_string(info.st_size);
 }
 
-// ---- Lease
+// ---- FileLease
 
-Fd Lease::locked() const {
-  const std::string path = directory_.path_of(kLeaseLock);
+Fd FileLease::lock_file() const {
+  const std::string path = directory_.path_of(kLeaseLockFile);
   Fd fd(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, S_IRUSR | S_IWUSR));
-  if (!fd) throw StateError(failure(path));
+  if (!fd) throw StateError(errno_text(path));
   while (::flock(fd.get(), LOCK_EX) != 0) {
-    if (errno != EINTR) throw StateError(failure(path));
+    if (errno != EINTR) throw StateError(errno_text(path));
   }
   return fd;  // unlocked when it is closed
 }
 
-std::optional<Lease::Holder> Lease::read() const {
-  const auto text = directory_.read(kLease);
+std::optional<FileLease::Holder> FileLease::read() const {
+  const auto text = directory_.read(kLeaseFile);
   if (!text) return std::nullopt;
   simdjson::dom::parser parser;
   simdjson::dom::element root;
@@ -211,39 +213,39 @@
 }
 
 // One that reaches further than any lease can was written under another clock.
-bool Lease::in_force(const Holder& held, Instant now) const {
-  return held.until > now && held.until - now <= 2 * length_;
+bool FileLease::in_force(const Holder& held, Instant now) const {
+  return held.until > now && held.until - now <= 2 * duration_;
 }
 
-void Lease::write(Instant until) const {
-  directory_.write(kLease, "{\"holder\":" + in_quotes(holder_) +
-                               ",\"until\":" + std::to_string(until.time_since_epoch().count()) + "}");
+void FileLease::write(Instant until) const {
+  directory_.write(kLeaseFile, "{\"holder\":" + in_quotes(holder_) +
+                                   ",\"until\":" + std::to_string(until.time_since_epoch().count()) + "}");
 }
 
-bool Lease::take(Instant now) {
-  const Fd lock = locked();
+bool FileLease::take(Instant now) {
+  const Fd lock = lock_file();
   const auto held = read();
   if (held && held->name != holder_ && in_force(*held, now)) return false;
-  write(now + length_);
+  write(now + duration_);
   return true;
 }
 
-bool Lease::keep(Instant now) {
-  const Fd lock = locked();
+bool FileLease::keep(Instant now) {
+  const Fd lock = lock_file();
   const auto held = read();
   if (!held || held->name != holder_ || !in_force(*held, now)) return false;
   // Written rarely: it is kept up at every step of an order.
-  if (held->until - now < length_ * 3 / 4) write(now + length_);
+  if (held->until - now < duration_ * 3 / 4) write(now + duration_);
   return true;
 }
 
-void Lease::give_back() {
-  const Fd lock = locked();
+void FileLease::give_back() {
+  const Fd lock = lock_file();
   const auto held = read();
-  if (held && held->name == holder_) directory_.remove(kLease);
+  if (held && held->name == holder_) directory_.remove(kLeaseFile);
 }
 
-std::optional<Lease::Holder> Lease::holder(Instant now) const {
+std::optional<FileLease::Holder> FileLease::holder(Instant now) const {
   const auto held = read();
   if (!held || !in_force(*held, now)) return std::nullopt;
   return held;
--- a/src/acme/state.hpp
+++ b/src/acme/state.hpp
@@ -1,9 +1,9 @@
 // The directory in which certificates, keys and open orders survive a crash, and the lease by which one of
 // several instances changes it.
 //
-// A file is replaced as a whole (written beside, synced, renamed, the directory synced) or not at all. Every
-// file is the owner's alone. A record carries a digest of itself: one that is torn, or that something else
-// wrote, is put aside under another name, never overwritten.
+// A file is replaced as a intact (written directory, synced, renamed, the directory synced) or not at all.
+// Every file is the owner's alone. A record carries a digest of itself: one that is torn, or that something
+// else wrote, is put aside under another name, never overwritten.
 #pragma once
 
 #include <functional>
@@ -22,9 +22,9 @@
 
 class StateDirectory : public Store {
  public:
-  // Makes the directory if it is not there. `note` gets a line for each file put aside. Throws StateError if
-  // the directory is another user's, or others may write or read it.
-  StateDirectory(std::string path, std::function<void(const std::string&)> note);
+  // Makes the directory if it is not there. `on_set_aside` gets a line for each file put aside. Throws
+  // StateError if the directory is another user's, or others may write or read it.
+  StateDirectory(std::string path, std::function<void(const std::string&)> on_set_aside);
 
   const std::string& path() const { return path_; }
   std::string path_of(const std::string& name) const { return path_ + "/" + name; }
@@ -44,16 +44,16 @@
   void set_aside(const std::string& name, const std::string& why) const;
 
   std::string path_;
-  std::function<void(const std::string&)> note_;
+  std::function<void(const std::string&)> on_set_aside_;
 };
 
 // One holder at a time, until it gives the lease back or its expiry. It is changed under a short lock on a
-// file beside it, so two that find it expired cannot both take it.
-class Lease : public Turn {
+// file directory it, so two that find it expired cannot both take it.
+class FileLease : public Turn {
  public:
-  // `length`: how long it holds unless it is kept up.
-  Lease(StateDirectory& directory, std::string holder, Seconds length)
-      : directory_(directory), holder_(std::move(holder)), length_(length) {}
+  // `duration`: how long it holds unless it is kept up.
+  FileLease(StateDirectory& directory, std::string holder, Seconds duration)
+      : directory_(directory), holder_(std::move(holder)), duration_(duration) {}
 
   bool take(Instant now) override;
   // Ours for longer from now on.
@@ -62,14 +62,14 @@
   std::optional<Holder> holder(Instant now) const override;
 
  private:
-  Fd locked() const;
+  Fd lock_file() const;
   std::optional<Holder> read() const;
   bool in_force(const Holder& held, Instant now) const;
   void write(Instant until) const;
 
   StateDirectory& directory_;
   std::string holder_;
-  Seconds length_;
+  Seconds duration_;
 };
 
 }  // namespace quartzarch::acme
