--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -23,7 +23,7 @@
 using acme::Budget;
 using acme::Failure;
 using acme::Instant;
-using acme::Renewal;
+using acme::RenewalSchedule;
 using acme::Seconds;
 using acme::Validity;
 using bench::Figures;
@@ -189,7 +189,7 @@
   // The outage begins when most are due.
   ModelAuthority authority(instances, begin + 58 * kDay, 2 * kDay);
   struct Held {
-    Renewal renewal;
+    RenewalSchedule renewal;
     Validity validity;
     bool late = false, expired = false;
   };
@@ -200,7 +200,7 @@
   for (std::size_t i = 0; i < instances * each_has; ++i) {
     // All were set up within the same hour: the worst case for a schedule.
     const Instant made = begin + Seconds(static_cast<std::int64_t>(i * 3600 / (instances * each_has)));
-    fleet.push_back({Renewal({}, i * 7919 + 13, 1), {made, made + kLife}});
+    fleet.push_back({RenewalSchedule({}, i * 7919 + 13, 1), {made, made + kLife}});
     events.emplace(made, i);
   }
   Year year;
--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -54,7 +54,8 @@
     Managed managed;
     managed.settings = each;
     managed.seed = (environment_.seed ? *environment_.seed : random_bits()) & ~std::uint64_t{1};
-    managed.renewal = std::make_unique<Renewal>(settings_.policy, managed.seed, settings_.authorities.size());
+    managed.renewal =
+        std::make_unique<RenewalSchedule>(settings_.policy, managed.seed, settings_.authorities.size());
     managed_.push_back(std::move(managed));
   }
   // Served from the first connection on, before the thread has begun.
@@ -86,7 +87,7 @@
       if (budgets.empty()) budgets = accounts_.budgets();
       Advice advice = advise();
       const bool asks = managed.held && managed.renewal->wants_window(now) &&
-                        managed.renewal->memory().failures == 0 && now < managed.held->ends;
+                        managed.renewal->state().failures == 0 && now < managed.held->ends;
       if (advice.action == Advice::Do::renew || asks) {
         if (!ours) ours = lease_->take(now);
         if (!ours) {
@@ -107,8 +108,8 @@
         tell_alarm(managed, now);
       }
       next = std::min(next, advice.action == Advice::Do::renew ? now + Seconds(1) : advice.at);
-      if (managed.held && managed.renewal->memory().failures == 0) {
-        next = std::min(next, managed.renewal->memory().ask_window_at.value_or(now));
+      if (managed.held && managed.renewal->state().failures == 0) {
+        next = std::min(next, managed.renewal->state().ask_window_at.value_or(now));
       }
     }
   } catch (const StateError& error) {
@@ -182,12 +183,12 @@
   if (std::string stamp = store_->stamp(schedule); stamp != managed.schedule_stamp) {
     managed.schedule_stamp = std::move(stamp);
     if (const auto text = store_->read(schedule)) {
-      if (const auto kept = parse_schedule(*text)) {
-        managed.seed = kept->seed;
-        managed.last_failure = kept->last_failure;
+      if (const auto record = parse_schedule(*text)) {
+        managed.seed = record->seed;
+        managed.last_failure = record->last_failure;
         managed.renewal =
-            std::make_unique<Renewal>(settings_.policy, kept->seed, settings_.authorities.size());
-        managed.renewal->restore(kept->memory);
+            std::make_unique<RenewalSchedule>(settings_.policy, record->seed, settings_.authorities.size());
+        managed.renewal->restore(record->state);
       }
     }
   }
@@ -203,9 +204,9 @@
   managed.told_at = now;
   if (!worth_saying) return;
   const char* const id = managed.settings.id.c_str();
-  const std::string because = managed.renewal->memory().failures == 0
+  const std::string because = managed.renewal->state().failures == 0
                                   ? ""
-                                  : "; " + std::to_string(managed.renewal->memory().failures) +
+                                  : "; " + std::to_string(managed.renewal->state().failures) +
                                         " attempts failed, last: " + managed.last_failure;
   if (!managed.held) {
     log_.line("%scertificate %s: expired: there is none yet%s", grave ? "ALARM " : "", id, because.c_str());
@@ -242,8 +243,8 @@
       standing.fingerprint = fingerprint(managed.leaf);
     }
     if (managed.held) standing.due = managed.renewal->due_at(*managed.held);
-    standing.next = managed.renewal->memory().next;
-    standing.failures = managed.renewal->memory().failures;
+    standing.next = managed.renewal->state().next;
+    standing.failures = managed.renewal->state().failures;
     standing.last_failure = managed.last_failure;
     standing.order_open = issuing_.load(managed.settings.id).has_value();
     all.push_back(std::move(standing));
@@ -254,10 +255,11 @@
 void CertificateRenewer::save_schedule(Managed& managed) {
   const std::string name = file(managed, ".schedule.json");
   try {
-    store_->write(name, to_text(Schedule{managed.renewal->memory(), managed.seed, managed.last_failure}));
+    store_->write(name,
+                  to_text(ScheduleRecord{managed.renewal->state(), managed.seed, managed.last_failure}));
     managed.schedule_stamp = store_->stamp(name);
   } catch (const StateError& error) {
-    // It is in memory, and holds while the process lives.
+    // It is in state, and holds while the process lives.
     log_.line("certificates: the schedule could not be kept: %s", error.what());
   }
 }
@@ -268,7 +270,7 @@
   std::string what;
   try {
     const Issued issued = issuing_.issue(
-        {managed.settings, managed.leaf, wanted(managed), managed.renewal->memory().failures}, authority);
+        {managed.settings, managed.leaf, wanted(managed), managed.renewal->state().failures}, authority);
     if (issued.chain.empty()) {
       taken_into_use(managed, issued.record);
     } else {
@@ -289,7 +291,7 @@
   const Instant now = environment_.now();
   managed.renewal->failed(now, authority, why, retry, managed.held);
   managed.last_failure = what;
-  const Instant next = managed.renewal->memory().next.value_or(now);
+  const Instant next = managed.renewal->state().next.value_or(now);
   log_.line("certificate %s: not renewed by %s (%s): %s; again in %s", managed.settings.id.c_str(),
             settings_.authorities[authority].name.c_str(), name_of(why), what.c_str(),
             span_text(next - now).c_str());
--- a/src/acme/certificate_renewer.hpp
+++ b/src/acme/certificate_renewer.hpp
@@ -1,8 +1,8 @@
 // Keeps the certificates of an installation: obtains, renews and swaps them, and says in time when it cannot.
 //
 // One pass, work(), does what is due; nothing but a pass reads or changes the state. What a pass decides is
-// Renewal's and flow's; here is only what they decide about. A thread of the serving process calls it (run),
-// the command line for one pass, tests with a clock of their own.
+// RenewalSchedule's and flow's; here is only what they decide about. A thread of the serving process calls it
+// (run), the command line for one pass, tests with a clock of their own.
 #pragma once
 
 #include <memory>
@@ -65,7 +65,7 @@
  private:
   struct Managed {
     CertificateSettings settings{};
-    std::unique_ptr<Renewal> renewal{};
+    std::unique_ptr<RenewalSchedule> renewal{};
     std::uint64_t seed = 0;
     std::string last_failure{};
     std::string current_stamp{}, schedule_stamp{};
--- a/src/acme/records.cpp
+++ b/src/acme/records.cpp
@@ -7,23 +7,23 @@
 namespace quartzarch::acme {
 namespace {
 
-std::string when(const std::optional<Instant>& at) {
+std::string instant_json(const std::optional<Instant>& at) {
   return at ? std::to_string(at->time_since_epoch().count()) : "null";
 }
 
-std::string list_of(const std::vector<Instant>& times) {
+std::string instants_json(const std::vector<Instant>& times) {
   std::string out;
-  for (const Instant each : times) out += (out.empty() ? "" : ",") + when(each);
+  for (const Instant each : times) out += (out.empty() ? "" : ",") + instant_json(each);
   return "[" + out + "]";
 }
 
-std::optional<Instant> when_in(simdjson::dom::element from, std::string_view name) {
+std::optional<Instant> instant_in(simdjson::dom::element from, std::string_view name) {
   std::int64_t value = 0;
   if (from[name].get(value) != simdjson::SUCCESS) return std::nullopt;
   return Instant(Seconds(value));
 }
 
-std::vector<Instant> times_in(simdjson::dom::element from, std::string_view name) {
+std::vector<Instant> instants_in(simdjson::dom::element from, std::string_view name) {
   std::vector<Instant> times;
   simdjson::dom::array list;
   if (from[name].get(list) != simdjson::SUCCESS) return times;
@@ -34,7 +34,7 @@
   return times;
 }
 
-std::optional<simdjson::dom::element> object_of(simdjson::dom::parser& parser, const std::string& text) {
+std::optional<simdjson::dom::element> parse_object(simdjson::dom::parser& parser, const std::string& text) {
   simdjson::dom::element root;
   if (parser.parse(text).get(root) != simdjson::SUCCESS || !root.is_object()) return std::nullopt;
   return root;
@@ -42,45 +42,46 @@
 
 }  // namespace
 
-std::string to_text(const Schedule& schedule) {
-  const Memory& memory = schedule.memory;
+std::string to_text(const ScheduleRecord& schedule) {
+  const RenewalState& state = schedule.state;
   std::string authorities;
-  for (const auto& each : memory.authorities) {
+  for (const auto& each : state.authorities) {
     authorities += (authorities.empty() ? "" : ",") + std::string("{\"blocked_until\":") +
-                   when(each.blocked_until) + ",\"rejections\":" + list_of(each.rejections) +
-                   ",\"issued\":" + list_of(each.issued) + "}";
+                   instant_json(each.blocked_until) + ",\"rejections\":" + instants_json(each.rejections) +
+                   ",\"issued\":" + instants_json(each.issued) + "}";
   }
-  const std::string window = memory.window
-                                 ? "[" + when(memory.window->start) + "," + when(memory.window->end) + "]"
-                                 : std::string("[]");
+  const std::string window =
+      state.window ? "[" + instant_json(state.window->start) + "," + instant_json(state.window->end) + "]"
+                   : std::string("[]");
   return "{\"seed\":" + std::to_string(schedule.seed >> 1) +
-         ",\"failures\":" + std::to_string(memory.failures) +
-         ",\"failing_since\":" + when(memory.failing_since) + ",\"next\":" + when(memory.next) +
-         ",\"window\":" + window + ",\"ask_window_at\":" + when(memory.ask_window_at) +
+         ",\"failures\":" + std::to_string(state.failures) +
+         ",\"failing_since\":" + instant_json(state.failing_since) + ",\"next\":" + instant_json(state.next) +
+         ",\"window\":" + window + ",\"ask_window_at\":" + instant_json(state.ask_window_at) +
          ",\"last_failure\":" + in_quotes(schedule.last_failure) + ",\"authorities\":[" + authorities + "]}";
 }
 
-std::optional<Schedule> parse_schedule(const std::string& text) {
+std::optional<ScheduleRecord> parse_schedule(const std::string& text) {
   simdjson::dom::parser parser;
-  const auto parsed = object_of(parser, text);
+  const auto parsed = parse_object(parser, text);
   if (!parsed) return std::nullopt;
   const simdjson::dom::element root = *parsed;
-  Schedule schedule;
+  ScheduleRecord schedule;
   schedule.seed = static_cast<std::uint64_t>(number_in(root, "seed", 0)) << 1;
   schedule.last_failure = text_in(root, "last_failure");
-  Memory& memory = schedule.memory;
-  memory.failures =
+  RenewalState& state = schedule.state;
+  state.failures =
       static_cast<unsigned>(std::clamp<std::int64_t>(number_in(root, "failures", 0), 0, 1000000));
-  memory.failing_since = when_in(root, "failing_since");
-  memory.next = when_in(root, "next");
-  memory.ask_window_at = when_in(root, "ask_window_at");
-  if (const auto ends = times_in(root, "window"); ends.size() == 2) memory.window = Window{ends[0], ends[1]};
+  state.failing_since = instant_in(root, "failing_since");
+  state.next = instant_in(root, "next");
+  state.ask_window_at = instant_in(root, "ask_window_at");
+  if (const auto ends = instants_in(root, "window"); ends.size() == 2)
+    state.window = Window{ends[0], ends[1]};
   simdjson::dom::array authorities;
   if (root["authorities"].get(authorities) == simdjson::SUCCESS) {
     for (const auto each : authorities) {
       if (!each.is_object()) continue;
-      memory.authorities.push_back(
-          {when_in(each, "blocked_until"), times_in(each, "rejections"), times_in(each, "issued")});
+      state.authorities.push_back(
+          {instant_in(each, "blocked_until"), instants_in(each, "rejections"), instants_in(each, "issued")});
     }
   }
   return schedule;
@@ -92,12 +93,12 @@
          ",\"key_type\":" + in_quotes(record.key_type) + ",\"key_file\":" + in_quotes(record.key_file) +
          ",\"replaces\":" + in_quotes(record.replaces) + ",\"url\":" + in_quotes(record.url) +
          ",\"finalized\":" + (record.finalized ? "1" : "0") +
-         ",\"fetches\":" + std::to_string(record.fetches) + ",\"made\":" + when(record.made) + "}";
+         ",\"fetches\":" + std::to_string(record.fetches) + ",\"made\":" + instant_json(record.made) + "}";
 }
 
 std::optional<OrderRecord> parse_order(const std::string& text) {
   simdjson::dom::parser parser;
-  const auto root = object_of(parser, text);
+  const auto root = parse_object(parser, text);
   if (!root) return std::nullopt;
   OrderRecord record;
   record.authority = static_cast<std::size_t>(std::max<std::int64_t>(number_in(*root, "authority", 0), 0));
@@ -109,35 +110,35 @@
   record.url = text_in(*root, "url");
   record.finalized = number_in(*root, "finalized", 0) != 0;
   record.fetches = static_cast<int>(number_in(*root, "fetches", 0));
-  record.made = when_in(*root, "made").value_or(Instant{});
+  record.made = instant_in(*root, "made").value_or(Instant{});
   return record;
 }
 
 std::string to_text(const AccountRecord& record) {
   return "{\"directory\":" + in_quotes(record.directory) + ",\"url\":" + in_quotes(record.url) +
-         ",\"contact\":" + in_brackets(record.contact) + ",\"orders\":" + list_of(record.orders) + "}";
+         ",\"contact\":" + in_brackets(record.contact) + ",\"orders\":" + instants_json(record.orders) + "}";
 }
 
 std::optional<AccountRecord> parse_account(const std::string& text) {
   simdjson::dom::parser parser;
-  const auto root = object_of(parser, text);
+  const auto root = parse_object(parser, text);
   if (!root) return std::nullopt;
   return AccountRecord{text_in(*root, "directory"), text_in(*root, "url"), texts_in(*root, "contact"),
-                       times_in(*root, "orders")};
+                       instants_in(*root, "orders")};
 }
 
 std::string to_text(const ChallengeRecord& record) {
   return "{\"name\":" + in_quotes(record.name) + ",\"type\":" + in_quotes(record.type) +
          ",\"token\":" + in_quotes(record.token) + ",\"authorization\":" + in_quotes(record.authorization) +
-         ",\"until\":" + when(record.until) + "}";
+         ",\"until\":" + instant_json(record.until) + "}";
 }
 
 std::optional<ChallengeRecord> parse_challenge(const std::string& text) {
   simdjson::dom::parser parser;
-  const auto root = object_of(parser, text);
+  const auto root = parse_object(parser, text);
   if (!root) return std::nullopt;
   return ChallengeRecord{text_in(*root, "name"), text_in(*root, "type"), text_in(*root, "token"),
-                         text_in(*root, "authorization"), when_in(*root, "until").value_or(Instant{})};
+                         text_in(*root, "authorization"), instant_in(*root, "until").value_or(Instant{})};
 }
 
 }  // namespace quartzarch::acme
--- a/src/acme/records.hpp
+++ b/src/acme/records.hpp
@@ -12,13 +12,13 @@
 namespace quartzarch::acme {
 
 // Of one certificate.
-struct Schedule {
-  Memory memory{};
+struct ScheduleRecord {
+  RenewalState state{};
   std::uint64_t seed = 0;  // even
   std::string last_failure{};
 };
-std::string to_text(const Schedule& schedule);
-std::optional<Schedule> parse_schedule(const std::string& text);
+std::string to_text(const ScheduleRecord& schedule);
+std::optional<ScheduleRecord> parse_schedule(const std::string& text);
 
 std::string to_text(const OrderRecord& record);
 std::optional<OrderRecord> parse_order(const std::string& text);
--- a/src/acme/renewal.cpp
+++ b/src/acme/renewal.cpp
@@ -16,7 +16,7 @@
 }
 
 // SplitMix64's finalizer: neighbouring inputs give unrelated outputs.
-std::uint64_t mixed(std::uint64_t x) {
+std::uint64_t mix(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
@@ -83,25 +83,25 @@
   events_.push_back(now);
 }
 
-// ---- Renewal
+// ---- RenewalSchedule
 
-Renewal::Renewal(const Policy& policy, std::uint64_t seed, std::size_t authorities)
+RenewalSchedule::RenewalSchedule(const Policy& policy, std::uint64_t seed, std::size_t authorities)
     : policy_(policy), seed_(seed) {
-  memory_.authorities.resize(std::max<std::size_t>(authorities, 1));
+  state_.authorities.resize(std::max<std::size_t>(authorities, 1));
 }
 
-void Renewal::restore(Memory memory) {
-  const std::size_t authorities = memory_.authorities.size();
-  memory_ = std::move(memory);
-  memory_.authorities.resize(authorities);
-  if (memory_.window && memory_.window->start >= memory_.window->end) memory_.window.reset();
+void RenewalSchedule::restore(RenewalState restored) {
+  const std::size_t authorities = state_.authorities.size();
+  state_ = std::move(restored);
+  state_.authorities.resize(authorities);
+  if (state_.window && state_.window->start >= state_.window->end) state_.window.reset();
 }
 
-double Renewal::random(std::uint64_t salt) const {
-  return static_cast<double>(mixed(seed_ ^ mixed(salt)) >> 11) * 0x1.0p-53;
+double RenewalSchedule::random(std::uint64_t salt) const {
+  return static_cast<double>(mix(seed_ ^ mix(salt)) >> 11) * 0x1.0p-53;
 }
 
-Alarm Renewal::alarm(Instant now, const std::optional<Validity>& held) const {
+Alarm RenewalSchedule::alarm(Instant now, const std::optional<Validity>& held) const {
   if (!held || now >= held->ends) return Alarm::expired;
   const Seconds left = held->ends - now;
   const Seconds whole = held->lifetime();
@@ -110,11 +110,11 @@
   return now >= due_at(*held) ? Alarm::due : Alarm::good;
 }
 
-Instant Renewal::due_at(const Validity& held) const {
+Instant RenewalSchedule::due_at(const Validity& held) const {
   const Instant latest = held.ends - share(held.lifetime(), policy_.renew_share);
-  if (memory_.window) {
+  if (state_.window) {
     // A random point inside the window (RFC 9773, 4.2). One that ends too near the end is not waited for.
-    const Window& window = *memory_.window;
+    const Window& window = *state_.window;
     const Instant last = held.ends - share(held.lifetime(), policy_.late_share);
     const Instant point =
         window.start + share(window.end - window.start, random(bits(window.start) ^ bits(window.end)));
@@ -123,21 +123,21 @@
   return latest - share(share(held.lifetime(), policy_.spread_share), random(bits(held.ends)));
 }
 
-bool Renewal::blocked(Instant now, std::size_t authority) const {
-  const auto& until = memory_.authorities[authority].blocked_until;
+bool RenewalSchedule::blocked(Instant now, std::size_t authority) const {
+  const auto& until = state_.authorities[authority].blocked_until;
   return until && *until > now && *until - now <= policy_.longest_retry_after;
 }
 
 // The first authority until it has failed for long; then the others in turn, and the first every so often. An
 // open order is finished where it is, unless that place has failed for long.
-std::size_t Renewal::choose(Instant now, std::optional<std::size_t> open_at) const {
-  const std::size_t count = memory_.authorities.size();
+std::size_t RenewalSchedule::choose(Instant now, std::optional<std::size_t> open_at) const {
+  const std::size_t count = state_.authorities.size();
   const bool long_failing =
-      memory_.failing_since && now - std::min(*memory_.failing_since, now) >= policy_.fallback_after;
+      state_.failing_since && now - std::min(*state_.failing_since, now) >= policy_.fallback_after;
   if (open_at && *open_at < count && !long_failing) return *open_at;
   if (count == 1 || !long_failing) return 0;
   const std::size_t turn =
-      memory_.failures % kPrimaryEvery == 0 ? 0 : 1 + memory_.failures % kPrimaryEvery % (count - 1);
+      state_.failures % kPrimaryEvery == 0 ? 0 : 1 + state_.failures % kPrimaryEvery % (count - 1);
   for (std::size_t i = 0; i < count; ++i) {
     const std::size_t each = (turn + i) % count;
     if (!blocked(now, each)) return each;
@@ -145,112 +145,113 @@
   return turn;
 }
 
-Instant Renewal::free_at(Instant now, std::size_t authority, bool open,
-                         const std::vector<Budget>& accounts) const {
-  const Memory::PerAuthority& there = memory_.authorities[authority];
-  Instant at = blocked(now, authority) ? *there.blocked_until : now;
+Instant RenewalSchedule::free_at(Instant now, std::size_t authority, bool open,
+                                 const std::vector<Budget>& accounts) const {
+  const RenewalState::PerAuthority& entry = state_.authorities[authority];
+  Instant at = blocked(now, authority) ? *entry.blocked_until : now;
   const auto within = [&](const Limit& limit, const std::vector<Instant>& events) {
     Budget budget(limit.most, limit.span);
     budget.restore(events);
     at = std::max(at, budget.free_at(now));
   };
-  within(policy_.rejections, there.rejections);
+  within(policy_.rejections, entry.rejections);
   if (open) return at;
-  within(policy_.duplicates, there.issued);
+  within(policy_.duplicates, entry.issued);
   if (authority < accounts.size()) at = std::max(at, accounts[authority].free_at(now));
   return at;
 }
 
-Advice Renewal::advise(Instant now, const std::optional<Validity>& held, std::optional<std::size_t> open_at,
-                       const std::vector<Budget>& accounts) const {
+Advice RenewalSchedule::advise(Instant now, const std::optional<Validity>& held,
+                               std::optional<std::size_t> open_at,
+                               const std::vector<Budget>& accounts) const {
   using Do = Advice::Do;
   // An order that is open is finished, whatever the certificate at hand says: it has been counted already.
   if (held && now < held->ends && !open_at) {
     const Instant due = due_at(*held);
     if (now < due) return {Do::wait, due, 0, "not due"};
   }
-  if (memory_.next && *memory_.next > now && *memory_.next - now <= policy_.longest_retry_after) {
-    return {Do::wait, *memory_.next, 0, "waiting after a failure"};
+  if (state_.next && *state_.next > now && *state_.next - now <= policy_.longest_retry_after) {
+    return {Do::wait, *state_.next, 0, "waiting after a failure"};
   }
   const std::size_t first = choose(now, open_at);
   Instant earliest = Instant::max();
-  const std::size_t count = memory_.authorities.size();
+  const std::size_t count = state_.authorities.size();
   for (std::size_t i = 0; i < count; ++i) {
     const std::size_t each = (first + i) % count;
     const Instant at = free_at(now, each, open_at == each, accounts);
     if (at <= now) return {Do::renew, now, each, "due"};
     earliest = std::min(earliest, at);
     // Whom it is not the turn of yet is not gone to just because the first is full for a while.
-    if (!memory_.failing_since || now - std::min(*memory_.failing_since, now) < policy_.fallback_after) break;
+    if (!state_.failing_since || now - std::min(*state_.failing_since, now) < policy_.fallback_after) break;
   }
   return {Do::wait, earliest, 0, "held back by a limit"};
 }
 
-Seconds Renewal::back_off(Instant now, const std::optional<Validity>& held) const {
+Seconds RenewalSchedule::back_off(Instant now, const std::optional<Validity>& held) const {
   Seconds cap = policy_.longest_wait;
   if (held && held->ends > now) cap = std::min(cap, share(held->ends - now, policy_.wait_share));
   cap = std::max(cap, policy_.first_wait);
-  const unsigned doublings = std::min(memory_.failures == 0 ? 0 : memory_.failures - 1, 20u);
+  const unsigned doublings = std::min(state_.failures == 0 ? 0 : state_.failures - 1, 20u);
   const Seconds full = std::min(Seconds(policy_.first_wait.count() << doublings), cap);
   // Half of it is certain, the other half random: instances that failed together do not come back together.
-  return share(full, 0.5 + 0.5 * random(bits(now) ^ memory_.failures << 20));
+  return share(full, 0.5 + 0.5 * random(bits(now) ^ state_.failures << 20));
 }
 
-void Renewal::failed(Instant now, std::size_t authority, Failure why, std::optional<Seconds> retry_after,
-                     const std::optional<Validity>& held) {
-  if (authority >= memory_.authorities.size()) authority = 0;
-  Memory::PerAuthority& there = memory_.authorities[authority];
-  ++memory_.failures;
+void RenewalSchedule::failed(Instant now, std::size_t authority, Failure why,
+                             std::optional<Seconds> retry_after, const std::optional<Validity>& held) {
+  if (authority >= state_.authorities.size()) authority = 0;
+  RenewalState::PerAuthority& entry = state_.authorities[authority];
+  ++state_.failures;
   if (why != Failure::local) {
-    memory_.failing_since = std::min(memory_.failing_since.value_or(now), now);
+    state_.failing_since = std::min(state_.failing_since.value_or(now), now);
   }
   if (why == Failure::rejected) {
     Budget budget(policy_.rejections.most, policy_.rejections.span);
-    budget.restore(there.rejections);
+    budget.restore(entry.rejections);
     budget.spend(now);
-    there.rejections = budget.events();
+    entry.rejections = budget.events();
   }
-  if (why == Failure::unsound) {  // it was issued, and counts there as a certificate of these names
+  if (why == Failure::unsound) {  // it was issued, and counts entry as a certificate of these names
     Budget budget(policy_.duplicates.most, policy_.duplicates.span);
-    budget.restore(there.issued);
+    budget.restore(entry.issued);
     budget.spend(now);
-    there.issued = budget.events();
+    entry.issued = budget.events();
   }
-  memory_.next = now + std::max(back_off(now, held), Seconds(1));
+  state_.next = now + std::max(back_off(now, held), Seconds(1));
   if (retry_after && retry_after->count() > 0) {
-    there.blocked_until = now + std::min(*retry_after, policy_.longest_retry_after);
+    entry.blocked_until = now + std::min(*retry_after, policy_.longest_retry_after);
   }
 }
 
-void Renewal::succeeded(Instant now, std::size_t authority) {
-  if (authority >= memory_.authorities.size()) authority = 0;
-  memory_.failures = 0;
-  memory_.failing_since.reset();
-  memory_.next.reset();
-  memory_.window.reset();
-  memory_.ask_window_at.reset();
-  Memory::PerAuthority& there = memory_.authorities[authority];
-  there.blocked_until.reset();
+void RenewalSchedule::succeeded(Instant now, std::size_t authority) {
+  if (authority >= state_.authorities.size()) authority = 0;
+  state_.failures = 0;
+  state_.failing_since.reset();
+  state_.next.reset();
+  state_.window.reset();
+  state_.ask_window_at.reset();
+  RenewalState::PerAuthority& entry = state_.authorities[authority];
+  entry.blocked_until.reset();
   Budget budget(policy_.duplicates.most, policy_.duplicates.span);
-  budget.restore(there.issued);
+  budget.restore(entry.issued);
   budget.spend(now);
-  there.issued = budget.events();
+  entry.issued = budget.events();
 }
 
-void Renewal::hurry() {
-  memory_.next.reset();
-  for (auto& each : memory_.authorities) each.blocked_until.reset();
+void RenewalSchedule::hurry() {
+  state_.next.reset();
+  for (auto& each : state_.authorities) each.blocked_until.reset();
 }
 
-bool Renewal::wants_window(Instant now) const {
-  return !memory_.ask_window_at || *memory_.ask_window_at <= now ||
-         *memory_.ask_window_at - now > kLongestWindowLook;
+bool RenewalSchedule::wants_window(Instant now) const {
+  return !state_.ask_window_at || *state_.ask_window_at <= now ||
+         *state_.ask_window_at - now > kLongestWindowLook;
 }
 
-void Renewal::window(Instant now, std::optional<Window> window, std::optional<Seconds> retry_after) {
-  memory_.ask_window_at =
+void RenewalSchedule::window(Instant now, std::optional<Window> window, std::optional<Seconds> retry_after) {
+  state_.ask_window_at =
       now + std::clamp(retry_after.value_or(kWindowLook), kShortestWindowLook, kLongestWindowLook);
-  if (window && window->start < window->end) memory_.window = window;
+  if (window && window->start < window->end) state_.window = window;
 }
 
 }  // namespace quartzarch::acme
--- a/src/acme/renewal.hpp
+++ b/src/acme/renewal.hpp
@@ -58,7 +58,7 @@
 
 struct Policy {
   // Shares of the lifetime that are left. Without a window of the authority's, the renewal lies at a random
-  // point in the `spread_share` before `renew_share`; the alarm is `due` from there on.
+  // point in the `spread_share` before `renew_share`; the alarm is `due` from entry on.
   double renew_share = 1.0 / 3;
   double spread_share = 1.0 / 10;
   double late_share = 1.0 / 4;
@@ -96,7 +96,7 @@
 };
 
 // What a certificate's schedule keeps across a restart.
-struct Memory {
+struct RenewalState {
   struct PerAuthority {
     std::optional<Instant> blocked_until{};
     std::vector<Instant> rejections{};
@@ -112,11 +112,11 @@
 };
 
 // The schedule of one certificate.
-class Renewal {
+class RenewalSchedule {
  public:
   // `seed` makes the random points of this certificate differ from those of others; `authorities` are in
   // order of preference, at least one.
-  Renewal(const Policy& policy, std::uint64_t seed, std::size_t authorities);
+  RenewalSchedule(const Policy& policy, std::uint64_t seed, std::size_t authorities);
 
   // No certificate counts as an expired one.
   Alarm alarm(Instant now, const std::optional<Validity>& held) const;
@@ -140,9 +140,9 @@
   // Nothing: it gave none this time, the one at hand stays.
   void window(Instant now, std::optional<Window> window, std::optional<Seconds> retry_after);
 
-  const Memory& memory() const { return memory_; }
+  const RenewalState& state() const { return state_; }
   // Foreign figures do no harm: they are read with the bounds of this policy.
-  void restore(Memory memory);
+  void restore(RenewalState restored);
 
  private:
   std::size_t choose(Instant now, std::optional<std::size_t> open_at) const;
@@ -153,7 +153,7 @@
 
   Policy policy_;
   std::uint64_t seed_;
-  Memory memory_{};
+  RenewalState state_{};
 };
 
 }  // namespace quartzarch::acme
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -18,7 +18,7 @@
 using acme::Advice;
 using acme::Budget;
 using acme::Failure;
-using acme::Renewal;
+using acme::RenewalSchedule;
 using acme::Validity;
 
 constexpr Instant kStart{Seconds(1800000000)};
@@ -32,7 +32,7 @@
     const Validity held{kStart, kStart + lifetime};
     std::set<Instant> points;
     for (std::uint64_t seed = 0; seed < 100; ++seed) {
-      const Renewal renewal({}, seed, 1);
+      const RenewalSchedule renewal({}, seed, 1);
       const Instant due = renewal.due_at(held);
       EXPECT_LE(due, held.ends - lifetime / 3);
       EXPECT_GE(due, held.ends - lifetime / 3 - lifetime / 10);
@@ -42,7 +42,7 @@
       points.insert(due);
     }
     EXPECT_GT(points.size(), 90u) << "installations renew in step";
-    const Renewal renewal({}, 1, 1);
+    const RenewalSchedule renewal({}, 1, 1);
     const auto at = [&](double left) {
       return renewal.alarm(
           held.ends - Seconds(static_cast<std::int64_t>(left * static_cast<double>(lifetime.count()))), held);
@@ -58,7 +58,7 @@
 
 TEST(Renewal, AWindowOfTheAuthorityGoesBeforeAndARetiredCertificateIsRenewedAtOnce) {
   const Validity held{kStart, kStart + 90 * kDay};
-  Renewal renewal({}, 7, 1);
+  RenewalSchedule renewal({}, 7, 1);
   renewal.window(kStart, acme::Window{kStart + 10 * kDay, kStart + 12 * kDay}, kHour);
   EXPECT_GE(renewal.due_at(held), kStart + 10 * kDay);
   EXPECT_LE(renewal.due_at(held), kStart + 12 * kDay);
@@ -75,7 +75,7 @@
   acme::Policy policy;
   const Validity held{kStart, kStart + 90 * kDay};
   Instant now = held.ends - 30 * kDay;
-  Renewal renewal(policy, 3, 1);
+  RenewalSchedule renewal(policy, 3, 1);
   Seconds last{0};
   for (int i = 0; i < 12; ++i) {
     renewal.failed(now, 0, Failure::refused, {}, held);
@@ -94,7 +94,7 @@
 
   // Rejections: no more within the hour, however short the waits.
   policy.longest_wait = policy.first_wait = Seconds(1);
-  Renewal hasty(policy, 3, 1);
+  RenewalSchedule hasty(policy, 3, 1);
   int attempts = 0;
   for (Instant at = kStart; at < kStart + kHour; at += Seconds(10)) {
     if (hasty.advise(at, {}, {}, roomy()).action != Advice::Do::renew) continue;
@@ -105,14 +105,14 @@
   // An account that has placed its orders holds all of its certificates back, but not an open order.
   std::vector<Budget> spent{Budget(1, kHour)};
   spent[0].spend(kStart);
-  const Renewal fresh({}, 1, 1);
+  const RenewalSchedule fresh({}, 1, 1);
   EXPECT_EQ(fresh.advise(kStart, {}, {}, spent).at, kStart + kHour);
   EXPECT_EQ(fresh.advise(kStart, {}, 0, spent).action, Advice::Do::renew);
 }
 
 TEST(Renewal, AfterAStatedTimeTheSecondAuthorityTakesItsTurn) {
   acme::Policy policy;
-  Renewal renewal(policy, 5, 2);
+  RenewalSchedule renewal(policy, 5, 2);
   std::map<std::size_t, int> asked, late;
   Instant now = kStart;
   for (int i = 0; i < 40; ++i) {
@@ -135,7 +135,7 @@
 TEST(Renewal, ClockJumpsDoNoHarm) {
   EXPECT_TRUE(rc::check("clock jumps", [] {
     acme::Policy policy;
-    Renewal renewal(policy, *rc::gen::arbitrary<std::uint64_t>(), 2);
+    RenewalSchedule renewal(policy, *rc::gen::arbitrary<std::uint64_t>(), 2);
     Instant now = kStart;
     std::vector<Budget> accounts{Budget(5, 3 * kHour), Budget(5, 3 * kHour)};
     for (int i = 0; i < 60; ++i) {
