--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 using namespace quartzarch;
-using acme::Advice;
 using acme::Budget;
+using acme::Decision;
 using acme::Failure;
 using acme::Instant;
 using acme::RenewalSchedule;
@@ -212,18 +212,18 @@
     const auto alarm = held.renewal.alarm(now, held.validity);
     held.late = held.late || alarm >= acme::Alarm::late;
     held.expired = held.expired || alarm == acme::Alarm::expired;
-    Advice advice;
+    Decision decision;
     if (naive) {
       const Instant due = held.validity.ends - kLife / 3;
       if (now < due) {
         events.emplace(due, index);
         continue;
       }
-      advice.action = Advice::Do::renew;
+      decision.action = Decision::Action::renew;
     } else {
-      advice = held.renewal.advise(now, held.validity, {}, accounts[account]);
-      if (advice.action == Advice::Do::wait) {
-        events.emplace(std::max(advice.at, now + Seconds(1)), index);
+      decision = held.renewal.decide(now, held.validity, {}, accounts[account]);
+      if (decision.action == Decision::Action::wait) {
+        events.emplace(std::max(decision.at, now + Seconds(1)), index);
         continue;
       }
     }
--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -79,16 +79,16 @@
     std::vector<Budget> budgets;
     for (Managed& managed : managed_) {
       Instant now = environment_.now();
-      const auto advise = [&] {
+      const auto decide = [&] {
         const auto record = issuing_.load(managed.settings.id);
-        return managed.renewal->advise(now, wanted(managed),
+        return managed.renewal->decide(now, wanted(managed),
                                        record ? std::optional(record->authority) : std::nullopt, budgets);
       };
       if (budgets.empty()) budgets = accounts_.budgets();
-      Advice advice = advise();
+      Decision decision = decide();
       const bool asks = managed.held && managed.renewal->wants_window(now) &&
                         managed.renewal->state().failures == 0 && now < managed.held->ends;
-      if (advice.action == Advice::Do::renew || asks) {
+      if (decision.action == Decision::Action::renew || asks) {
         if (!ours) ours = lease_->take(now);
         if (!ours) {
           next = std::min(next, now + std::min(settings_.lease / 4 + Seconds(1), Seconds(30)));
@@ -98,16 +98,16 @@
         refresh(managed);
         if (asks && managed.renewal->wants_window(now)) ask_window(managed, now);
         budgets = accounts_.budgets();
-        advice = advise();
-        if (advice.action == Advice::Do::renew) {
-          attempt(managed, advice.authority);
+        decision = decide();
+        if (decision.action == Decision::Action::renew) {
+          attempt(managed, decision.authority);
           now = environment_.now();
           budgets = accounts_.budgets();
-          advice = advise();
+          decision = decide();
         }
         tell_alarm(managed, now);
       }
-      next = std::min(next, advice.action == Advice::Do::renew ? now + Seconds(1) : advice.at);
+      next = std::min(next, decision.action == Decision::Action::renew ? now + Seconds(1) : decision.at);
       if (managed.held && managed.renewal->state().failures == 0) {
         next = std::min(next, managed.renewal->state().ask_window_at.value_or(now));
       }
@@ -370,13 +370,13 @@
     managed.renewal->hurry();
     const auto record = issuing_.load(managed.settings.id);
     const Instant now = environment_.now();
-    const Advice advice = managed.renewal->advise(
+    const Decision decision = managed.renewal->decide(
         now, std::nullopt, record ? std::optional(record->authority) : std::nullopt, accounts_.budgets());
-    if (advice.action != Advice::Do::renew) {
-      failure = std::string(advice.why) + " until " + date(advice.at);
+    if (decision.action != Decision::Action::renew) {
+      failure = std::string(decision.reason) + " until " + date(decision.at);
       return;
     }
-    failure = attempt(managed, advice.authority);
+    failure = attempt(managed, decision.authority);
   });
   return other.empty() ? failure : other;
 }
--- a/src/acme/renewal.cpp
+++ b/src/acme/renewal.cpp
@@ -161,17 +161,17 @@
   return at;
 }
 
-Advice RenewalSchedule::advise(Instant now, const std::optional<Validity>& held,
-                               std::optional<std::size_t> open_at,
-                               const std::vector<Budget>& accounts) const {
-  using Do = Advice::Do;
+Decision RenewalSchedule::decide(Instant now, const std::optional<Validity>& held,
+                                 std::optional<std::size_t> open_at,
+                                 const std::vector<Budget>& accounts) const {
+  using Action = Decision::Action;
   // An order that is open is finished, whatever the certificate at hand says: it has been counted already.
   if (held && now < held->ends && !open_at) {
     const Instant due = due_at(*held);
-    if (now < due) return {Do::wait, due, 0, "not due"};
+    if (now < due) return {Action::wait, due, 0, "not due"};
   }
   if (state_.next && *state_.next > now && *state_.next - now <= policy_.longest_retry_after) {
-    return {Do::wait, *state_.next, 0, "waiting after a failure"};
+    return {Action::wait, *state_.next, 0, "waiting after a failure"};
   }
   const std::size_t first = choose(now, open_at);
   Instant earliest = Instant::max();
@@ -179,12 +179,12 @@
   for (std::size_t i = 0; i < count; ++i) {
     const std::size_t each = (first + i) % count;
     const Instant at = free_at(now, each, open_at == each, accounts);
-    if (at <= now) return {Do::renew, now, each, "due"};
+    if (at <= now) return {Action::renew, now, each, "due"};
     earliest = std::min(earliest, at);
     // Whom it is not the turn of yet is not gone to just because the first is full for a while.
     if (!state_.failing_since || now - std::min(*state_.failing_since, now) < policy_.fallback_after) break;
   }
-  return {Do::wait, earliest, 0, "held back by a limit"};
+  return {Action::wait, earliest, 0, "held back by a limit"};
 }
 
 Seconds RenewalSchedule::back_off(Instant now, const std::optional<Validity>& held) const {
--- a/src/acme/renewal.hpp
+++ b/src/acme/renewal.hpp
@@ -88,11 +88,11 @@
 };
 const char* name_of(Failure failure);
 
-struct Advice {
-  enum class Do { wait, renew } action = Do::wait;
+struct Decision {
+  enum class Action { wait, renew } action = Action::wait;
   Instant at{};               // when to ask again, if `wait`
   std::size_t authority = 0;  // whom to go to, if `renew`
-  const char* why = "";
+  const char* reason = "";
 };
 
 // What a certificate's schedule keeps across a restart.
@@ -125,8 +125,8 @@
 
   // `open_at`: the authority at which an order is open, which costs no budget to take up again.
   // `accounts`: the budgets of new orders, one an authority, shared by the certificates of an account.
-  Advice advise(Instant now, const std::optional<Validity>& held, std::optional<std::size_t> open_at,
-                const std::vector<Budget>& accounts) const;
+  Decision decide(Instant now, const std::optional<Validity>& held, std::optional<std::size_t> open_at,
+                  const std::vector<Budget>& accounts) const;
 
   void succeeded(Instant now, std::size_t authority);
   // `retry_after`: what the authority asked for, if it did.
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -15,8 +15,8 @@
 namespace quartzarch::test {
 namespace {
 
-using acme::Advice;
 using acme::Budget;
+using acme::Decision;
 using acme::Failure;
 using acme::RenewalSchedule;
 using acme::Validity;
@@ -37,8 +37,8 @@
       EXPECT_LE(due, held.ends - lifetime / 3);
       EXPECT_GE(due, held.ends - lifetime / 3 - lifetime / 10);
       EXPECT_EQ(due, renewal.due_at(held)) << "it moves from one look to the next";
-      EXPECT_EQ(renewal.advise(due - Seconds(1), held, {}, roomy()).at, due);
-      EXPECT_EQ(renewal.advise(due, held, {}, roomy()).action, Advice::Do::renew);
+      EXPECT_EQ(renewal.decide(due - Seconds(1), held, {}, roomy()).at, due);
+      EXPECT_EQ(renewal.decide(due, held, {}, roomy()).action, Decision::Action::renew);
       points.insert(due);
     }
     EXPECT_GT(points.size(), 90u) << "installations renew in step";
@@ -65,7 +65,7 @@
   EXPECT_FALSE(renewal.wants_window(kStart + kHour - Seconds(1)));
   EXPECT_TRUE(renewal.wants_window(kStart + kHour));
   renewal.window(kStart, acme::Window{kStart - 2 * kDay, kStart - kDay}, {});
-  EXPECT_EQ(renewal.advise(kStart, held, {}, roomy()).action, Advice::Do::renew);
+  EXPECT_EQ(renewal.decide(kStart, held, {}, roomy()).action, Decision::Action::renew);
   renewal.window(kStart, acme::Window{held.ends - kDay, held.ends}, {});
   EXPECT_LE(renewal.due_at(held), held.ends - held.lifetime() / 4)
       << "a window at the very end was waited for";
@@ -79,17 +79,17 @@
   Seconds last{0};
   for (int i = 0; i < 12; ++i) {
     renewal.failed(now, 0, Failure::refused, {}, held);
-    const Advice advice = renewal.advise(now, held, {}, roomy());
-    ASSERT_EQ(advice.action, Advice::Do::wait);
-    last = advice.at - now;
+    const Decision decision = renewal.decide(now, held, {}, roomy());
+    ASSERT_EQ(decision.action, Decision::Action::wait);
+    last = decision.at - now;
     EXPECT_LE(last, policy.longest_wait);
-    now = advice.at;
+    now = decision.at;
   }
   EXPECT_GE(last, policy.longest_wait / 2);
   renewal.failed(now, 0, Failure::rate_limited, 9 * kHour, held);
-  EXPECT_EQ(renewal.advise(now + 8 * kHour, held, {}, roomy()).at, now + 9 * kHour);
+  EXPECT_EQ(renewal.decide(now + 8 * kHour, held, {}, roomy()).at, now + 9 * kHour);
   renewal.failed(now, 0, Failure::rate_limited, 1000 * kDay, held);
-  EXPECT_EQ(renewal.advise(now + kDay, held, {}, roomy()).action, Advice::Do::renew)
+  EXPECT_EQ(renewal.decide(now + kDay, held, {}, roomy()).action, Decision::Action::renew)
       << "put off without bound";
 
   // Rejections: no more within the hour, however short the waits.
@@ -97,7 +97,7 @@
   RenewalSchedule hasty(policy, 3, 1);
   int attempts = 0;
   for (Instant at = kStart; at < kStart + kHour; at += Seconds(10)) {
-    if (hasty.advise(at, {}, {}, roomy()).action != Advice::Do::renew) continue;
+    if (hasty.decide(at, {}, {}, roomy()).action != Decision::Action::renew) continue;
     ++attempts;
     hasty.failed(at, 0, Failure::rejected, {}, {});
   }
@@ -106,8 +106,8 @@
   std::vector<Budget> spent{Budget(1, kHour)};
   spent[0].spend(kStart);
   const RenewalSchedule fresh({}, 1, 1);
-  EXPECT_EQ(fresh.advise(kStart, {}, {}, spent).at, kStart + kHour);
-  EXPECT_EQ(fresh.advise(kStart, {}, 0, spent).action, Advice::Do::renew);
+  EXPECT_EQ(fresh.decide(kStart, {}, {}, spent).at, kStart + kHour);
+  EXPECT_EQ(fresh.decide(kStart, {}, 0, spent).action, Decision::Action::renew);
 }
 
 TEST(Renewal, AfterAStatedTimeTheSecondAuthorityTakesItsTurn) {
@@ -116,19 +116,19 @@
   std::map<std::size_t, int> asked, late;
   Instant now = kStart;
   for (int i = 0; i < 40; ++i) {
-    const Advice advice = renewal.advise(now, {}, {}, roomy());
-    if (advice.action == Advice::Do::wait) {
-      now = advice.at;
+    const Decision decision = renewal.decide(now, {}, {}, roomy());
+    if (decision.action == Decision::Action::wait) {
+      now = decision.at;
       continue;
     }
-    ++(now - kStart >= policy.fallback_after ? late : asked)[advice.authority];
-    renewal.failed(now, advice.authority, Failure::unreachable, {}, {});
+    ++(now - kStart >= policy.fallback_after ? late : asked)[decision.authority];
+    renewal.failed(now, decision.authority, Failure::unreachable, {}, {});
   }
   EXPECT_EQ(asked[1], 0);
   EXPECT_GT(late[1], late[0]);
   EXPECT_GT(late[0], 0) << "the first is forgotten";
   renewal.succeeded(now, 1);
-  EXPECT_EQ(renewal.advise(now, {}, {}, roomy()).authority, 0u);
+  EXPECT_EQ(renewal.decide(now, {}, {}, roomy()).authority, 0u);
 }
 
 // Whatever the clock does, and whatever was kept: no wait is endless, no limit is passed.
@@ -143,15 +143,15 @@
           *rc::gen::element<std::int64_t>(1, 60, 3600, 86400, -86400, 365 * 86400, -365 * 86400);
       now += Seconds(jump);
       if (now < kStart) now = kStart;
-      const Advice advice = renewal.advise(now, {}, {}, accounts);
-      if (advice.action == Advice::Do::wait) {
-        RC_ASSERT(advice.at > now);
-        RC_ASSERT(advice.at - now <= policy.duplicates.span);
+      const Decision decision = renewal.decide(now, {}, {}, accounts);
+      if (decision.action == Decision::Action::wait) {
+        RC_ASSERT(decision.at > now);
+        RC_ASSERT(decision.at - now <= policy.duplicates.span);
         continue;
       }
-      accounts[advice.authority].spend(now);
-      RC_ASSERT(accounts[advice.authority].spent(now) <= 5u);
-      renewal.failed(now, advice.authority,
+      accounts[decision.authority].spend(now);
+      RC_ASSERT(accounts[decision.authority].spent(now) <= 5u);
+      renewal.failed(now, decision.authority,
                      *rc::gen::element(Failure::refused, Failure::unreachable, Failure::rejected), {}, {});
     }
   }));
