--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -228,26 +228,26 @@
   throw SettingsError("there is no certificate \"" + id + "\"; there is: " + known);
 }
 
-std::vector<Standing> CertificateRenewer::standings() {
+std::vector<CertificateStatus> CertificateRenewer::statuses() {
   const Instant now = environment_.now();
-  std::vector<Standing> all;
+  std::vector<CertificateStatus> all;
   for (Managed& managed : managed_) {
     refresh(managed);
-    Standing standing;
-    standing.id = managed.settings.id;
-    standing.names = managed.settings.names;
-    standing.alarm = managed.renewal->alarm(now, managed.held);
-    standing.validity = managed.held;
+    CertificateStatus status;
+    status.id = managed.settings.id;
+    status.names = managed.settings.names;
+    status.alarm = managed.renewal->alarm(now, managed.held);
+    status.validity = managed.held;
     if (managed.leaf) {
-      standing.issuer = issuer_of(managed.leaf);
-      standing.fingerprint = fingerprint(managed.leaf);
+      status.issuer = issuer_of(managed.leaf);
+      status.fingerprint = fingerprint(managed.leaf);
     }
-    if (managed.held) standing.due = managed.renewal->due_at(*managed.held);
-    standing.next = managed.renewal->state().next;
-    standing.failures = managed.renewal->state().failures;
-    standing.last_failure = managed.last_failure;
-    standing.order_open = issuing_.load(managed.settings.id).has_value();
-    all.push_back(std::move(standing));
+    if (managed.held) status.due = managed.renewal->due_at(*managed.held);
+    status.next = managed.renewal->state().next;
+    status.failures = managed.renewal->state().failures;
+    status.last_failure = managed.last_failure;
+    status.order_open = issuing_.load(managed.settings.id).has_value();
+    all.push_back(std::move(status));
   }
   return all;
 }
--- a/src/acme/certificate_renewer.hpp
+++ b/src/acme/certificate_renewer.hpp
@@ -15,7 +15,7 @@
 namespace quartzarch::acme {
 
 // How a certificate stands, for people and monitoring.
-struct Standing {
+struct CertificateStatus {
   std::string id{};
   std::vector<std::string> names{};
   Alarm alarm = Alarm::expired;
@@ -51,7 +51,7 @@
   // work() again and again until it is told to stop.
   void run(const std::stop_token& stop);
 
-  std::vector<Standing> standings();
+  std::vector<CertificateStatus> statuses();
   // What may change without a pass: certificates that another instance renewed, challenges that it put up.
   void look();
   // Renews now, due or not; what went wrong, or empty.
--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -60,7 +60,7 @@
   return at ? "\"" + acme::timestamp(*at) + "\"" : "null";
 }
 
-std::string as_json(const acme::Standing& each) {
+std::string as_json(const acme::CertificateStatus& each) {
   return "{\"id\":" + in_quotes(each.id) + ",\"names\":" + acme::in_brackets(each.names) + ",\"alarm\":\"" +
          acme::name_of(each.alarm) +
          "\",\"ends\":" + or_null(each.validity ? std::optional(each.validity->ends) : std::nullopt) +
@@ -71,7 +71,7 @@
          ",\"order_open\":" + (each.order_open ? "true" : "false") + "}";
 }
 
-void print(const acme::Standing& each) {
+void print(const acme::CertificateStatus& each) {
   std::printf("%-16s %-8s", each.id.c_str(), acme::name_of(each.alarm));
   if (each.validity) {
     std::printf(" ends %s, renewal due %s, issued by %s", acme::timestamp(each.validity->ends).c_str(),
@@ -172,7 +172,7 @@
   int code = 0;
   std::string out;
   bool found = false;
-  for (const acme::Standing& each : keeper.standings()) {
+  for (const acme::CertificateStatus& each : keeper.statuses()) {
     if (!id_.empty() && each.id != id_) continue;
     found = true;
     code = std::max(code, code_of(each.alarm));
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -199,7 +199,7 @@
   run(*keeper, begun + 50 * kDay);
   EXPECT_EQ(there.counts().orders, 1) << "ordered before it was due";
   Alarm worst = Alarm::good;
-  run(*keeper, begun + 360 * kDay, [&] { worst = std::max(worst, keeper->standings()[0].alarm); });
+  run(*keeper, begun + 360 * kDay, [&] { worst = std::max(worst, keeper->statuses()[0].alarm); });
   // At the earliest after 54 days, at the latest after 60.
   EXPECT_GE(there.counts().certificates, 6) << said();
   EXPECT_LE(there.counts().certificates, 7) << said();
@@ -278,7 +278,7 @@
   const auto keeper = this->keeper();
   const Instant begun = now();
   run(*keeper, begun + kHour);
-  const auto due = keeper->standings()[0].due;
+  const auto due = keeper->statuses()[0].due;
   ASSERT_TRUE(due);
   EXPECT_GE(*due, begun + 50 * kDay);
   run(*keeper, begun + 62 * kDay);
@@ -330,7 +330,7 @@
                              fault.find("other") == 0 || fault.find("expired") == 0 ||
                              fault.find("short") == 0 || fault.find("reject") == 0;
   EXPECT_EQ(orders, lost_for_good ? 2 : 1) << "needless orders\n" << said();
-  EXPECT_EQ(keeper->standings()[0].failures, 0u);
+  EXPECT_EQ(keeper->statuses()[0].failures, 0u);
   EXPECT_EQ(files_with("aside"), 0u);
 }
 
@@ -341,30 +341,30 @@
   const auto keeper = this->keeper();
   run(*keeper, now() + kHour);
   const std::string first = kept("sip.current.pem");
-  Instant due = *keeper->standings()[0].due;
+  Instant due = *keeper->statuses()[0].due;
   run(*keeper, due - Seconds(1));
   there.add({Fault::unavailable, "", -1, due - Seconds(1), due + kDay});
   const int before = there.counts().orders;
   Alarm worst = Alarm::good;
-  run(*keeper, due + kDay, [&] { worst = std::max(worst, keeper->standings()[0].alarm); });
+  run(*keeper, due + kDay, [&] { worst = std::max(worst, keeper->statuses()[0].alarm); });
   EXPECT_EQ(kept("sip.current.pem"), first);
   EXPECT_EQ(worst, Alarm::late);
   EXPECT_NE(said().find("ALARM certificate sip: late"), std::string::npos);
   run(*keeper, due + kDay + 7 * kHour);
   EXPECT_NE(kept("sip.current.pem"), first) << said();
   EXPECT_EQ(there.counts().orders, before + 1);
-  EXPECT_EQ(keeper->standings()[0].alarm, Alarm::good);
+  EXPECT_EQ(keeper->statuses()[0].alarm, Alarm::good);
 }
 
 TEST_F(Installation, RefusedUntilTheEndTheAlarmsComeInOrderAndLongBefore) {
   Authority& there = authority();
   const auto keeper = this->keeper();
   run(*keeper, now() + kHour);
-  const Validity held = *keeper->standings()[0].validity;
+  const Validity held = *keeper->statuses()[0].validity;
   there.add({Fault::unavailable, "", -1, now(), Instant::max()});
   std::vector<std::pair<Alarm, Seconds>> seen;
   run(*keeper, held.ends + kDay, [&] {
-    const Alarm alarm = keeper->standings()[0].alarm;
+    const Alarm alarm = keeper->statuses()[0].alarm;
     if (seen.empty() || seen.back().first != alarm) seen.emplace_back(alarm, held.ends - now());
   });
   ASSERT_EQ(seen.size(), 5u);
@@ -837,7 +837,7 @@
   Logger log;
   acme::CertificateRenewer keeper(settings, log, nullptr, environment);
   keeper.work();
-  return keeper.standings()[0].validity ? 0 : 1;
+  return keeper.statuses()[0].validity ? 0 : 1;
 }
 
 }  // namespace
