--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -86,7 +86,7 @@
       };
       if (budgets.empty()) budgets = accounts_.budgets();
       Decision decision = decide();
-      const bool asks = managed.held && managed.renewal->wants_window(now) &&
+      const bool asks = managed.held && managed.renewal->window_query_due(now) &&
                         managed.renewal->state().failures == 0 && now < managed.held->ends;
       if (decision.action == Decision::Action::renew || asks) {
         if (!ours) ours = lease_->take(now);
@@ -96,7 +96,7 @@
         }
         // Another may have done it since.
         refresh(managed);
-        if (asks && managed.renewal->wants_window(now)) ask_window(managed, now);
+        if (asks && managed.renewal->window_query_due(now)) ask_window(managed, now);
         budgets = accounts_.budgets();
         decision = decide();
         if (decision.action == Decision::Action::renew) {
@@ -323,14 +323,15 @@
   try {
     Client client(settings_.authorities[authority].access, environment_.now, environment_.stopped);
     const auto info = client.renewal_info(renewal_id(managed.leaf));
-    managed.renewal->window(now, info ? info->window : std::nullopt, info ? info->retry_after : std::nullopt);
+    managed.renewal->set_window(now, info ? info->window : std::nullopt,
+                                info ? info->retry_after : std::nullopt);
     if (info && !info->explanation.empty()) {
       log_.line("certificate %s: the authority's word on renewal: %s", managed.settings.id.c_str(),
                 info->explanation.c_str());
     }
   } catch (const std::runtime_error&) {
     // It is of no consequence: without a window the share of the lifetime decides.
-    managed.renewal->window(now, std::nullopt, std::nullopt);
+    managed.renewal->set_window(now, std::nullopt, std::nullopt);
   }
   save_schedule(managed);
 }
@@ -367,7 +368,7 @@
   const std::string other = with_lease([&] {
     Managed& managed = find(id);
     refresh(managed);
-    managed.renewal->hurry();
+    managed.renewal->clear_backoff();
     const auto record = issuing_.load(managed.settings.id);
     const Instant now = environment_.now();
     const Decision decision = managed.renewal->decide(
--- a/src/acme/issuing.cpp
+++ b/src/acme/issuing.cpp
@@ -271,7 +271,7 @@
     } else {
       save(wish.certificate.id, record);
     }
-    throw AcmeError(Failure::unsound, "the certificate is not used: " + wrong);
+    throw AcmeError(Failure::unusable, "the certificate is not used: " + wrong);
   }
   return {record, std::move(key), chain};
 }
--- a/src/acme/renewal.cpp
+++ b/src/acme/renewal.cpp
@@ -6,9 +6,9 @@
 namespace quartzarch::acme {
 namespace {
 
-constexpr Seconds kWindowLook = std::chrono::hours(6);
-constexpr Seconds kShortestWindowLook = std::chrono::hours(1);
-constexpr Seconds kLongestWindowLook = std::chrono::hours(24);
+constexpr Seconds kDefaultWindowInterval = std::chrono::hours(6);
+constexpr Seconds kMinWindowInterval = std::chrono::hours(1);
+constexpr Seconds kMaxWindowInterval = std::chrono::hours(24);
 constexpr unsigned kPrimaryEvery = 4;  // of the attempts while others take their turn
 
 Seconds share(Seconds of, double part) {
@@ -53,7 +53,7 @@
       return "rate limited";
     case Failure::rejected:
       return "rejected";
-    case Failure::unsound:
+    case Failure::unusable:
       return "unsound certificate";
     case Failure::local:
       break;
@@ -187,7 +187,7 @@
   return {Action::wait, earliest, 0, "held back by a limit"};
 }
 
-Seconds RenewalSchedule::back_off(Instant now, const std::optional<Validity>& held) const {
+Seconds RenewalSchedule::backoff(Instant now, const std::optional<Validity>& held) const {
   Seconds cap = policy_.longest_wait;
   if (held && held->ends > now) cap = std::min(cap, share(held->ends - now, policy_.wait_share));
   cap = std::max(cap, policy_.first_wait);
@@ -211,13 +211,13 @@
     budget.spend(now);
     entry.rejections = budget.events();
   }
-  if (why == Failure::unsound) {  // it was issued, and counts entry as a certificate of these names
+  if (why == Failure::unusable) {  // it was issued, and counts entry as a certificate of these names
     Budget budget(policy_.duplicates.most, policy_.duplicates.span);
     budget.restore(entry.issued);
     budget.spend(now);
     entry.issued = budget.events();
   }
-  state_.next = now + std::max(back_off(now, held), Seconds(1));
+  state_.next = now + std::max(backoff(now, held), Seconds(1));
   if (retry_after && retry_after->count() > 0) {
     entry.blocked_until = now + std::min(*retry_after, policy_.longest_retry_after);
   }
@@ -238,19 +238,20 @@
   entry.issued = budget.events();
 }
 
-void RenewalSchedule::hurry() {
+void RenewalSchedule::clear_backoff() {
   state_.next.reset();
   for (auto& each : state_.authorities) each.blocked_until.reset();
 }
 
-bool RenewalSchedule::wants_window(Instant now) const {
+bool RenewalSchedule::window_query_due(Instant now) const {
   return !state_.ask_window_at || *state_.ask_window_at <= now ||
-         *state_.ask_window_at - now > kLongestWindowLook;
+         *state_.ask_window_at - now > kMaxWindowInterval;
 }
 
-void RenewalSchedule::window(Instant now, std::optional<Window> window, std::optional<Seconds> retry_after) {
+void RenewalSchedule::set_window(Instant now, std::optional<Window> window,
+                                 std::optional<Seconds> retry_after) {
   state_.ask_window_at =
-      now + std::clamp(retry_after.value_or(kWindowLook), kShortestWindowLook, kLongestWindowLook);
+      now + std::clamp(retry_after.value_or(kDefaultWindowInterval), kMinWindowInterval, kMaxWindowInterval);
   if (window && window->start < window->end) state_.window = window;
 }
 
--- a/src/acme/renewal.hpp
+++ b/src/acme/renewal.hpp
@@ -83,7 +83,7 @@
   refused,       // a problem document
   rate_limited,  // 429 or the problem rateLimited
   rejected,      // a validation failed, the order is invalid
-  unsound,       // a certificate came that must not be used
+  unusable,      // a certificate came that must not be used
   local,         // our own disk, clock or lease: no sign against the authority
 };
 const char* name_of(Failure failure);
@@ -133,12 +133,12 @@
   void failed(Instant now, std::size_t authority, Failure why, std::optional<Seconds> retry_after,
               const std::optional<Validity>& held);
   // The operator, or a changed configuration, wants it now: waits end, budgets stay.
-  void hurry();
+  void clear_backoff();
 
   // When to ask the authority for its window again.
-  bool wants_window(Instant now) const;
+  bool window_query_due(Instant now) const;
   // Nothing: it gave none this time, the one at hand stays.
-  void window(Instant now, std::optional<Window> window, std::optional<Seconds> retry_after);
+  void set_window(Instant now, std::optional<Window> window, std::optional<Seconds> retry_after);
 
   const RenewalState& state() const { return state_; }
   // Foreign figures do no harm: they are read with the bounds of this policy.
@@ -148,7 +148,7 @@
   std::size_t choose(Instant now, std::optional<std::size_t> open_at) const;
   bool blocked(Instant now, std::size_t authority) const;
   Instant free_at(Instant now, std::size_t authority, bool open, const std::vector<Budget>& accounts) const;
-  Seconds back_off(Instant now, const std::optional<Validity>& held) const;
+  Seconds backoff(Instant now, const std::optional<Validity>& held) const;
   double random(std::uint64_t salt) const;  // in [0, 1), the same for the same salt
 
   Policy policy_;
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -59,14 +59,14 @@
 TEST(Renewal, AWindowOfTheAuthorityGoesBeforeAndARetiredCertificateIsRenewedAtOnce) {
   const Validity held{kStart, kStart + 90 * kDay};
   RenewalSchedule renewal({}, 7, 1);
-  renewal.window(kStart, acme::Window{kStart + 10 * kDay, kStart + 12 * kDay}, kHour);
+  renewal.set_window(kStart, acme::Window{kStart + 10 * kDay, kStart + 12 * kDay}, kHour);
   EXPECT_GE(renewal.due_at(held), kStart + 10 * kDay);
   EXPECT_LE(renewal.due_at(held), kStart + 12 * kDay);
-  EXPECT_FALSE(renewal.wants_window(kStart + kHour - Seconds(1)));
-  EXPECT_TRUE(renewal.wants_window(kStart + kHour));
-  renewal.window(kStart, acme::Window{kStart - 2 * kDay, kStart - kDay}, {});
+  EXPECT_FALSE(renewal.window_query_due(kStart + kHour - Seconds(1)));
+  EXPECT_TRUE(renewal.window_query_due(kStart + kHour));
+  renewal.set_window(kStart, acme::Window{kStart - 2 * kDay, kStart - kDay}, {});
   EXPECT_EQ(renewal.decide(kStart, held, {}, roomy()).action, Decision::Action::renew);
-  renewal.window(kStart, acme::Window{held.ends - kDay, held.ends}, {});
+  renewal.set_window(kStart, acme::Window{held.ends - kDay, held.ends}, {});
   EXPECT_LE(renewal.due_at(held), held.ends - held.lifetime() / 4)
       << "a window at the very end was waited for";
 }
