--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -13,11 +13,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr Seconds kLongestSleep = std::chrono::hours(1);
-constexpr milliseconds kLook{500};  // how soon what another instance did is seen
-constexpr Seconds kRepeatAlarm = std::chrono::hours(6);
-constexpr Seconds kAfterStateError{60};
-constexpr int kLeaseTries = 60;
+constexpr Seconds kMaxSleep = std::chrono::hours(1);
+constexpr milliseconds kSyncInterval{500};  // how soon what another instance did is seen
+constexpr Seconds kAlarmRepeatInterval = std::chrono::hours(6);
+constexpr Seconds kRetryAfterError{60};
+constexpr int kMaxLeaseAttempts = 60;
 
 std::string date(Instant at) { return timestamp(at); }
 
@@ -65,38 +65,38 @@
 // ---- The pass
 
 // The certificate at hand, if it is what the settings want.
-std::optional<Validity> CertificateRenewer::wanted(const Managed& managed) const {
+std::optional<Validity> CertificateRenewer::usable_validity(const Managed& managed) const {
   if (!managed.leaf || !names_all(managed.leaf, managed.settings.names)) return std::nullopt;
   return managed.held;
 }
 
-Instant CertificateRenewer::work() {
+Instant CertificateRenewer::run_pass() {
   const Instant begun = environment_.now();
-  Instant next = begun + kLongestSleep;
-  bool ours = false;
+  Instant next = begun + kMaxSleep;
+  bool have_lease = false;
   try {
-    look();
+    sync();
     std::vector<Budget> budgets;
     for (Managed& managed : managed_) {
       Instant now = environment_.now();
       const auto decide = [&] {
         const auto record = issuing_.load(managed.settings.id);
-        return managed.renewal->decide(now, wanted(managed),
+        return managed.renewal->decide(now, usable_validity(managed),
                                        record ? std::optional(record->authority) : std::nullopt, budgets);
       };
       if (budgets.empty()) budgets = accounts_.budgets();
       Decision decision = decide();
-      const bool asks = managed.held && managed.renewal->window_query_due(now) &&
-                        managed.renewal->state().failures == 0 && now < managed.held->ends;
-      if (decision.action == Decision::Action::renew || asks) {
-        if (!ours) ours = lease_->take(now);
-        if (!ours) {
+      const bool query_due = managed.held && managed.renewal->window_query_due(now) &&
+                             managed.renewal->state().failures == 0 && now < managed.held->ends;
+      if (decision.action == Decision::Action::renew || query_due) {
+        if (!have_lease) have_lease = lease_->take(now);
+        if (!have_lease) {
           next = std::min(next, now + std::min(settings_.lease / 4 + Seconds(1), Seconds(30)));
           continue;
         }
         // Another may have done it since.
         refresh(managed);
-        if (asks && managed.renewal->window_query_due(now)) ask_window(managed, now);
+        if (query_due && managed.renewal->window_query_due(now)) query_window(managed, now);
         budgets = accounts_.budgets();
         decision = decide();
         if (decision.action == Decision::Action::renew) {
@@ -105,7 +105,7 @@
           budgets = accounts_.budgets();
           decision = decide();
         }
-        tell_alarm(managed, now);
+        log_alarm(managed, now);
       }
       next = std::min(next, decision.action == Decision::Action::renew ? now + Seconds(1) : decision.at);
       if (managed.held && managed.renewal->state().failures == 0) {
@@ -114,19 +114,19 @@
     }
   } catch (const StateError& error) {
     log_.line("certificates: %s", error.what());
-    next = begun + kAfterStateError;
+    next = begun + kRetryAfterError;
   } catch (const Stopped&) {
     next = begun;
   } catch (const TurnLost&) {
     log_.line("certificates: the lease went to another instance");
     next = begun + settings_.lease / 4;
-    ours = false;
+    have_lease = false;
   } catch (const std::exception& error) {
     log_.line("certificates: %s", error.what());
-    next = begun + kAfterStateError;
+    next = begun + kRetryAfterError;
   }
   try {
-    if (ours) lease_->give_back();
+    if (have_lease) lease_->give_back();
   } catch (const StateError& error) {
     log_.line("certificates: %s", error.what());
   }
@@ -135,12 +135,12 @@
 
 void CertificateRenewer::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
-    const Instant next = work();
+    const Instant next = run_pass();
     // Counted besides, for a clock that is set back meanwhile.
-    for (auto left = kLongestSleep / kLook; left > 0 && environment_.now() < next; --left) {
-      if (!environment_.pause(kLook)) return;
+    for (auto left = kMaxSleep / kSyncInterval; left > 0 && environment_.now() < next; --left) {
+      if (!environment_.pause(kSyncInterval)) return;
       try {
-        look();
+        sync();
       } catch (const std::exception& error) {
         log_.line("certificates: %s", error.what());
         break;
@@ -149,13 +149,13 @@
   }
 }
 
-void CertificateRenewer::look() {
+void CertificateRenewer::sync() {
   store_->look();
   challenges_.answer(environment_.now());
   const Instant now = environment_.now();
   for (Managed& managed : managed_) {
     refresh(managed);
-    tell_alarm(managed, now);
+    log_alarm(managed, now);
   }
 }
 
@@ -194,27 +194,28 @@
   }
 }
 
-void CertificateRenewer::tell_alarm(Managed& managed, Instant now) {
+void CertificateRenewer::log_alarm(Managed& managed, Instant now) {
   const Alarm alarm = managed.renewal->alarm(now, managed.held);
-  const bool grave = alarm >= Alarm::late;
-  const bool again = grave && (now - managed.told_at >= kRepeatAlarm || now < managed.told_at);
-  if (managed.told == alarm && !again) return;
-  const bool worth_saying = managed.told ? true : alarm != Alarm::good;
-  managed.told = alarm;
-  managed.told_at = now;
-  if (!worth_saying) return;
+  const bool serious = alarm >= Alarm::late;
+  const bool repeat =
+      serious && (now - managed.alarm_logged_at >= kAlarmRepeatInterval || now < managed.alarm_logged_at);
+  if (managed.logged_alarm == alarm && !repeat) return;
+  const bool log_it = managed.logged_alarm ? true : alarm != Alarm::good;
+  managed.logged_alarm = alarm;
+  managed.alarm_logged_at = now;
+  if (!log_it) return;
   const char* const id = managed.settings.id.c_str();
   const std::string because = managed.renewal->state().failures == 0
                                   ? ""
                                   : "; " + std::to_string(managed.renewal->state().failures) +
                                         " attempts failed, last: " + managed.last_failure;
   if (!managed.held) {
-    log_.line("%scertificate %s: expired: there is none yet%s", grave ? "ALARM " : "", id, because.c_str());
+    log_.line("%scertificate %s: expired: there is none yet%s", serious ? "ALARM " : "", id, because.c_str());
   } else if (alarm == Alarm::expired) {
     log_.line("ALARM certificate %s: expired since %s%s", id, date(managed.held->ends).c_str(),
               because.c_str());
   } else {
-    log_.line("%scertificate %s: %s, ends %s, in %s%s", grave ? "ALARM " : "", id, name_of(alarm),
+    log_.line("%scertificate %s: %s, ends %s, in %s%s", serious ? "ALARM " : "", id, name_of(alarm),
               date(managed.held->ends).c_str(), span_text(managed.held->ends - now).c_str(), because.c_str());
   }
 }
@@ -270,11 +271,12 @@
   std::string what;
   try {
     const Issued issued = issuing_.issue(
-        {managed.settings, managed.leaf, wanted(managed), managed.renewal->state().failures}, authority);
+        {managed.settings, managed.leaf, usable_validity(managed), managed.renewal->state().failures},
+        authority);
     if (issued.chain.empty()) {
-      taken_into_use(managed, issued.record);
+      record_in_use(managed, issued.record);
     } else {
-      swap(managed, issued);
+      install(managed, issued);
     }
     return {};
   } catch (const AcmeError& error) {
@@ -299,17 +301,17 @@
   return what;
 }
 
-void CertificateRenewer::swap(Managed& managed, const Issued& issued) {
+void CertificateRenewer::install(Managed& managed, const Issued& issued) {
   steps_.step("swap");  // the turn is looked at here for the last time
   const Secret pem(std::string(pem_of(issued.key).view()) + issued.chain);
   store_->write_pem(file(managed, ".current.pem"), pem);
   steps_.step("swapped");
-  taken_into_use(managed, issued.record);
+  record_in_use(managed, issued.record);
   log_.line("certificate %s: renewed by %s, ends %s", managed.settings.id.c_str(),
             settings_.authorities[issued.record.authority].name.c_str(), date(managed.held->ends).c_str());
 }
 
-void CertificateRenewer::taken_into_use(Managed& managed, const OrderRecord& record) {
+void CertificateRenewer::record_in_use(Managed& managed, const OrderRecord& record) {
   managed.renewal->succeeded(environment_.now(), record.authority);
   managed.last_failure.clear();
   save_schedule(managed);
@@ -318,7 +320,7 @@
   issuing_.drop(managed.settings.id, record);
 }
 
-void CertificateRenewer::ask_window(Managed& managed, Instant now) {
+void CertificateRenewer::query_window(Managed& managed, Instant now) {
   const std::size_t authority = 0;
   try {
     Client client(settings_.authorities[authority].access, environment_.now, environment_.stopped);
@@ -342,13 +344,13 @@
   try {
     for (int tries = 0; !lease_->take(environment_.now()); ++tries) {
       const auto holder = lease_->holder(environment_.now());
-      if (tries >= kLeaseTries || !environment_.pause(milliseconds(1000))) {
+      if (tries >= kMaxLeaseAttempts || !environment_.pause(milliseconds(1000))) {
         return "another instance is at work (" + (holder ? holder->name : std::string("unknown")) + ")";
       }
     }
     std::string failure;
     try {
-      work();
+      run_pass();
     } catch (const Stopped&) {
       failure = "stopped";
     } catch (const TurnLost&) {
--- a/src/acme/certificate_renewer.hpp
+++ b/src/acme/certificate_renewer.hpp
@@ -1,8 +1,8 @@
 // Keeps the certificates of an installation: obtains, renews and swaps them, and says in time when it cannot.
 //
-// One pass, work(), does what is due; nothing but a pass reads or changes the state. What a pass decides is
-// RenewalSchedule's and flow's; here is only what they decide about. A thread of the serving process calls it
-// (run), the command line for one pass, tests with a clock of their own.
+// One pass, run_pass(), does what is due; nothing but a pass reads or changes the state. What a pass decides
+// is RenewalSchedule's and flow's; here is only what they decide about. A thread of the serving process calls
+// it (run), the command line for one pass, tests with a clock of their own.
 #pragma once
 
 #include <memory>
@@ -46,14 +46,14 @@
       : CertificateRenewer(settings, log, std::move(registry), std::move(environment),
                            open_state_on_disk(settings, log)) {}
 
-  // Does what is due; when to be called again at the latest. Never throws.
-  Instant work();
-  // work() again and again until it is told to stop.
+  // Does what is due; when to be called repeat at the latest. Never throws.
+  Instant run_pass();
+  // run_pass() repeat and repeat until it is logged_alarm to stop.
   void run(const std::stop_token& stop);
 
   std::vector<CertificateStatus> statuses();
   // What may change without a pass: certificates that another instance renewed, challenges that it put up.
-  void look();
+  void sync();
   // Renews now, due or not; what went wrong, or empty.
   std::string renew_now(const std::string& id);
   std::string revoke(const std::string& id, int reason);
@@ -71,24 +71,24 @@
     std::string current_stamp{}, schedule_stamp{};
     Certificate leaf{};  // null: none yet
     std::optional<Validity> held{};
-    std::optional<Alarm> told{};
-    Instant told_at{};
+    std::optional<Alarm> logged_alarm{};
+    Instant alarm_logged_at{};
   };
   std::string file(const Managed& managed, const char* suffix) const { return managed.settings.id + suffix; }
 
   void refresh(Managed& managed);
-  void tell_alarm(Managed& managed, Instant now);
+  void log_alarm(Managed& managed, Instant now);
   Managed& find(const std::string& id);
 
   void save_schedule(Managed& managed);
   // One attempt at one authority, its outcome taken down in the schedule; what went wrong, or empty.
   std::string attempt(Managed& managed, std::size_t authority);
-  void swap(Managed& managed, const Issued& issued);
+  void install(Managed& managed, const Issued& issued);
   // The order's certificate is the one in use now.
-  void taken_into_use(Managed& managed, const OrderRecord& record);
-  void ask_window(Managed& managed, Instant now);
+  void record_in_use(Managed& managed, const OrderRecord& record);
+  void query_window(Managed& managed, Instant now);
 
-  std::optional<Validity> wanted(const Managed& managed) const;
+  std::optional<Validity> usable_validity(const Managed& managed) const;
   std::string with_lease(const std::function<void()>& work);
 
   Settings settings_;
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -409,7 +409,7 @@
   for (const std::int64_t each : {365 * 86400L, -86400L}) {
     offset = each;
     for (int i = 0; i < 20; ++i) {
-      const Instant next = wrong.work();
+      const Instant next = wrong.run_pass();
       time += std::min<std::int64_t>(std::max<std::int64_t>((next - skewed.now()).count(), 1), 3600);
     }
   }
@@ -482,7 +482,7 @@
   Logger quiet(nowhere);
   acme::CertificateRenewer starved(settings, quiet, registry, environment());
   ::setrlimit(RLIMIT_FSIZE, &none);
-  for (int i = 0; i < 5; ++i) set(starved.work());
+  for (int i = 0; i < 5; ++i) set(starved.run_pass());
   ::setrlimit(RLIMIT_FSIZE, &old);
   EXPECT_EQ(there.counts().orders, 1);
   EXPECT_EQ(kept("sip.current.pem"), before);
@@ -552,11 +552,11 @@
   const auto other_registry = std::make_shared<tls::Registry>();
   acme::CertificateRenewer a(settings, log, registry, environment()),
       b(settings, log, other_registry, environment());
-  std::jthread first([&] { a.work(); }), second([&] { b.work(); });
+  std::jthread first([&] { a.run_pass(); }), second([&] { b.run_pass(); });
   first.join();
   second.join();
-  a.look();
-  b.look();
+  a.sync();
+  b.sync();
   EXPECT_EQ(there.counts().orders, 1) << said();
   const std::string served = handshake(registry->server(), "sip.lab.example").certificate;
   EXPECT_FALSE(served.empty());
@@ -574,16 +574,16 @@
   bool once = false;
   on_step = [&](const char* what) {
     if (std::string(what) != "fetched" || std::exchange(once, true)) return;
-    EXPECT_GT(b.work(), now() + Seconds(1)) << "two held the lease";
+    EXPECT_GT(b.run_pass(), now() + Seconds(1)) << "two held the lease";
     set(now() + settings.lease + Seconds(1));
-    b.work();
+    b.run_pass();
   };
   acme::CertificateRenewer a(settings, log, registry, environment());
-  a.work();
+  a.run_pass();
   EXPECT_NE(said().find("the lease went to another instance"), std::string::npos);
   EXPECT_EQ(there.counts().orders, 1) << said();
   EXPECT_EQ(there.counts().certificates, 1);
-  a.look();
+  a.sync();
   EXPECT_EQ(handshake(registry->server(), "").certificate,
             handshake(other_registry->server(), "").certificate);
   EXPECT_EQ(files_with(".order.json") + files_with(".key-"), 0u);
@@ -836,7 +836,7 @@
   };
   Logger log;
   acme::CertificateRenewer keeper(settings, log, nullptr, environment);
-  keeper.work();
+  keeper.run_pass();
   return keeper.statuses()[0].validity ? 0 : 1;
 }
 
--- a/tests/installation.hpp
+++ b/tests/installation.hpp
@@ -85,7 +85,7 @@
   // Passes of the keeper, each when it asked to be called, until `end`.
   void run(acme::CertificateRenewer& keeper, Instant end, const std::function<void()>& each = {}) {
     while (now() < end) {
-      const Instant next = keeper.work();
+      const Instant next = keeper.run_pass();
       if (each) each();
       set(std::min(std::max(next, now() + Seconds(1)), end));
     }
