--- a/src/acme/flow.cpp
+++ b/src/acme/flow.cpp
@@ -21,36 +21,37 @@
   return std::nullopt;
 }
 
-bool fits(const OrderRecord& record, const std::vector<std::string>& names, const std::string& key_type,
-          const std::vector<std::string>& directories) {
+bool matches_request(const OrderRecord& record, const std::vector<std::string>& names,
+                     const std::string& key_type, const std::vector<std::string>& directories) {
   return record.authority < directories.size() && directories[record.authority] == record.directory &&
          sorted(record.names) == sorted(names) && record.key_type == key_type;
 }
 
-Step next_step(const OrderRecord& record, const OrderView& view, Instant now, Seconds patience) {
+OrderStep next_step(const OrderRecord& record, const OrderView& view, Instant now, Seconds timeout) {
   switch (view.status) {
     case OrderStatus::valid:
-      return view.certificate.empty() ? Step::abandon : Step::fetch;
+      return view.certificate.empty() ? OrderStep::abandon : OrderStep::fetch;
     case OrderStatus::invalid:
-      return Step::abandon;
+      return OrderStep::abandon;
     case OrderStatus::ready:
-      return Step::finalize;
+      return OrderStep::finalize;
     case OrderStatus::pending:
-      if (view.expires && *view.expires <= now) return Step::abandon;
-      return Step::authorize;
+      if (view.expires && *view.expires <= now) return OrderStep::abandon;
+      return OrderStep::authorize;
     case OrderStatus::processing:
       break;
   }
-  return now - std::min(record.made, now) > patience ? Step::abandon : Step::look_again;
+  return now - std::min(record.created_at, now) > timeout ? OrderStep::abandon : OrderStep::poll;
 }
 
-std::optional<std::size_t> match(const OrderRecord& record, const std::vector<OrderView>& orders) {
-  const auto wanted = sorted(record.names);
+std::optional<std::size_t> find_placed_order(const OrderRecord& record,
+                                             const std::vector<OrderView>& orders) {
+  const auto names = sorted(record.names);
   for (std::size_t i = orders.size(); i-- > 0;) {  // the last one is the newest
     const OrderView& each = orders[i];
     // One that went further than `ready` was finalized with another key: ours was never sent.
     const bool open = each.status == OrderStatus::pending || each.status == OrderStatus::ready;
-    if (open && sorted(each.names) == wanted) return i;
+    if (open && sorted(each.names) == names) return i;
   }
   return std::nullopt;
 }
--- a/src/acme/flow.hpp
+++ b/src/acme/flow.hpp
@@ -20,7 +20,7 @@
   std::string url{};       // empty: newOrder has not been answered, or its answer was lost
   bool finalized = false;  // finalize may have been taken
   int fetches = 0;         // of a chain that was not used
-  Instant made{};
+  Instant created_at{};
 };
 
 enum class OrderStatus { pending, ready, processing, valid, invalid };
@@ -35,22 +35,23 @@
   std::optional<Instant> expires{};
 };
 
-enum class Step {
+enum class OrderStep {
   authorize,  // answer the authorizations that are not valid
   finalize,
-  look_again,  // the authority is at work
-  fetch,       // the certificate is there
-  abandon,     // nothing will come of it: a new order is needed
+  poll,     // the authority is at work
+  fetch,    // the certificate is there
+  abandon,  // nothing will come of it: a new order is needed
 };
 
-// Whether the record still is for what is wanted.
-bool fits(const OrderRecord& record, const std::vector<std::string>& names, const std::string& key_type,
-          const std::vector<std::string>& directories);
+// Whether the record still is for what is names.
+bool matches_request(const OrderRecord& record, const std::vector<std::string>& names,
+                     const std::string& key_type, const std::vector<std::string>& directories);
 
-// The step after a look at the order. One in processing for over `patience` since it was made is given up.
-Step next_step(const OrderRecord& record, const OrderView& view, Instant now, Seconds patience);
+// The step after a look at the order. One in processing for over `timeout` since it was created_at is given
+// up.
+OrderStep next_step(const OrderRecord& record, const OrderView& view, Instant now, Seconds timeout);
 
 // Which of the account's orders the lost answer was about: one that can still be finished, for these names.
-std::optional<std::size_t> match(const OrderRecord& record, const std::vector<OrderView>& orders);
+std::optional<std::size_t> find_placed_order(const OrderRecord& record, const std::vector<OrderView>& orders);
 
 }  // namespace quartzarch::acme
--- a/src/acme/issuing.cpp
+++ b/src/acme/issuing.cpp
@@ -10,11 +10,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr Seconds kLongestPause{60};
-constexpr std::size_t kOrdersLookedAt = 20;
-constexpr int kFetches = 2;  // of a chain that came cut short
+constexpr Seconds kMaxPollInterval{60};
+constexpr std::size_t kMaxOrdersChecked = 20;
+constexpr int kMaxChainFetches = 2;  // of a chain that came cut short
 
-bool ends_the_order(const AcmeError& error) {
+bool is_fatal_for_order(const AcmeError& error) {
   for (const char* const each : {"badCSR", "badPublicKey", "unauthorized", "malformed"}) {
     if (error.type == each) return true;
   }
@@ -43,95 +43,97 @@
 }
 
 // Keys that a crash left behind after their order had gone.
-void Issuing::drop_stray_keys(const std::string& id, const std::optional<OrderRecord>& record) {
+void Issuing::remove_orphaned_keys(const std::string& id, const std::optional<OrderRecord>& record) {
   for (const std::string& each : store_.list(id + ".key-", ".pem")) {
     if (!record || each != record->key_file) store_.remove(each);
   }
 }
 
-Issued Issuing::issue(const Wish& wish, std::size_t authority) {
+Issued Issuing::issue(const IssueRequest& request, std::size_t authority) {
   const AuthoritySettings& settings = settings_.authorities[authority];
   std::vector<std::string> directories;
   for (const auto& each : settings_.authorities) directories.push_back(each.access.directory);
-  auto record = load(wish.certificate.id);
-  if (record && wish.leaf && !record->key_file.empty()) {
+  auto record = load(request.certificate.id);
+  if (record && request.leaf && !record->key_file.empty()) {
     // It died between the swap and the tidying up: the certificate in use has the order's key.
     const auto pem = store_.read_pem(record->key_file);
     if (pem && pem->view().find("PRIVATE KEY") != std::string_view::npos &&
-        belongs_to(wish.leaf, key_from_pem(pem->view()))) {
+        belongs_to(request.leaf, key_from_pem(pem->view()))) {
       return {*record, {}, {}};
     }
   }
-  if (record && (!fits(*record, wish.certificate.names, wish.certificate.key_type, directories) ||
-                 record->authority != authority)) {
-    drop(wish.certificate.id, *record);
+  if (record &&
+      (!matches_request(*record, request.certificate.names, request.certificate.key_type, directories) ||
+       record->authority != authority)) {
+    drop(request.certificate.id, *record);
     record.reset();
   }
-  drop_stray_keys(wish.certificate.id, record);
+  remove_orphaned_keys(request.certificate.id, record);
   const auto session = accounts_.open(authority);
-  const bool taken_up = record.has_value();
+  const bool resumed = record.has_value();
   if (!record) {
     record.emplace();
     record->authority = authority;
     record->directory = settings.access.directory;
-    record->names = wish.certificate.names;
-    record->key_type = wish.certificate.key_type;
-    record->key_file = wish.certificate.id + ".key-" + std::to_string(random_bits()) + ".pem";
-    if (wish.leaf && session->client->has_renewal_info()) record->replaces = renewal_id(wish.leaf);
-    record->made = steps_.now();
+    record->names = request.certificate.names;
+    record->key_type = request.certificate.key_type;
+    record->key_file = request.certificate.id + ".key-" + std::to_string(random_bits()) + ".pem";
+    if (request.leaf && session->client->has_renewal_info()) record->replaces = renewal_id(request.leaf);
+    record->created_at = steps_.now();
     steps_.step("intent");
-    save(wish.certificate.id, *record);
+    save(request.certificate.id, *record);
   }
-  Key key = key_of(wish, *record);
-  OrderReply reply = place(wish, *record, *session, taken_up);
+  Key key = load_or_create_key(request, *record);
+  OrderReply reply = find_or_create_order(request, *record, *session, resumed);
   Client& client = *session->client;
   Seconds waited{0};
-  const auto look_again = [&](const char* what) {
-    const Seconds pause = std::clamp(reply.retry_after.value_or(Seconds(0)), Seconds(0), kLongestPause);
-    const auto longer = std::max<milliseconds>(pause, settings_.poll);
-    waited += std::chrono::ceil<Seconds>(longer);
+  const auto poll = [&](const char* what) {
+    const Seconds pause = std::clamp(reply.retry_after.value_or(Seconds(0)), Seconds(0), kMaxPollInterval);
+    const auto delay = std::max<milliseconds>(pause, settings_.poll);
+    waited += std::chrono::ceil<Seconds>(delay);
     if (waited > settings_.patience) throw AcmeError(Failure::unreachable, what, reply.retry_after);
-    steps_.wait(longer);
+    steps_.wait(delay);
     reply = client.order(record->url);
   };
   bool authorized = false;
   for (;;) {
     switch (next_step(*record, reply.view, steps_.now(), settings_.order_patience)) {
-      case Step::authorize:
+      case OrderStep::authorize:
         if (std::exchange(authorized, true)) {
-          look_again("the order stays pending though every authorization is valid");
+          poll("the order stays pending though every authorization is valid");
           break;
         }
         try {
-          for (const std::string& url : reply.view.authorizations) prove(wish, *session, url);
+          for (const std::string& url : reply.view.authorizations)
+            complete_authorization(request, *session, url);
         } catch (const AcmeError& error) {
-          if (error.why == Failure::rejected) drop(wish.certificate.id, *record);  // it is invalid with it
+          if (error.why == Failure::rejected) drop(request.certificate.id, *record);  // it is invalid with it
           throw;
         }
         reply = client.order(record->url);
         break;
-      case Step::finalize:
+      case OrderStep::finalize:
         record->finalized = true;
         steps_.step("finalize");
-        save(wish.certificate.id, *record);
+        save(request.certificate.id, *record);
         steps_.step("finalize sent");
         try {
           reply = client.finalize(record->url, reply.view.finalize, certificate_request(key, record->names));
         } catch (const AcmeError& error) {
-          if (ends_the_order(error)) drop(wish.certificate.id, *record);
+          if (is_fatal_for_order(error)) drop(request.certificate.id, *record);
           throw;
         }
         steps_.step("finalized");
         break;
-      case Step::look_again:
-        look_again("the order is still in processing");
+      case OrderStep::poll:
+        poll("the order is still in processing");
         break;
-      case Step::fetch:
-        return fetch(wish, *record, *session, std::move(key), reply.view);
-      case Step::abandon:
-        drop(wish.certificate.id, *record);
+      case OrderStep::fetch:
+        return fetch(request, *record, *session, std::move(key), reply.view);
+      case OrderStep::abandon:
+        drop(request.certificate.id, *record);
         // What was left of an earlier attempt has come to nothing meanwhile: this one has not begun yet.
-        if (taken_up && !authorized && !record->finalized) return issue(wish, authority);
+        if (resumed && !authorized && !record->finalized) return issue(request, authority);
         throw AcmeError(
             reply.error ? reply.error->failure() : Failure::rejected,
             "the order came to nothing" + (reply.error ? ": " + reply.error->plain() : std::string()));
@@ -140,7 +142,7 @@
 }
 
 // A new key for each order. The record that names its file is on disk before it.
-Key Issuing::key_of(const Wish& wish, OrderRecord& record) {
+Key Issuing::load_or_create_key(const IssueRequest& request, OrderRecord& record) {
   if (const auto pem = store_.read_pem(record.key_file)) {
     try {
       return key_from_pem(pem->view());
@@ -149,7 +151,7 @@
     }
   }
   if (record.finalized) {
-    drop(wish.certificate.id, record);
+    drop(request.certificate.id, record);
     throw AcmeError(Failure::local, "the key of the open order is gone; a new order is needed");
   }
   Key key = new_key(record.key_type);
@@ -159,30 +161,31 @@
   return key;
 }
 
-OrderReply Issuing::place(const Wish& wish, OrderRecord& record, Session& session, bool taken_up) {
+OrderReply Issuing::find_or_create_order(const IssueRequest& request, OrderRecord& record, Session& session,
+                                         bool resumed) {
   Client& client = *session.client;
   if (!record.url.empty()) {
     try {
       return client.order(record.url);
     } catch (const AcmeError& error) {
-      if (ends_the_order(error)) drop(wish.certificate.id, record);
+      if (is_fatal_for_order(error)) drop(request.certificate.id, record);
       throw;
     }
   }
-  if (taken_up) {
+  if (resumed) {
     // The request may have been taken and its answer lost.
     client.open_account(true);
     std::vector<std::string> urls = client.orders();
-    if (urls.size() > kOrdersLookedAt) urls.erase(urls.begin(), urls.end() - kOrdersLookedAt);
+    if (urls.size() > kMaxOrdersChecked) urls.erase(urls.begin(), urls.end() - kMaxOrdersChecked);
     std::vector<OrderReply> replies;
     std::vector<OrderView> views;
     for (const std::string& url : urls) {
       replies.push_back(client.order(url));
       views.push_back(replies.back().view);
     }
-    if (const auto found = match(record, views)) {
+    if (const auto found = find_placed_order(record, views)) {
       record.url = urls[*found];
-      save(wish.certificate.id, record);
+      save(request.certificate.id, record);
       return replies[*found];
     }
   }
@@ -196,12 +199,12 @@
   OrderReply reply = client.new_order(record.names, record.replaces);
   steps_.step("order placed");
   record.url = reply.url;
-  save(wish.certificate.id, record);
+  save(request.certificate.id, record);
   steps_.step("order kept");
   return reply;
 }
 
-void Issuing::prove(const Wish& wish, Session& session, const std::string& url) {
+void Issuing::complete_authorization(const IssueRequest& request, Session& session, const std::string& url) {
   Client& client = *session.client;
   Authorization authorization = client.authorization(url);
   const auto rejected = [&] {
@@ -214,20 +217,20 @@
   };
   if (authorization.status == "valid") return;  // of an earlier order
   if (authorization.status != "pending") throw rejected();
-  // After failures the other ways are tried in turn.
+  // After failures the other type_count are tried in turn.
   const Challenge* chosen = nullptr;
-  const std::size_t ways = settings_.challenges.size();
-  for (std::size_t i = 0; i < ways && !chosen; ++i) {
-    const std::string& type = settings_.challenges[(wish.failures + i) % ways];
+  const std::size_t type_count = settings_.challenges.size();
+  for (std::size_t i = 0; i < type_count && !chosen; ++i) {
+    const std::string& type = settings_.challenges[(request.failures + i) % type_count];
     for (const Challenge& each : authorization.challenges) {
       if (each.type == type) chosen = &each;
     }
   }
   if (!chosen) throw AcmeError(Failure::refused, "the authority offers no challenge that is allowed here");
-  struct TakeDown {
+  struct WithdrawOnExit {
     Issuing& issuing;
     const std::string& name;
-    ~TakeDown() {
+    ~WithdrawOnExit() {
       try {
         issuing.challenges_.take_down(issuing.steps_.now(), name);
       } catch (const StateError& error) {
@@ -241,7 +244,7 @@
   steps_.step("challenge");
   challenges_.put_up(steps_.now(), name, chosen->type, chosen->token,
                      chosen->token + "." + thumbprint(session.account.key));
-  const TakeDown at_the_end{*this, name};
+  const WithdrawOnExit withdraw_on_exit{*this, name};
   steps_.wait(settings_.settle);
   steps_.step("challenge put up");
   if (chosen->status != "processing") client.answer(chosen->url);
@@ -258,20 +261,20 @@
   }
 }
 
-Issued Issuing::fetch(const Wish& wish, OrderRecord& record, Session& session, Key key,
+Issued Issuing::fetch(const IssueRequest& request, OrderRecord& record, Session& session, Key key,
                       const OrderView& view) {
   std::string chain =
       session.client->chain(view.certificate, settings_.authorities[record.authority].preferred_issuer);
   steps_.step("fetched");
-  const std::string wrong = unsound(chain, key, record.names, steps_.now(), wish.held);
-  if (!wrong.empty()) {
+  const std::string defect = unsound(chain, key, record.names, steps_.now(), request.held);
+  if (!defect.empty()) {
     // It may have come cut short on the way; if not, the order is of no use.
-    if (++record.fetches >= kFetches) {
-      drop(wish.certificate.id, record);
+    if (++record.fetches >= kMaxChainFetches) {
+      drop(request.certificate.id, record);
     } else {
-      save(wish.certificate.id, record);
+      save(request.certificate.id, record);
     }
-    throw AcmeError(Failure::unusable, "the certificate is not used: " + wrong);
+    throw AcmeError(Failure::unusable, "the certificate is not used: " + defect);
   }
   return {record, std::move(key), chain};
 }
--- a/src/acme/issuing.hpp
+++ b/src/acme/issuing.hpp
@@ -12,11 +12,11 @@
 namespace quartzarch::acme {
 
 // What is asked for.
-struct Wish {
+struct IssueRequest {
   const CertificateSettings& certificate;
   const Certificate& leaf;         // the one in use; null: none
   std::optional<Validity> held{};  // of the one in use, if it is for the same names
-  unsigned failures = 0;           // in a row: other ways to prove a name are tried in turn
+  unsigned failures = 0;  // in a row: other type_count to complete_authorization a name are tried in turn
 };
 
 struct Issued {
@@ -37,19 +37,22 @@
         challenges_(challenges) {}
 
   // Throws AcmeError, HttpError, CryptoError, StateError; Stopped and TurnLost.
-  Issued issue(const Wish& wish, std::size_t authority);
+  Issued issue(const IssueRequest& request, std::size_t authority);
   // The open order of a certificate.
   std::optional<OrderRecord> load(const std::string& id);
   void drop(const std::string& id, const OrderRecord& record);
 
  private:
   void save(const std::string& id, const OrderRecord& record);
-  void drop_stray_keys(const std::string& id, const std::optional<OrderRecord>& record);
-  Key key_of(const Wish& wish, OrderRecord& record);
+  void remove_orphaned_keys(const std::string& id, const std::optional<OrderRecord>& record);
+  Key load_or_create_key(const IssueRequest& request, OrderRecord& record);
   // The order as the authority shows it: the one of the record, or one found again, or a new one.
-  OrderReply place(const Wish& wish, OrderRecord& record, Session& session, bool taken_up);
-  void prove(const Wish& wish, Session& session, const std::string& authorization_url);
-  Issued fetch(const Wish& wish, OrderRecord& record, Session& session, Key key, const OrderView& view);
+  OrderReply find_or_create_order(const IssueRequest& request, OrderRecord& record, Session& session,
+                                  bool resumed);
+  void complete_authorization(const IssueRequest& request, Session& session,
+                              const std::string& authorization_url);
+  Issued fetch(const IssueRequest& request, OrderRecord& record, Session& session, Key key,
+               const OrderView& view);
 
   Store& store_;
   const Settings& settings_;
--- a/src/acme/records.cpp
+++ b/src/acme/records.cpp
@@ -93,7 +93,8 @@
          ",\"key_type\":" + in_quotes(record.key_type) + ",\"key_file\":" + in_quotes(record.key_file) +
          ",\"replaces\":" + in_quotes(record.replaces) + ",\"url\":" + in_quotes(record.url) +
          ",\"finalized\":" + (record.finalized ? "1" : "0") +
-         ",\"fetches\":" + std::to_string(record.fetches) + ",\"made\":" + instant_json(record.made) + "}";
+         ",\"fetches\":" + std::to_string(record.fetches) + ",\"made\":" + instant_json(record.created_at) +
+         "}";
 }
 
 std::optional<OrderRecord> parse_order(const std::string& text) {
@@ -110,7 +111,7 @@
   record.url = text_in(*root, "url");
   record.finalized = number_in(*root, "finalized", 0) != 0;
   record.fetches = static_cast<int>(number_in(*root, "fetches", 0));
-  record.made = instant_in(*root, "made").value_or(Instant{});
+  record.created_at = instant_in(*root, "made").value_or(Instant{});
   return record;
 }
 
