--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -151,7 +151,7 @@
 
 void CertificateRenewer::sync() {
   store_->look();
-  challenges_.answer(environment_.now());
+  challenges_.sync(environment_.now());
   const Instant now = environment_.now();
   for (Managed& managed : managed_) {
     refresh(managed);
--- a/src/acme/challenges.hpp
+++ b/src/acme/challenges.hpp
@@ -20,14 +20,14 @@
       : store_(store), settings_(settings), log_(log), registry_(std::move(registry)) {}
   ~Challenges();
 
-  void put_up(Instant now, const std::string& name, const std::string& type, const std::string& token,
-              const std::string& authorization);
-  void take_down(Instant now, const std::string& name);
+  void publish(Instant now, const std::string& name, const std::string& type, const std::string& token,
+               const std::string& authorization);
+  void withdraw(Instant now, const std::string& name);
   // Answers what any instance has put up, and no more.
-  void answer(Instant now);
+  void sync(Instant now);
 
  private:
-  struct Answered {
+  struct Published {
     std::string stamp{}, name{}, type{};
   };
 
@@ -36,8 +36,8 @@
   Logger& log_;
   std::shared_ptr<tls::Registry> registry_;
   std::unique_ptr<Responder> responder_{};
-  std::map<std::string, Answered> answered_{};  // by the record of the challenge
-  bool told_of_responder_ = false;
+  std::map<std::string, Published> published_{};  // by the record of the challenge
+  bool responder_error_logged_ = false;
 };
 
 }  // namespace quartzarch::acme
--- a/src/acme/issuing.cpp
+++ b/src/acme/issuing.cpp
@@ -232,7 +232,7 @@
     const std::string& name;
     ~WithdrawOnExit() {
       try {
-        issuing.challenges_.take_down(issuing.steps_.now(), name);
+        issuing.challenges_.withdraw(issuing.steps_.now(), name);
       } catch (const StateError& error) {
         issuing.log_.line("certificates: %s", error.what());
       } catch (const TurnLost&) {
@@ -242,8 +242,8 @@
   };
   const std::string name = authorization.name;
   steps_.step("challenge");
-  challenges_.put_up(steps_.now(), name, chosen->type, chosen->token,
-                     chosen->token + "." + thumbprint(session.account.key));
+  challenges_.publish(steps_.now(), name, chosen->type, chosen->token,
+                      chosen->token + "." + thumbprint(session.account.key));
   const WithdrawOnExit withdraw_on_exit{*this, name};
   steps_.wait(settings_.settle);
   steps_.step("challenge put up");
--- a/src/acme/responder.cpp
+++ b/src/acme/responder.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::string_view kPath = "GET /.well-known/acme-challenge/";
-constexpr std::size_t kLongestRequest = 8 * 1024;
-constexpr int kLookForStopMs = 50;
-constexpr int kPatienceSeconds = 2;  // with a client that says nothing
+constexpr std::size_t kMaxRequestBytes = 8 * 1024;
+constexpr int kStopPollMs = 50;
+constexpr int kReceiveTimeoutSeconds = 2;  // with a client that says nothing
 
 }  // namespace
 
@@ -20,23 +20,23 @@
 
 void Responder::serve(const std::string& token, const std::string& authorization) {
   const std::lock_guard lock(mutex_);
-  served_[token] = authorization;
+  authorizations_[token] = authorization;
 }
 
 void Responder::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
-    pollfd waiting{listener_.get(), POLLIN, 0};
-    if (::poll(&waiting, 1, kLookForStopMs) <= 0) continue;
+    pollfd listener_poll{listener_.get(), POLLIN, 0};
+    if (::poll(&listener_poll, 1, kStopPollMs) <= 0) continue;
     const Fd fd(::accept(listener_.get(), nullptr, nullptr));
     if (fd) answer(fd);
   }
 }
 
 void Responder::answer(const Fd& fd) {
-  const timeval patience{kPatienceSeconds, 0};
-  ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  const timeval timeout{kReceiveTimeoutSeconds, 0};
+  ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   std::string request;
-  while (request.find("\r\n\r\n") == std::string::npos && request.size() < kLongestRequest) {
+  while (request.find("\r\n\r\n") == std::string::npos && request.size() < kMaxRequestBytes) {
     char bytes[1024];
     const ssize_t count = ::recv(fd.get(), bytes, sizeof bytes, 0);
     if (count <= 0) return;
@@ -46,7 +46,7 @@
   if (request.starts_with(kPath)) {
     const std::string token = request.substr(kPath.size(), request.find(' ', kPath.size()) - kPath.size());
     const std::lock_guard lock(mutex_);
-    if (const auto found = served_.find(token); found != served_.end()) {
+    if (const auto found = authorizations_.find(token); found != authorizations_.end()) {
       body = found->second;
       status = "200 OK";
     }
--- a/src/acme/responder.hpp
+++ b/src/acme/responder.hpp
@@ -24,7 +24,7 @@
 
   Fd listener_;
   std::mutex mutex_;
-  std::map<std::string, std::string> served_;
+  std::map<std::string, std::string> authorizations_;
   std::jthread thread_;  // last: ends before what it uses
 };
 
