--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -81,7 +81,7 @@
     standin::Authority authority(setup);
     acme::Settings settings;
     settings.directory = folder + "/certs";
-    settings.poll = milliseconds(50);
+    settings.poll_interval = milliseconds(50);
     settings.policy.duplicates.most = settings.policy.orders.most = 1000;
     settings.authorities.resize(1);
     settings.authorities[0].access.directory = authority.directory();
--- a/src/acme/challenges.cpp
+++ b/src/acme/challenges.cpp
@@ -23,7 +23,8 @@
 
 void Challenges::publish(Instant now, const std::string& name, const std::string& type,
                          const std::string& token, const std::string& authorization) {
-  const Instant until = now + settings_.patience * 2 + std::chrono::ceil<Seconds>(settings_.settle);
+  const Instant until =
+      now + settings_.step_timeout * 2 + std::chrono::ceil<Seconds>(settings_.publish_delay);
   store_.write(record_of(name), to_text(ChallengeRecord{name, type, token, authorization, until}));
   sync(now);
 }
--- a/src/acme/issuing.cpp
+++ b/src/acme/issuing.cpp
@@ -89,15 +89,15 @@
   Seconds waited{0};
   const auto poll = [&](const char* what) {
     const Seconds pause = std::clamp(reply.retry_after.value_or(Seconds(0)), Seconds(0), kMaxPollInterval);
-    const auto delay = std::max<milliseconds>(pause, settings_.poll);
+    const auto delay = std::max<milliseconds>(pause, settings_.poll_interval);
     waited += std::chrono::ceil<Seconds>(delay);
-    if (waited > settings_.patience) throw AcmeError(Failure::unreachable, what, reply.retry_after);
+    if (waited > settings_.step_timeout) throw AcmeError(Failure::unreachable, what, reply.retry_after);
     steps_.wait(delay);
     reply = client.order(record->url);
   };
   bool authorized = false;
   for (;;) {
-    switch (next_step(*record, reply.view, steps_.now(), settings_.order_patience)) {
+    switch (next_step(*record, reply.view, steps_.now(), settings_.order_timeout)) {
       case OrderStep::authorize:
         if (std::exchange(authorized, true)) {
           poll("the order stays pending though every authorization is valid");
@@ -245,7 +245,7 @@
   challenges_.publish(steps_.now(), name, chosen->type, chosen->token,
                       chosen->token + "." + thumbprint(session.account.key));
   const WithdrawOnExit withdraw_on_exit{*this, name};
-  steps_.wait(settings_.settle);
+  steps_.wait(settings_.publish_delay);
   steps_.step("challenge put up");
   if (chosen->status != "processing") client.answer(chosen->url);
   steps_.step("challenge asked for");
@@ -253,11 +253,11 @@
     authorization = client.authorization(url);
     if (authorization.status == "valid") return;
     if (authorization.status != "pending") throw rejected();
-    waited += settings_.poll;
-    if (waited > settings_.patience) {
+    waited += settings_.poll_interval;
+    if (waited > settings_.step_timeout) {
       throw AcmeError(Failure::unreachable, "the authority does not decide on the challenge for " + name);
     }
-    steps_.wait(settings_.poll);
+    steps_.wait(settings_.poll_interval);
   }
 }
 
--- a/src/acme/settings.cpp
+++ b/src/acme/settings.cpp
@@ -25,21 +25,21 @@
   }
   std::string path(const std::string& key) const { return name_.empty() ? key : name_ + "." + key; }
 
-  std::string text(const std::string& key, const std::string& otherwise = {}) {
+  std::string text(const std::string& key, const std::string& default_value = {}) {
     const auto* const node = find(key);
-    if (!node) return otherwise;
+    if (!node) return default_value;
     const auto value = node->value_exact<std::string>();
     if (!value) fail(*node, path(key), "is no text");
     return *value;
   }
-  std::string needed(const std::string& key) {
+  std::string required(const std::string& key) {
     const auto* const node = find(key);
     if (!node) fail(table_, path(key), "is missing");
     std::string value = text(key);
     if (value.empty()) fail(*node, path(key), "is empty");
     return value;
   }
-  std::vector<std::string> texts(const std::string& key) {
+  std::vector<std::string> strings(const std::string& key) {
     const auto* const node = find(key);
     if (!node) return {};
     const auto* const list = node->as_array();
@@ -52,9 +52,10 @@
     }
     return values;
   }
-  std::int64_t number(const std::string& key, std::int64_t otherwise, std::int64_t least, std::int64_t most) {
+  std::int64_t number(const std::string& key, std::int64_t default_value, std::int64_t least,
+                      std::int64_t most) {
     const auto* const node = find(key);
-    if (!node) return otherwise;
+    if (!node) return default_value;
     const auto value = node->value_exact<std::int64_t>();
     if (!value) fail(*node, path(key), "is no whole number");
     if (*value < least || *value > most) {
@@ -62,9 +63,9 @@
     }
     return *value;
   }
-  double share(const std::string& key, double otherwise) {
+  double share(const std::string& key, double default_value) {
     const auto* const node = find(key);
-    if (!node) return otherwise;
+    if (!node) return default_value;
     const auto value = node->value<double>();
     if (!value || *value <= 0 || *value >= 1) fail(*node, path(key), "is no share between 0 and 1");
     return *value;
@@ -109,9 +110,9 @@
       label = 0;
       continue;
     }
-    const bool sound =
+    const bool allowed =
         (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || (c == '-' && label > 0);
-    if (!sound || ++label > 63) return false;
+    if (!allowed || ++label > 63) return false;
   }
   return label > 0 && name.back() != '-';
 }
@@ -126,13 +127,13 @@
 AuthoritySettings authority(const toml::table& table) {
   Section section(table, "authority");
   AuthoritySettings settings;
-  settings.access.directory = section.needed("directory");
+  settings.access.directory = section.required("directory");
   if (!settings.access.directory.starts_with("https://")) {
     fail(*section.find("directory"), "authority.directory", "is no https URL");
   }
   settings.name = section.text("name", settings.access.directory);
   settings.access.ca_file = section.text("ca_file");
-  settings.access.contact = section.texts("contact");
+  settings.access.contact = section.strings("contact");
   settings.access.http_timeout =
       std::chrono::milliseconds(section.number("http_timeout_ms", 30000, 10, 300000));
   settings.preferred_issuer = section.text("preferred_issuer");
@@ -149,10 +150,10 @@
 CertificateSettings certificate(const toml::table& table) {
   Section section(table, "certificate");
   CertificateSettings settings;
-  settings.id = section.needed("id");
+  settings.id = section.required("id");
   if (!is_id(settings.id))
     fail(*section.find("id"), "certificate.id", "may have letters, digits, - and _ only");
-  settings.names = section.texts("names");
+  settings.names = section.strings("names");
   if (settings.names.empty()) fail(table, "certificate.names", "names nothing");
   for (const std::string& name : settings.names) {
     if (!is_host_name(name)) fail(*section.find("names"), "certificate.names", "holds no host name: " + name);
@@ -165,9 +166,9 @@
   return settings;
 }
 
-Limit limit(Section& section, const std::string& key, Limit otherwise) {
-  otherwise.most = static_cast<unsigned>(section.number(key, otherwise.most, 1, 100000));
-  return otherwise;
+Limit limit(Section& section, const std::string& key, Limit default_value) {
+  default_value.most = static_cast<unsigned>(section.number(key, default_value.most, 1, 100000));
+  return default_value;
 }
 
 Policy policy(const toml::table& table) {
@@ -217,8 +218,8 @@
     const toml::table table = toml::parse(text);
     Section section(table, "");
     Settings settings;
-    settings.directory = section.needed("directory");
-    if (const auto listed = section.texts("challenges"); !listed.empty()) settings.challenges = listed;
+    settings.directory = section.required("directory");
+    if (const auto listed = section.strings("challenges"); !listed.empty()) settings.challenges = listed;
     for (const std::string& each : settings.challenges) {
       if (each != "tls-alpn-01" && each != "http-01") {
         fail(*section.find("challenges"), "challenges", "holds neither tls-alpn-01 nor http-01: " + each);
@@ -232,12 +233,13 @@
                             settings.challenges.end();
     if (wants_http && !settings.http01)
       fail(*section.find("challenges"), "challenges", "has http-01, which needs \"http01\"");
-    settings.settle = std::chrono::milliseconds(section.number("settle_ms", 0, 0, 60000));
+    settings.publish_delay = std::chrono::milliseconds(section.number("settle_ms", 0, 0, 60000));
     settings.lease = Seconds(section.number("lease_s", settings.lease.count(), 5, 3600));
-    settings.poll = std::chrono::milliseconds(section.number("poll_ms", settings.poll.count(), 1, 60000));
-    settings.patience = Seconds(section.number("patience_s", settings.patience.count(), 1, 3600));
-    settings.order_patience =
-        Seconds(section.number("order_patience_s", settings.order_patience.count(), 1, 7 * 86400));
+    settings.poll_interval =
+        std::chrono::milliseconds(section.number("poll_ms", settings.poll_interval.count(), 1, 60000));
+    settings.step_timeout = Seconds(section.number("patience_s", settings.step_timeout.count(), 1, 3600));
+    settings.order_timeout =
+        Seconds(section.number("order_patience_s", settings.order_timeout.count(), 1, 7 * 86400));
     if (const auto* const renewal = section.table("renewal")) settings.policy = policy(*renewal);
     for (const auto& each : section.tables("authority")) {
       settings.authorities.push_back(authority(*each.as_table()));
--- a/src/acme/settings.hpp
+++ b/src/acme/settings.hpp
@@ -33,11 +33,12 @@
   std::string directory{};  // of the state, shared by the instances of an installation
   std::vector<std::string> challenges{"tls-alpn-01"};  // in order of preference
   std::optional<sockaddr_in> http01{};                 // where http-01 is answered
-  std::chrono::milliseconds settle{0};  // between putting an answer up and asking the authority to look
+  std::chrono::milliseconds publish_delay{
+      0};  // between putting an answer up and asking the authority to look
   Seconds lease{120};
-  std::chrono::milliseconds poll{2000};             // between two looks at an order, unless told otherwise
-  Seconds patience{120};                            // with each step of an order within one attempt
-  Seconds order_patience = std::chrono::hours(24);  // with an order that stays in processing
+  std::chrono::milliseconds poll_interval{2000};   // between two looks at an order, unless told otherwise
+  Seconds step_timeout{120};                       // with each step of an order within one attempt
+  Seconds order_timeout = std::chrono::hours(24);  // with an order that stays in processing
   Policy policy{};
   std::vector<AuthoritySettings> authorities{};  // in order of preference
   std::vector<CertificateSettings> certificates{};
--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -30,7 +30,7 @@
  public:
   Hand(const std::string& file, const std::optional<std::string>& fleet_file, Logger& log) {
     acme::Settings settings = Certificates::read(file);
-    settings.settle = std::max(settings.settle, kSettle);
+    settings.publish_delay = std::max(settings.publish_delay, kSettle);
     acme::SharedState kept;
     if (fleet_file) {
       const fleet::FleetSettings fleet = fleet::parse_fleet(read_file(*fleet_file));
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -310,7 +310,7 @@
 TEST_P(EachFault, IsSurvivedAndTheOldCertificateServesMeanwhile) {
   Authority& there = authority();
   settings.authorities[0].access.http_timeout = milliseconds(2000);
-  settings.order_patience = 3 * kHour;
+  settings.order_timeout = 3 * kHour;
   const auto keeper = this->keeper();
   ASSERT_EQ(keeper->renew_now("sip"), "") << said();
   const std::string old = handshake(registry->server(), "").certificate;
@@ -819,8 +819,8 @@
   settings.directory = arguments[0];
   settings.challenges = {"http-01"};
   settings.http01 = parse_address(arguments[3]);
-  settings.patience = Seconds(60);
-  settings.poll = milliseconds(2);
+  settings.step_timeout = Seconds(60);
+  settings.poll_interval = milliseconds(2);
   settings.lease = Seconds(30);
   settings.authorities.resize(1);
   settings.authorities[0].access.directory = arguments[1];
--- a/tests/installation.hpp
+++ b/tests/installation.hpp
@@ -43,7 +43,7 @@
     settings.directory = folder.file("certs");
     settings.http01 = free_address();
     settings.challenges = {"http-01"};
-    settings.patience = Seconds(600);
+    settings.step_timeout = Seconds(600);
     settings.authorities.resize(1);
     settings.certificates = {{"sip", {"sip.lab.example"}, "ecdsa-p256"}};
   }
