--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -340,7 +340,7 @@
 
 // ---- By hand
 
-std::string CertificateRenewer::with_lease(const std::function<void()>& work) {
+std::string CertificateRenewer::with_lease(const std::function<void()>& action) {
   try {
     for (int tries = 0; !lease_->take(environment_.now()); ++tries) {
       const auto holder = lease_->holder(environment_.now());
@@ -350,7 +350,7 @@
     }
     std::string failure;
     try {
-      run_pass();
+      action();
     } catch (const Stopped&) {
       failure = "stopped";
     } catch (const TurnLost&) {
--- a/src/acme/certificate_renewer.hpp
+++ b/src/acme/certificate_renewer.hpp
@@ -89,7 +89,7 @@
   void query_window(Managed& managed, Instant now);
 
   std::optional<Validity> usable_validity(const Managed& managed) const;
-  std::string with_lease(const std::function<void()>& work);
+  std::string with_lease(const std::function<void()>& action);
 
   Settings settings_;
   Logger& log_;
