--- a/src/acme/flow.cpp
+++ b/src/acme/flow.cpp
@@ -47,9 +47,9 @@
 std::optional<std::size_t> find_placed_order(const OrderRecord& record,
                                              const std::vector<OrderView>& orders) {
   const auto names = sorted(record.names);
-  for (std::size_t i = orders.size(); i-- > 0;) {  // the last one is the newest
+  for (std::size_t i = orders.size(); i-- > 0;) {  // the newest is last
     const OrderView& each = orders[i];
-    // One that went further than `ready` was finalized with another key: ours was never sent.
+    // An order beyond `ready` was finalized with another key, because this order never got that far.
     const bool open = each.status == OrderStatus::pending || each.status == OrderStatus::ready;
     if (open && sorted(each.names) == names) return i;
   }
--- a/src/acme/flow.hpp
+++ b/src/acme/flow.hpp
@@ -1,4 +1,5 @@
-// The next step of an order, from what is on disk and what the authority shows of it. No I/O.
+// The order state machine: the next step, from the stored record and the authority's view of the order. No
+// I/O.
 #pragma once
 
 #include <optional>
@@ -9,24 +10,25 @@
 
 namespace quartzarch::acme {
 
-// An order as it is kept: enough to take it up again after a crash at any step.
+// An order as stored: enough to resume it after a crash at any step.
 struct OrderRecord {
   std::size_t authority = 0;
-  std::string directory{};  // of that authority: a changed configuration is noticed by it
+  std::string directory{};  // URL of that authority, which reveals that the configuration has changed
   std::vector<std::string> names{};
   std::string key_type{};
   std::string key_file{};
-  std::string replaces{};  // the certificate that it is to follow (RFC 9773, 5); may be empty
-  std::string url{};       // empty: newOrder has not been answered, or its answer was lost
-  bool finalized = false;  // finalize may have been taken
-  int fetches = 0;         // of a chain that was not used
+  std::string replaces{};  // ID of the certificate that it replaces (RFC 9773, 5); may be empty
+  std::string url{};       // empty: newOrder has not been answered, or the response was lost
+  bool finalized = false;  // finalize was sent and may have been accepted
+  int fetches = 0;         // downloads of the chain that was then found unusable
   Instant created_at{};
 };
 
 enum class OrderStatus { pending, ready, processing, valid, invalid };
+// Parses the status of RFC 8555, 7.1.6; nothing for any other text.
 std::optional<OrderStatus> order_status(std::string_view text);
 
-// What the authority shows of an order (RFC 8555, 7.1.3).
+// The order object of the authority (RFC 8555, 7.1.3).
 struct OrderView {
   OrderStatus status = OrderStatus::pending;
   std::vector<std::string> names{};
@@ -35,23 +37,25 @@
   std::optional<Instant> expires{};
 };
 
+// What to do next with an order.
 enum class OrderStep {
-  authorize,  // answer the authorizations that are not valid
+  authorize,  // complete the authorizations that are not valid yet
   finalize,
-  poll,     // the authority is at work
-  fetch,    // the certificate is there
-  abandon,  // nothing will come of it: a new order is needed
+  poll,     // wait and fetch the order again: the authority is processing it
+  fetch,    // download the certificate
+  abandon,  // the order cannot succeed: a new one is needed
 };
 
-// Whether the record still is for what is names.
+// Whether the stored order matches the current configuration.
 bool matches_request(const OrderRecord& record, const std::vector<std::string>& names,
                      const std::string& key_type, const std::vector<std::string>& directories);
 
-// The step after a look at the order. One in processing for over `timeout` since it was created_at is given
-// up.
+// The next step for an order just fetched. One that is still processing `timeout` after its creation is
+// abandoned.
 OrderStep next_step(const OrderRecord& record, const OrderView& view, Instant now, Seconds timeout);
 
-// Which of the account's orders the lost answer was about: one that can still be finished, for these names.
+// Finds the order whose newOrder response was lost: the newest of the account's orders that is for the same
+// names and can still be finalized. Returns its index.
 std::optional<std::size_t> find_placed_order(const OrderRecord& record, const std::vector<OrderView>& orders);
 
 }  // namespace quartzarch::acme
--- a/src/acme/records.hpp
+++ b/src/acme/records.hpp
@@ -1,4 +1,5 @@
-// The records that survive a restart, and their JSON. No I/O.
+// The records that survive a restart, and their JSON form. No I/O. The parse functions return nothing for
+// text that is not a JSON object; missing or wrong members get their defaults.
 #pragma once
 
 #include <optional>
@@ -11,10 +12,10 @@
 
 namespace quartzarch::acme {
 
-// Of one certificate.
+// The renewal schedule of one certificate.
 struct ScheduleRecord {
   RenewalState state{};
-  std::uint64_t seed = 0;  // even
+  std::uint64_t seed = 0;  // even: stored without its lowest bit, to fit a signed JSON number
   std::string last_failure{};
 };
 std::string to_text(const ScheduleRecord& schedule);
@@ -23,17 +24,17 @@
 std::string to_text(const OrderRecord& record);
 std::optional<OrderRecord> parse_order(const std::string& text);
 
-// Of one authority; the key is kept beside it.
+// The account at one authority; its key is stored in a file of its own.
 struct AccountRecord {
   std::string directory{};
   std::string url{};
   std::vector<std::string> contact{};
-  std::vector<Instant> orders{};  // placed lately
+  std::vector<Instant> orders{};  // times of recent orders, for the rate limit
 };
 std::string to_text(const AccountRecord& record);
 std::optional<AccountRecord> parse_account(const std::string& text);
 
-// A challenge whose answer every instance gives.
+// A published challenge, which every instance answers until it expires.
 struct ChallengeRecord {
   std::string name{}, type{}, token{}, authorization{};
   Instant until{};
--- a/src/acme/renewal.cpp
+++ b/src/acme/renewal.cpp
@@ -9,13 +9,13 @@
 constexpr Seconds kDefaultWindowInterval = std::chrono::hours(6);
 constexpr Seconds kMinWindowInterval = std::chrono::hours(1);
 constexpr Seconds kMaxWindowInterval = std::chrono::hours(24);
-constexpr unsigned kPrimaryEvery = 4;  // of the attempts while others take their turn
+constexpr unsigned kPrimaryEvery = 4;  // every 4th attempt goes to the first authority during the fallback
 
 Seconds share(Seconds of, double part) {
   return Seconds(static_cast<std::int64_t>(std::floor(static_cast<double>(of.count()) * part)));
 }
 
-// SplitMix64's finalizer: neighbouring inputs give unrelated outputs.
+// The SplitMix64 finalizer: neighbouring inputs give unrelated outputs.
 std::uint64_t mix(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -54,18 +54,18 @@
     case Failure::rejected:
       return "rejected";
     case Failure::unusable:
-      return "unsound certificate";
+      return "unusable certificate";
     case Failure::local:
       break;
   }
-  return "local fault";
+  return "local error";
 }
 
 // ---- Budget
 
 Instant Budget::free_at(Instant now) const {
   if (spent(now) < most_) return now;
-  // The window is free once the most_-th event from the end has left it.
+  // The next event is allowed once the most_-th latest event has left the window.
   std::vector<Instant> times = events_;
   for (Instant& at : times) at = std::min(at, now);
   std::sort(times.begin(), times.end());
@@ -113,7 +113,7 @@
 Instant RenewalSchedule::due_at(const Validity& held) const {
   const Instant latest = held.ends - share(held.lifetime(), policy_.renew_share);
   if (state_.window) {
-    // A random point inside the window (RFC 9773, 4.2). One that ends too near the end is not waited for.
+    // A random point inside the window (RFC 9773, 4.2), but not later than when only `late_share` remains.
     const Window& window = *state_.window;
     const Instant last = held.ends - share(held.lifetime(), policy_.late_share);
     const Instant point =
@@ -128,8 +128,9 @@
   return until && *until > now && *until - now <= policy_.longest_retry_after;
 }
 
-// The first authority until it has failed for long; then the others in turn, and the first every so often. An
-// open order is finished where it is, unless that place has failed for long.
+// The first authority, until attempts have failed for `fallback_after`; then the others in rotation, with
+// every kPrimaryEvery-th attempt at the first. An open order is finished at its authority unless attempts
+// have failed for that long.
 std::size_t RenewalSchedule::choose(Instant now, std::optional<std::size_t> open_at) const {
   const std::size_t count = state_.authorities.size();
   const bool long_failing =
@@ -165,13 +166,13 @@
                                  std::optional<std::size_t> open_at,
                                  const std::vector<Budget>& accounts) const {
   using Action = Decision::Action;
-  // An order that is open is finished, whatever the certificate at hand says: it has been counted already.
+  // An open order is finished even if no renewal is due: it already counts against the limits.
   if (held && now < held->ends && !open_at) {
     const Instant due = due_at(*held);
     if (now < due) return {Action::wait, due, 0, "not due"};
   }
   if (state_.next && *state_.next > now && *state_.next - now <= policy_.longest_retry_after) {
-    return {Action::wait, *state_.next, 0, "waiting after a failure"};
+    return {Action::wait, *state_.next, 0, "backing off after a failure"};
   }
   const std::size_t first = choose(now, open_at);
   Instant earliest = Instant::max();
@@ -181,10 +182,10 @@
     const Instant at = free_at(now, each, open_at == each, accounts);
     if (at <= now) return {Action::renew, now, each, "due"};
     earliest = std::min(earliest, at);
-    // Whom it is not the turn of yet is not gone to just because the first is full for a while.
+    // Before `fallback_after` has passed, a rate limit at the first authority is no reason to use another.
     if (!state_.failing_since || now - std::min(*state_.failing_since, now) < policy_.fallback_after) break;
   }
-  return {Action::wait, earliest, 0, "held back by a limit"};
+  return {Action::wait, earliest, 0, "held back by a rate limit"};
 }
 
 Seconds RenewalSchedule::backoff(Instant now, const std::optional<Validity>& held) const {
@@ -193,7 +194,7 @@
   cap = std::max(cap, policy_.first_wait);
   const unsigned doublings = std::min(state_.failures == 0 ? 0 : state_.failures - 1, 20u);
   const Seconds full = std::min(Seconds(policy_.first_wait.count() << doublings), cap);
-  // Half of it is certain, the other half random: instances that failed together do not come back together.
+  // Jitter over half of the wait, so that instances that failed together do not retry together.
   return share(full, 0.5 + 0.5 * random(bits(now) ^ state_.failures << 20));
 }
 
@@ -211,7 +212,7 @@
     budget.spend(now);
     entry.rejections = budget.events();
   }
-  if (why == Failure::unusable) {  // it was issued, and counts entry as a certificate of these names
+  if (why == Failure::unusable) {  // it was issued, so it counts against the limit for duplicates
     Budget budget(policy_.duplicates.most, policy_.duplicates.span);
     budget.restore(entry.issued);
     budget.spend(now);
