--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -14,10 +14,10 @@
 using std::chrono::milliseconds;
 
 constexpr Seconds kMaxSleep = std::chrono::hours(1);
-constexpr milliseconds kSyncInterval{500};  // how soon what another instance did is seen
+constexpr milliseconds kSyncInterval{500};  // delay until the changes of another instance are seen
 constexpr Seconds kAlarmRepeatInterval = std::chrono::hours(6);
 constexpr Seconds kRetryAfterError{60};
-constexpr int kMaxLeaseAttempts = 60;
+constexpr int kMaxLeaseAttempts = 60;  // one per second
 
 std::string date(Instant at) { return timestamp(at); }
 
@@ -47,7 +47,8 @@
   for (AuthoritySettings& authority : settings_.authorities) {
     if (!authority.access.external) continue;
     const auto key = from_base64url(read_secret(authority.eab_key_file).value_or(""));
-    if (!key || key->empty()) throw SettingsError(authority.eab_key_file + " holds no key in base64url");
+    if (!key || key->empty())
+      throw SettingsError(authority.eab_key_file + " does not contain a base64url key");
     authority.access.external->mac_key = *key;
   }
   for (const CertificateSettings& each : settings_.certificates) {
@@ -58,13 +59,12 @@
         std::make_unique<RenewalSchedule>(settings_.policy, managed.seed, settings_.authorities.size());
     managed_.push_back(std::move(managed));
   }
-  // Served from the first connection on, before the thread has begun.
+  // Loads the certificates before run() starts, so that the first connection is already served.
   for (Managed& managed : managed_) refresh(managed);
 }
 
 // ---- The pass
 
-// The certificate at hand, if it is what the settings want.
 std::optional<Validity> CertificateRenewer::usable_validity(const Managed& managed) const {
   if (!managed.leaf || !names_all(managed.leaf, managed.settings.names)) return std::nullopt;
   return managed.held;
@@ -94,7 +94,7 @@
           next = std::min(next, now + std::min(settings_.lease / 4 + Seconds(1), Seconds(30)));
           continue;
         }
-        // Another may have done it since.
+        // Another instance may have renewed it before this one got the lease.
         refresh(managed);
         if (query_due && managed.renewal->window_query_due(now)) query_window(managed, now);
         budgets = accounts_.budgets();
@@ -136,7 +136,7 @@
 void CertificateRenewer::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     const Instant next = run_pass();
-    // Counted besides, for a clock that is set back meanwhile.
+    // The iterations are counted too, so that a clock set back meanwhile does not prolong the wait.
     for (auto left = kMaxSleep / kSyncInterval; left > 0 && environment_.now() < next; --left) {
       if (!environment_.pause(kSyncInterval)) return;
       try {
@@ -168,12 +168,12 @@
         Certificate leaf = first_certificate(pem->view());
         const Validity validity = validity_of(leaf);
         if (!belongs_to(leaf, key_from_pem(pem->view())))
-          throw CryptoError("the key is not the certificate's");
+          throw CryptoError("the private key does not match the certificate");
         if (registry_) registry_->put(managed.settings.id, pem->view());
         managed.leaf = std::move(leaf);
         managed.held = validity;
       } catch (const std::runtime_error& error) {
-        // What is served goes on; the file is kept for whoever wants to know.
+        // The certificate loaded before stays in use; the bad file is kept aside for inspection.
         store_->put_aside(name, error.what());
         managed.current_stamp.clear();
       }
@@ -210,7 +210,7 @@
                                   : "; " + std::to_string(managed.renewal->state().failures) +
                                         " attempts failed, last: " + managed.last_failure;
   if (!managed.held) {
-    log_.line("%scertificate %s: expired: there is none yet%s", serious ? "ALARM " : "", id, because.c_str());
+    log_.line("%scertificate %s: expired: none issued yet%s", serious ? "ALARM " : "", id, because.c_str());
   } else if (alarm == Alarm::expired) {
     log_.line("ALARM certificate %s: expired since %s%s", id, date(managed.held->ends).c_str(),
               because.c_str());
@@ -260,8 +260,8 @@
                   to_text(ScheduleRecord{managed.renewal->state(), managed.seed, managed.last_failure}));
     managed.schedule_stamp = store_->stamp(name);
   } catch (const StateError& error) {
-    // It is in state, and holds while the process lives.
-    log_.line("certificates: the schedule could not be kept: %s", error.what());
+    // The schedule in memory applies until the process ends.
+    log_.line("certificates: cannot save the renewal schedule: %s", error.what());
   }
 }
 
@@ -294,7 +294,7 @@
   managed.renewal->failed(now, authority, why, retry, managed.held);
   managed.last_failure = what;
   const Instant next = managed.renewal->state().next.value_or(now);
-  log_.line("certificate %s: not renewed by %s (%s): %s; again in %s", managed.settings.id.c_str(),
+  log_.line("certificate %s: not renewed by %s (%s): %s; next attempt in %s", managed.settings.id.c_str(),
             settings_.authorities[authority].name.c_str(), name_of(why), what.c_str(),
             span_text(next - now).c_str());
   save_schedule(managed);
@@ -302,7 +302,7 @@
 }
 
 void CertificateRenewer::install(Managed& managed, const Issued& issued) {
-  steps_.step("swap");  // the turn is looked at here for the last time
+  steps_.step("swap");  // last check of the lease before the certificate is replaced
   const Secret pem(std::string(pem_of(issued.key).view()) + issued.chain);
   store_->write_pem(file(managed, ".current.pem"), pem);
   steps_.step("swapped");
@@ -328,24 +328,24 @@
     managed.renewal->set_window(now, info ? info->window : std::nullopt,
                                 info ? info->retry_after : std::nullopt);
     if (info && !info->explanation.empty()) {
-      log_.line("certificate %s: the authority's word on renewal: %s", managed.settings.id.c_str(),
+      log_.line("certificate %s: renewal notice of the authority: %s", managed.settings.id.c_str(),
                 info->explanation.c_str());
     }
   } catch (const std::runtime_error&) {
-    // It is of no consequence: without a window the share of the lifetime decides.
+    // Not an error: without a window the renewal is due by the remaining share of the lifetime.
     managed.renewal->set_window(now, std::nullopt, std::nullopt);
   }
   save_schedule(managed);
 }
 
-// ---- By hand
+// ---- Operator commands
 
 std::string CertificateRenewer::with_lease(const std::function<void()>& action) {
   try {
     for (int tries = 0; !lease_->take(environment_.now()); ++tries) {
       const auto holder = lease_->holder(environment_.now());
       if (tries >= kMaxLeaseAttempts || !environment_.pause(milliseconds(1000))) {
-        return "another instance is at work (" + (holder ? holder->name : std::string("unknown")) + ")";
+        return "another instance holds the lease (" + (holder ? holder->name : std::string("unknown")) + ")";
       }
     }
     std::string failure;
@@ -388,9 +388,9 @@
   return with_lease([&] {
     Managed& managed = find(id);
     refresh(managed);
-    if (!managed.leaf) throw SettingsError("there is no certificate to revoke");
+    if (!managed.leaf) throw SettingsError("no certificate to revoke");
     std::string failures;
-    // Of whichever authority issued it: the others do not know it.
+    // The issuing authority is not recorded, so each is tried; those that did not issue it refuse.
     for (std::size_t i = 0; i < settings_.authorities.size(); ++i) {
       try {
         accounts_.open(i)->client->revoke(managed.leaf, reason);
@@ -414,9 +414,9 @@
 
 std::string CertificateRenewer::change_contact(std::size_t authority) {
   return with_lease([&] {
-    const auto session = accounts_.open(authority);  // changes it if the settings have another
+    const auto session = accounts_.open(authority);  // updates the contact if the settings differ
     if (session->account.contact != settings_.authorities[authority].access.contact) {
-      throw SettingsError("the contact was not changed");
+      throw SettingsError("the authority did not change the contact");
     }
   });
 }
--- a/src/acme/certificate_renewer.hpp
+++ b/src/acme/certificate_renewer.hpp
@@ -1,8 +1,9 @@
-// Keeps the certificates of an installation: obtains, renews and swaps them, and says in time when it cannot.
+// Obtains, renews and installs the certificates of an installation, and logs an alarm before one expires.
 //
-// One pass, run_pass(), does what is due; nothing but a pass reads or changes the state. What a pass decides
-// is RenewalSchedule's and flow's; here is only what they decide about. A thread of the serving process calls
-// it (run), the command line for one pass, tests with a clock of their own.
+// One pass, run_pass(), does everything that is due. Certificates, orders and schedules are written
+// only by passes and operator commands that hold the lease. The decisions are taken by RenewalSchedule (renewal.hpp) and by the
+// order steps of flow.hpp; this class carries them out. The serving process calls run() on a thread of its
+// own, the command line runs single operations, and tests drive passes with their own clock.
 #pragma once
 
 #include <memory>
@@ -14,7 +15,7 @@
 
 namespace quartzarch::acme {
 
-// How a certificate stands, for people and monitoring.
+// The state of one certificate as shown to operators and monitoring.
 struct CertificateStatus {
   std::string id{};
   std::vector<std::string> names{};
@@ -27,18 +28,21 @@
   bool order_open = false;
 };
 
-// Where a keeper's state is, and whose turn it is. The turn is ended before the store.
+// The store that the instances share and the lease that allows one of them to change it. `lease` is declared
+// last because it must be destroyed before the store.
 struct SharedState {
   std::unique_ptr<Store> store{};
   std::unique_ptr<Turn> lease{};
 };
-// In the settings' directory, by a lease in it. Throws StateError if it cannot be trusted.
+// Opens the state directory of the settings with a file lease in it. Throws StateError if the directory's
+// owner or mode is unsafe.
 SharedState open_state_on_disk(const Settings& settings, Logger& log);
 
 class CertificateRenewer {
  public:
-  // `registry`: whom to give certificates and challenge answers; may be null (the command line). Throws
-  // StateError if what is kept cannot be read, SettingsError if a file that the settings name cannot be used.
+  // `registry` receives certificates and tls-alpn-01 challenge certificates; null on the command line, which
+  // serves no TLS. Throws StateError if stored state cannot be read, SettingsError if a file named in the
+  // settings cannot be used.
   CertificateRenewer(Settings settings, Logger& log, std::shared_ptr<tls::Registry> registry,
                      Environment environment, SharedState shared);
   CertificateRenewer(Settings settings, Logger& log, std::shared_ptr<tls::Registry> registry,
@@ -46,15 +50,17 @@
       : CertificateRenewer(settings, log, std::move(registry), std::move(environment),
                            open_state_on_disk(settings, log)) {}
 
-  // Does what is due; when to be called repeat at the latest. Never throws.
+  // Does everything that is due and returns the latest time for the next pass. Never throws.
   Instant run_pass();
-  // run_pass() repeat and repeat until it is logged_alarm to stop.
+  // Runs passes until `stop` is requested, and sync() every half second between them.
   void run(const std::stop_token& stop);
 
   std::vector<CertificateStatus> statuses();
-  // What may change without a pass: certificates that another instance renewed, challenges that it put up.
+  // Loads what other instances have changed since: renewed certificates and published challenges. Logs
+  // alarms.
   void sync();
-  // Renews now, due or not; what went wrong, or empty.
+  // Renews now, whether due or not. Like the operations below, returns an error message, or an empty string
+  // on success.
   std::string renew_now(const std::string& id);
   std::string revoke(const std::string& id, int reason);
   std::string roll_over(std::size_t authority);
@@ -68,27 +74,35 @@
     std::unique_ptr<RenewalSchedule> renewal{};
     std::uint64_t seed = 0;
     std::string last_failure{};
-    std::string current_stamp{}, schedule_stamp{};
-    Certificate leaf{};  // null: none yet
-    std::optional<Validity> held{};
+    std::string current_stamp{}, schedule_stamp{};  // of the files last read, to detect changes
+    Certificate leaf{};                             // the certificate in use; null: none yet
+    std::optional<Validity> held{};                 // validity of `leaf`
     std::optional<Alarm> logged_alarm{};
     Instant alarm_logged_at{};
   };
   std::string file(const Managed& managed, const char* suffix) const { return managed.settings.id + suffix; }
 
+  // Reloads the certificate and its schedule if their files have changed.
   void refresh(Managed& managed);
+  // Logs the alarm level when it changes; `late` and worse again every six hours.
   void log_alarm(Managed& managed, Instant now);
   Managed& find(const std::string& id);
 
   void save_schedule(Managed& managed);
-  // One attempt at one authority, its outcome taken down in the schedule; what went wrong, or empty.
+  // Makes one attempt at one authority and records its outcome in the schedule. Returns an error message, or
+  // an empty string on success.
   std::string attempt(Managed& managed, std::size_t authority);
+  // Replaces the certificate in use by the issued one.
   void install(Managed& managed, const Issued& issued);
-  // The order's certificate is the one in use now.
+  // Records the success in the schedule and removes the order, once its certificate is in use.
   void record_in_use(Managed& managed, const OrderRecord& record);
+  // Asks the first authority for its suggested renewal window (ARI, RFC 9773).
   void query_window(Managed& managed, Instant now);
 
+  // The validity of the certificate in use if it covers the configured names.
   std::optional<Validity> usable_validity(const Managed& managed) const;
+  // Runs `action` holding the lease, for which it waits up to a minute. Returns an error message or an empty
+  // string.
   std::string with_lease(const std::function<void()>& action);
 
   Settings settings_;
--- a/src/acme/challenges.cpp
+++ b/src/acme/challenges.cpp
@@ -54,7 +54,7 @@
     if (!challenge) continue;
     published_[each] = {stamp, challenge->name, challenge->type};
     if (challenge->until < now) {
-      // Left by one that died; not ours to remove, it may be.
+      // Left behind by an instance that crashed. Without the lease it cannot be removed here.
       try {
         store_.remove(each);
       } catch (const TurnLost&) {
@@ -71,7 +71,7 @@
         if (!responder_) responder_ = std::make_unique<Responder>(*settings_.http01);
         responder_->serve(challenge->token, challenge->authorization);
       } catch (const std::system_error& error) {
-        // Another instance on this machine may have the port, and answers too.
+        // Another instance on this machine may hold the port; it answers all published challenges as well.
         if (!std::exchange(responder_error_logged_, true))
           log_.line("certificates: http-01: %s", error.what());
       }
--- a/src/acme/issuing.cpp
+++ b/src/acme/issuing.cpp
@@ -12,7 +12,7 @@
 
 constexpr Seconds kMaxPollInterval{60};
 constexpr std::size_t kMaxOrdersChecked = 20;
-constexpr int kMaxChainFetches = 2;  // of a chain that came cut short
+constexpr int kMaxChainFetches = 2;  // a chain may arrive truncated
 
 bool is_fatal_for_order(const AcmeError& error) {
   for (const char* const each : {"badCSR", "badPublicKey", "unauthorized", "malformed"}) {
@@ -29,7 +29,7 @@
   const auto text = store_.read(record_of(id));
   if (!text) return std::nullopt;
   auto record = parse_order(*text);
-  if (!record) store_.put_aside(record_of(id), "no order");
+  if (!record) store_.put_aside(record_of(id), "not an order record");
   return record;
 }
 
@@ -42,7 +42,6 @@
   if (!record.key_file.empty()) store_.remove(record.key_file);
 }
 
-// Keys that a crash left behind after their order had gone.
 void Issuing::remove_orphaned_keys(const std::string& id, const std::optional<OrderRecord>& record) {
   for (const std::string& each : store_.list(id + ".key-", ".pem")) {
     if (!record || each != record->key_file) store_.remove(each);
@@ -55,7 +54,8 @@
   for (const auto& each : settings_.authorities) directories.push_back(each.access.directory);
   auto record = load(request.certificate.id);
   if (record && request.leaf && !record->key_file.empty()) {
-    // It died between the swap and the tidying up: the certificate in use has the order's key.
+    // If the certificate in use has the order's key, the process ended after installing the certificate and
+    // before removing the order.
     const auto pem = store_.read_pem(record->key_file);
     if (pem && pem->view().find("PRIVATE KEY") != std::string_view::npos &&
         belongs_to(request.leaf, key_from_pem(pem->view()))) {
@@ -100,14 +100,14 @@
     switch (next_step(*record, reply.view, steps_.now(), settings_.order_timeout)) {
       case OrderStep::authorize:
         if (std::exchange(authorized, true)) {
-          poll("the order stays pending though every authorization is valid");
+          poll("the order stays pending although every authorization is valid");
           break;
         }
         try {
           for (const std::string& url : reply.view.authorizations)
             complete_authorization(request, *session, url);
         } catch (const AcmeError& error) {
-          if (error.why == Failure::rejected) drop(request.certificate.id, *record);  // it is invalid with it
+          if (error.why == Failure::rejected) drop(request.certificate.id, *record);  // invalidates the order
           throw;
         }
         reply = client.order(record->url);
@@ -126,22 +126,20 @@
         steps_.step("finalized");
         break;
       case OrderStep::poll:
-        poll("the order is still in processing");
+        poll("the order is still processing");
         break;
       case OrderStep::fetch:
         return fetch(request, *record, *session, std::move(key), reply.view);
       case OrderStep::abandon:
         drop(request.certificate.id, *record);
-        // What was left of an earlier attempt has come to nothing meanwhile: this one has not begun yet.
+        // The order of an earlier attempt has failed meanwhile; this attempt starts over with a new one.
         if (resumed && !authorized && !record->finalized) return issue(request, authority);
-        throw AcmeError(
-            reply.error ? reply.error->failure() : Failure::rejected,
-            "the order came to nothing" + (reply.error ? ": " + reply.error->plain() : std::string()));
+        throw AcmeError(reply.error ? reply.error->failure() : Failure::rejected,
+                        "the order failed" + (reply.error ? ": " + reply.error->plain() : std::string()));
     }
   }
 }
 
-// A new key for each order. The record that names its file is on disk before it.
 Key Issuing::load_or_create_key(const IssueRequest& request, OrderRecord& record) {
   if (const auto pem = store_.read_pem(record.key_file)) {
     try {
@@ -152,7 +150,7 @@
   }
   if (record.finalized) {
     drop(request.certificate.id, record);
-    throw AcmeError(Failure::local, "the key of the open order is gone; a new order is needed");
+    throw AcmeError(Failure::local, "the key of the finalized order is missing; a new order is needed");
   }
   Key key = new_key(record.key_type);
   steps_.step("key");
@@ -173,7 +171,7 @@
     }
   }
   if (resumed) {
-    // The request may have been taken and its answer lost.
+    // The newOrder request may have been accepted and its response lost.
     client.open_account(true);
     std::vector<std::string> urls = client.orders();
     if (urls.size() > kMaxOrdersChecked) urls.erase(urls.begin(), urls.end() - kMaxOrdersChecked);
@@ -191,7 +189,7 @@
   }
   const Instant now = steps_.now();
   if (const Instant free = session.account.orders.free_at(now); free > now) {
-    throw AcmeError(Failure::local, "the account has placed as many orders as it may for now", free - now);
+    throw AcmeError(Failure::local, "the rate limit for new orders of the account is reached", free - now);
   }
   session.account.orders.spend(now);
   accounts_.save(record.authority, session.account);
@@ -215,9 +213,9 @@
     return AcmeError(Failure::rejected,
                      "the authorization of " + authorization.name + " is " + authorization.status + why);
   };
-  if (authorization.status == "valid") return;  // of an earlier order
+  if (authorization.status == "valid") return;  // reused from an earlier order
   if (authorization.status != "pending") throw rejected();
-  // After failures the other type_count are tried in turn.
+  // Each failure moves on to the next configured challenge type.
   const Challenge* chosen = nullptr;
   const std::size_t type_count = settings_.challenges.size();
   for (std::size_t i = 0; i < type_count && !chosen; ++i) {
@@ -226,7 +224,8 @@
       if (each.type == type) chosen = &each;
     }
   }
-  if (!chosen) throw AcmeError(Failure::refused, "the authority offers no challenge that is allowed here");
+  if (!chosen)
+    throw AcmeError(Failure::refused, "the authority offers no challenge type that the settings allow");
   struct WithdrawOnExit {
     Issuing& issuing;
     const std::string& name;
@@ -236,7 +235,7 @@
       } catch (const StateError& error) {
         issuing.log_.line("certificates: %s", error.what());
       } catch (const TurnLost&) {
-        // Whoever has the turn now finds it, and its time is limited.
+        // The instance that holds the lease now finds the challenge, which also expires.
       }
     }
   };
@@ -255,7 +254,8 @@
     if (authorization.status != "pending") throw rejected();
     waited += settings_.poll_interval;
     if (waited > settings_.step_timeout) {
-      throw AcmeError(Failure::unreachable, "the authority does not decide on the challenge for " + name);
+      throw AcmeError(Failure::unreachable,
+                      "the authority did not validate the challenge in time for " + name);
     }
     steps_.wait(settings_.poll_interval);
   }
@@ -268,13 +268,13 @@
   steps_.step("fetched");
   const std::string defect = unsound(chain, key, record.names, steps_.now(), request.held);
   if (!defect.empty()) {
-    // It may have come cut short on the way; if not, the order is of no use.
+    // The chain may have been truncated in transit; if it is unusable again, the order is abandoned.
     if (++record.fetches >= kMaxChainFetches) {
       drop(request.certificate.id, record);
     } else {
       save(request.certificate.id, record);
     }
-    throw AcmeError(Failure::unusable, "the certificate is not used: " + defect);
+    throw AcmeError(Failure::unusable, "the issued certificate is unusable: " + defect);
   }
   return {record, std::move(key), chain};
 }
--- a/src/acme/issuing.hpp
+++ b/src/acme/issuing.hpp
@@ -1,5 +1,5 @@
-// One certificate from one authority: the order, its challenges, the chain. What is on its way is in the
-// store at every step, and is taken up again after a crash, or by another instance.
+// Obtains one certificate from one authority: order, challenges, finalization, chain. The progress is stored
+// at every step, so that the order is resumed after a crash or by another instance.
 #pragma once
 
 #include <optional>
@@ -11,18 +11,18 @@
 
 namespace quartzarch::acme {
 
-// What is asked for.
+// The certificate to obtain and the one that it replaces.
 struct IssueRequest {
   const CertificateSettings& certificate;
-  const Certificate& leaf;         // the one in use; null: none
-  std::optional<Validity> held{};  // of the one in use, if it is for the same names
-  unsigned failures = 0;  // in a row: other type_count to complete_authorization a name are tried in turn
+  const Certificate& leaf;         // the certificate in use; null: none
+  std::optional<Validity> held{};  // its validity, if it covers the same names
+  unsigned failures = 0;           // consecutive; each failure moves on to the next challenge type
 };
 
 struct Issued {
-  OrderRecord record{};  // to be dropped once the certificate is in use
+  OrderRecord record{};  // to be removed with drop() once the certificate is in use
   Key key{};
-  std::string chain{};  // empty: the certificate in use is this order's already
+  std::string chain{};  // empty: the certificate in use already is the one of this order
 };
 
 class Issuing {
@@ -36,21 +36,27 @@
         accounts_(accounts),
         challenges_(challenges) {}
 
-  // Throws AcmeError, HttpError, CryptoError, StateError; Stopped and TurnLost.
+  // Starts or resumes the order of a certificate and carries it through. Throws AcmeError, HttpError,
+  // CryptoError, StateError, Stopped and TurnLost.
   Issued issue(const IssueRequest& request, std::size_t authority);
-  // The open order of a certificate.
+  // The stored open order of a certificate, if there is one.
   std::optional<OrderRecord> load(const std::string& id);
+  // Removes the stored order and its key.
   void drop(const std::string& id, const OrderRecord& record);
 
  private:
   void save(const std::string& id, const OrderRecord& record);
+  // Removes keys that a crash left behind after their order was removed.
   void remove_orphaned_keys(const std::string& id, const std::optional<OrderRecord>& record);
+  // Each order has a new key. The record that names the key file is stored before the key.
   Key load_or_create_key(const IssueRequest& request, OrderRecord& record);
-  // The order as the authority shows it: the one of the record, or one found again, or a new one.
+  // The authority's view of the order: the recorded one, one whose newOrder response was lost, or a new one.
   OrderReply find_or_create_order(const IssueRequest& request, OrderRecord& record, Session& session,
                                   bool resumed);
+  // Answers a challenge of the authorization and waits until it is valid.
   void complete_authorization(const IssueRequest& request, Session& session,
                               const std::string& authorization_url);
+  // Downloads the chain and checks it.
   Issued fetch(const IssueRequest& request, OrderRecord& record, Session& session, Key key,
                const OrderView& view);
 
--- a/src/acme/responder.cpp
+++ b/src/acme/responder.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view kPath = "GET /.well-known/acme-challenge/";
 constexpr std::size_t kMaxRequestBytes = 8 * 1024;
 constexpr int kStopPollMs = 50;
-constexpr int kReceiveTimeoutSeconds = 2;  // with a client that says nothing
+constexpr int kReceiveTimeoutSeconds = 2;  // limits how long a silent client blocks the server
 
 }  // namespace
 
--- a/src/acme/responder.hpp
+++ b/src/acme/responder.hpp
@@ -1,4 +1,4 @@
-// Answers the authority's http-01 requests while an order is under way.
+// A small HTTP server that answers the authority's http-01 validation requests (RFC 8555, 8.3).
 #pragma once
 
 #include <map>
@@ -12,10 +12,11 @@
 
 class Responder {
  public:
-  // Throws std::system_error if the address cannot be listened on.
+  // Starts listening. Throws std::system_error if the address cannot be used.
   explicit Responder(const sockaddr_in& listen);
 
   sockaddr_in address() const { return bound_address(listener_); }
+  // Adds the key authorization to serve for a token.
   void serve(const std::string& token, const std::string& authorization);
 
  private:
@@ -25,7 +26,7 @@
   Fd listener_;
   std::mutex mutex_;
   std::map<std::string, std::string> authorizations_;
-  std::jthread thread_;  // last: ends before what it uses
+  std::jthread thread_;  // declared last: stops before the members that it uses are destroyed
 };
 
 }  // namespace quartzarch::acme
--- a/src/acme/state.cpp
+++ b/src/acme/state.cpp
@@ -37,14 +37,15 @@
   return text;
 }
 
-// Ours alone: a key that others may read is no key, and what others may write is not what we wrote.
+// Requires that only this user has access: a key that others can read is compromised, and a file that others
+// can write may not be what this program wrote.
 void check_private(const struct stat& info, const std::string& path) {
   if (info.st_uid != ::geteuid()) {
     throw StateError(path + ": belongs to user " + std::to_string(info.st_uid) + ", not to " +
                      std::to_string(::geteuid()));
   }
   if ((info.st_mode & (S_IRWXG | S_IRWXO)) != 0) {
-    throw StateError(path + ": mode " + mode_text(info.st_mode) + " lets others in");
+    throw StateError(path + ": mode " + mode_text(info.st_mode) + " gives access to group or others");
   }
 }
 
@@ -92,7 +93,7 @@
   }
   struct stat info {};
   if (::stat(path_.c_str(), &info) != 0) throw StateError(errno_text(path_));
-  if (!S_ISDIR(info.st_mode)) throw StateError(path_ + ": is no directory");
+  if (!S_ISDIR(info.st_mode)) throw StateError(path_ + ": is not a directory");
   check_private(info, path_);
 }
 
@@ -105,7 +106,7 @@
   }
   struct stat info {};
   if (::fstat(fd.get(), &info) != 0) throw StateError(errno_text(path));
-  if (!S_ISREG(info.st_mode)) throw StateError(path + ": is no plain file");
+  if (!S_ISREG(info.st_mode)) throw StateError(path + ": is not a regular file");
   check_private(info, path);
   std::string text(std::min(static_cast<std::size_t>(info.st_size), kMaxFileBytes), '\0');
   std::size_t done = 0;
@@ -157,7 +158,7 @@
   const std::string path = path_of(name);
   for (int i = 1; i < 1000; ++i) {
     const std::string aside = path + ".aside-" + std::to_string(i);
-    // link() fails where something is: nothing that was put aside before is written over.
+    // link() fails if the name exists, so files put aside before are not overwritten.
     if (::link(path.c_str(), aside.c_str()) != 0) {
       if (errno == EEXIST) continue;
       throw StateError(errno_text(path));
@@ -200,7 +201,7 @@
   while (::flock(fd.get(), LOCK_EX) != 0) {
     if (errno != EINTR) throw StateError(errno_text(path));
   }
-  return fd;  // unlocked when it is closed
+  return fd;
 }
 
 std::optional<FileLease::Holder> FileLease::read() const {
@@ -212,7 +213,7 @@
   return Holder{text_in(root, "holder"), Instant(Seconds(number_in(root, "until", 0)))};
 }
 
-// One that reaches further than any lease can was written under another clock.
+// A lease that ends later than any current lease can was written under another clock, so it does not count.
 bool FileLease::in_force(const Holder& held, Instant now) const {
   return held.until > now && held.until - now <= 2 * duration_;
 }
@@ -234,7 +235,8 @@
   const Fd lock = lock_file();
   const auto held = read();
   if (!held || held->name != holder_ || !in_force(*held, now)) return false;
-  // Written rarely: it is kept up at every step of an order.
+  // keep() is called at every step of an order, so the file is rewritten only after a quarter of the
+  // duration.
   if (held->until - now < duration_ * 3 / 4) write(now + duration_);
   return true;
 }
--- a/src/acme/state.hpp
+++ b/src/acme/state.hpp
@@ -1,9 +1,9 @@
-// The directory in which certificates, keys and open orders survive a crash, and the lease by which one of
-// several instances changes it.
+// The directory that stores certificates, keys and open orders across crashes, and the lease that lets one of
+// several instances at a time change it.
 //
-// A file is replaced as a intact (written directory, synced, renamed, the directory synced) or not at all.
-// Every file is the owner's alone. A record carries a digest of itself: one that is torn, or that something
-// else wrote, is put aside under another name, never overwritten.
+// A file is replaced atomically: a temporary file is written, synced and renamed, and the directory is
+// synced. Files are accessible to their owner only. A record carries a digest of its text: one that is torn
+// or was written by another program is renamed to NAME.aside-N, never overwritten.
 #pragma once
 
 #include <functional>
@@ -13,17 +13,17 @@
 
 namespace quartzarch::acme {
 
-// A file that is the owner's alone, in a directory that is too; without the white space at its end. Nothing
-// if there is none. Throws StateError.
+// Reads a secret without its trailing white space; nothing if the file does not exist. The file and its
+// directory must be accessible to their owner only. Throws StateError.
 std::optional<std::string> read_secret(const std::string& path);
 
-// Readers see the old text or the new one. Throws StateError.
+// Replaces a file atomically: readers see the old text or the new one. Throws StateError.
 void replace_file(const std::string& path, std::string_view text);
 
 class StateDirectory : public Store {
  public:
-  // Makes the directory if it is not there. `on_set_aside` gets a line for each file put aside. Throws
-  // StateError if the directory is another user's, or others may write or read it.
+  // Creates the directory if it does not exist. `on_set_aside` gets a log line for each file put aside.
+  // Throws StateError if the directory belongs to another user or gives access to group or others.
   StateDirectory(std::string path, std::function<void(const std::string&)> on_set_aside);
 
   const std::string& path() const { return path_; }
@@ -36,10 +36,11 @@
   void remove(const std::string& name) override;
   void put_aside(const std::string& name, const std::string& why) override { set_aside(name, why); }
   std::vector<std::string> list(const std::string& prefix, const std::string& suffix) const override;
-  // For "": whenever what the directory holds may have changed.
+  // For "": the stamp of the directory, which changes when files are added, replaced or removed.
   std::string stamp(const std::string& name) const override;
 
  private:
+  // Reads a file after checking its owner and mode; nothing if it does not exist.
   std::optional<std::string> load(const std::string& name) const;
   void set_aside(const std::string& name, const std::string& why) const;
 
@@ -47,21 +48,22 @@
   std::function<void(const std::string&)> on_set_aside_;
 };
 
-// One holder at a time, until it gives the lease back or its expiry. It is changed under a short lock on a
-// file directory it, so two that find it expired cannot both take it.
+// A lease stored in a file: one holder at a time, until it gives the lease back or the lease expires. It is
+// changed under a lock on a second file, so two instances that find it expired cannot both take it.
 class FileLease : public Turn {
  public:
-  // `duration`: how long it holds unless it is kept up.
+  // `duration`: time to expiry unless the lease is renewed.
   FileLease(StateDirectory& directory, std::string holder, Seconds duration)
       : directory_(directory), holder_(std::move(holder)), duration_(duration) {}
 
   bool take(Instant now) override;
-  // Ours for longer from now on.
+  // Renews the lease. Returns false if this instance does not hold it any more.
   bool keep(Instant now) override;
   void give_back() override;
   std::optional<Holder> holder(Instant now) const override;
 
  private:
+  // Locks the lock file; closing the descriptor unlocks it.
   Fd lock_file() const;
   std::optional<Holder> read() const;
   bool in_force(const Holder& held, Instant now) const;
