--- a/src/acme/certificate_renewer.hpp
+++ b/src/acme/certificate_renewer.hpp
@@ -1,9 +1,10 @@
 // Obtains, renews and installs the certificates of an installation, and logs an alarm before one expires.
 //
 // One pass, run_pass(), does everything that is due. Certificates, orders and schedules are written
-// only by passes and operator commands that hold the lease. The decisions are taken by RenewalSchedule (renewal.hpp) and by the
-// order steps of flow.hpp; this class carries them out. The serving process calls run() on a thread of its
-// own, the command line runs single operations, and tests drive passes with their own clock.
+// only by passes and operator commands that hold the lease. The decisions are taken by RenewalSchedule
+// (renewal.hpp) and by the order steps of flow.hpp; this class carries them out. The serving process calls
+// run() on a thread of its own, the command line runs single operations, and tests drive passes with their
+// own clock.
 #pragma once
 
 #include <memory>
@@ -22,10 +23,10 @@
   Alarm alarm = Alarm::expired;
   std::optional<Validity> validity{};
   std::string issuer{}, fingerprint{};
-  std::optional<Instant> due{}, next{};
+  std::optional<Instant> due{}, next{};  // when the renewal is due; end of the backoff after a failure
   unsigned failures = 0;
   std::string last_failure{};
-  bool order_open = false;
+  bool order_open = false;  // an order is in progress
 };
 
 // The store that the instances share and the lease that allows one of them to change it. `lease` is declared
@@ -69,6 +70,7 @@
   const Settings& settings() const { return settings_; }
 
  private:
+  // A configured certificate with its schedule and the chain in use.
   struct Managed {
     CertificateSettings settings{};
     std::unique_ptr<RenewalSchedule> renewal{};
--- a/src/acme/issuing.hpp
+++ b/src/acme/issuing.hpp
@@ -19,6 +19,7 @@
   unsigned failures = 0;           // consecutive; each failure moves on to the next challenge type
 };
 
+// The outcome of an order.
 struct Issued {
   OrderRecord record{};  // to be removed with drop() once the certificate is in use
   Key key{};
--- a/src/acme/state.hpp
+++ b/src/acme/state.hpp
@@ -20,6 +20,7 @@
 // Replaces a file atomically: readers see the old text or the new one. Throws StateError.
 void replace_file(const std::string& path, std::string_view text);
 
+// The store of an installation without a fleet: one file per record, key or chain.
 class StateDirectory : public Store {
  public:
   // Creates the directory if it does not exist. `on_set_aside` gets a log line for each file put aside.
@@ -42,6 +43,7 @@
  private:
   // Reads a file after checking its owner and mode; nothing if it does not exist.
   std::optional<std::string> load(const std::string& name) const;
+  // Renames a file to NAME.aside-N and logs why.
   void set_aside(const std::string& name, const std::string& why) const;
 
   std::string path_;
