--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -8,7 +8,7 @@
 #include <queue>
 #include <thread>
 
-#include "acme/keeper.hpp"
+#include "acme/certificate_renewer.hpp"
 #include "authority/authority.hpp"
 #include "bench.hpp"
 #include "config.hpp"
@@ -19,11 +19,11 @@
 namespace {
 
 using namespace quartzarch;
-using acme::Advice;
 using acme::Budget;
+using acme::Decision;
 using acme::Failure;
 using acme::Instant;
-using acme::Renewal;
+using acme::RenewalSchedule;
 using acme::Seconds;
 using acme::Validity;
 using bench::Figures;
@@ -81,14 +81,14 @@
     standin::Authority authority(setup);
     acme::Settings settings;
     settings.directory = folder + "/certs";
-    settings.poll = milliseconds(50);
+    settings.poll_interval = milliseconds(50);
     settings.policy.duplicates.most = settings.policy.orders.most = 1000;
     settings.authorities.resize(1);
     settings.authorities[0].access.directory = authority.directory();
     settings.authorities[0].access.ca_file = folder + "/roots";
     std::ofstream(folder + "/roots") << authority.root();
     settings.certificates = {{"sip", {"sip.lab.example"}, "ecdsa-p256"}};
-    acme::Keeper keeper(settings, log, registry, acme::Environment::real({}));
+    acme::CertificateRenewer keeper(settings, log, registry, acme::Environment::real({}));
     if (const std::string failure = keeper.renew_now("sip"); !failure.empty()) {
       std::fprintf(stderr, "no certificate: %s\n", failure.c_str());
       std::exit(1);
@@ -189,7 +189,7 @@
   // The outage begins when most are due.
   ModelAuthority authority(instances, begin + 58 * kDay, 2 * kDay);
   struct Held {
-    Renewal renewal;
+    RenewalSchedule renewal;
     Validity validity;
     bool late = false, expired = false;
   };
@@ -200,7 +200,7 @@
   for (std::size_t i = 0; i < instances * each_has; ++i) {
     // All were set up within the same hour: the worst case for a schedule.
     const Instant made = begin + Seconds(static_cast<std::int64_t>(i * 3600 / (instances * each_has)));
-    fleet.push_back({Renewal({}, i * 7919 + 13, 1), {made, made + kLife}});
+    fleet.push_back({RenewalSchedule({}, i * 7919 + 13, 1), {made, made + kLife}});
     events.emplace(made, i);
   }
   Year year;
@@ -212,18 +212,18 @@
     const auto alarm = held.renewal.alarm(now, held.validity);
     held.late = held.late || alarm >= acme::Alarm::late;
     held.expired = held.expired || alarm == acme::Alarm::expired;
-    Advice advice;
+    Decision decision;
     if (naive) {
       const Instant due = held.validity.ends - kLife / 3;
       if (now < due) {
         events.emplace(due, index);
         continue;
       }
-      advice.action = Advice::Do::renew;
+      decision.action = Decision::Action::renew;
     } else {
-      advice = held.renewal.advise(now, held.validity, {}, accounts[account]);
-      if (advice.action == Advice::Do::wait) {
-        events.emplace(std::max(advice.at, now + Seconds(1)), index);
+      decision = held.renewal.decide(now, held.validity, {}, accounts[account]);
+      if (decision.action == Decision::Action::wait) {
+        events.emplace(std::max(decision.at, now + Seconds(1)), index);
         continue;
       }
     }
--- a/src/acme/keeper.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -1,4 +1,4 @@
-#include "acme/keeper.hpp"
+#include "acme/certificate_renewer.hpp"
 
 #include <unistd.h>
 
@@ -13,132 +13,134 @@
 
 using std::chrono::milliseconds;
 
-constexpr Seconds kLongestSleep = std::chrono::hours(1);
-constexpr milliseconds kLook{500};  // how soon what another instance did is seen
-constexpr Seconds kRepeatAlarm = std::chrono::hours(6);
-constexpr Seconds kAfterStateError{60};
-constexpr int kLeaseTries = 60;
+constexpr Seconds kMaxSleep = std::chrono::hours(1);
+constexpr milliseconds kSyncInterval{500};  // delay until the changes of another instance are seen
+constexpr Seconds kAlarmRepeatInterval = std::chrono::hours(6);
+constexpr Seconds kRetryAfterError{60};
+constexpr int kMaxLeaseAttempts = 60;  // one per second
 
 std::string date(Instant at) { return timestamp(at); }
 
 }  // namespace
 
-Kept kept_on_disk(const Settings& settings, Logger& log) {
+SharedState open_state_on_disk(const Settings& settings, Logger& log) {
   auto directory = std::make_unique<StateDirectory>(
       settings.directory, [&log](const std::string& line) { log.line("certificates: %s", line.c_str()); });
-  auto lease = std::make_unique<Lease>(
+  auto lease = std::make_unique<FileLease>(
       *directory, std::to_string(::getpid()) + "-" + std::to_string(random_bits()), settings.lease);
   return {std::move(directory), std::move(lease)};
 }
 
-Keeper::Keeper(Settings settings, Logger& log, std::shared_ptr<tls::Registry> registry,
-               Environment environment, Kept kept)
+CertificateRenewer::CertificateRenewer(Settings settings, Logger& log,
+                                       std::shared_ptr<tls::Registry> registry, Environment environment,
+                                       SharedState shared)
     : settings_(std::move(settings)),
       log_(log),
       registry_(std::move(registry)),
       environment_(std::move(environment)),
-      store_(std::move(kept.store)),
-      turn_(std::move(kept.turn)),
-      steps_(environment_, *turn_, settings_.lease / 4),
+      store_(std::move(shared.store)),
+      lease_(std::move(shared.lease)),
+      steps_(environment_, *lease_, settings_.lease / 4),
       accounts_(*store_, settings_, environment_, steps_),
       challenges_(*store_, settings_, log_, registry_),
       issuing_(*store_, settings_, log_, steps_, accounts_, challenges_) {
   for (AuthoritySettings& authority : settings_.authorities) {
     if (!authority.access.external) continue;
     const auto key = from_base64url(read_secret(authority.eab_key_file).value_or(""));
-    if (!key || key->empty()) throw SettingsError(authority.eab_key_file + " holds no key in base64url");
+    if (!key || key->empty())
+      throw SettingsError(authority.eab_key_file + " does not contain a base64url key");
     authority.access.external->mac_key = *key;
   }
   for (const CertificateSettings& each : settings_.certificates) {
     Managed managed;
     managed.settings = each;
     managed.seed = (environment_.seed ? *environment_.seed : random_bits()) & ~std::uint64_t{1};
-    managed.renewal = std::make_unique<Renewal>(settings_.policy, managed.seed, settings_.authorities.size());
+    managed.renewal =
+        std::make_unique<RenewalSchedule>(settings_.policy, managed.seed, settings_.authorities.size());
     managed_.push_back(std::move(managed));
   }
-  // Served from the first connection on, before the thread has begun.
+  // Loads the certificates before run() starts, so that the first connection is already served.
   for (Managed& managed : managed_) refresh(managed);
 }
 
 // ---- The pass
 
-// The certificate at hand, if it is what the settings want.
-std::optional<Validity> Keeper::wanted(const Managed& managed) const {
+std::optional<Validity> CertificateRenewer::usable_validity(const Managed& managed) const {
   if (!managed.leaf || !names_all(managed.leaf, managed.settings.names)) return std::nullopt;
   return managed.held;
 }
 
-Instant Keeper::work() {
+Instant CertificateRenewer::run_pass() {
   const Instant begun = environment_.now();
-  Instant next = begun + kLongestSleep;
-  bool ours = false;
+  Instant next = begun + kMaxSleep;
+  bool have_lease = false;
   try {
-    look();
+    sync();
     std::vector<Budget> budgets;
     for (Managed& managed : managed_) {
       Instant now = environment_.now();
-      const auto advise = [&] {
+      const auto decide = [&] {
         const auto record = issuing_.load(managed.settings.id);
-        return managed.renewal->advise(now, wanted(managed),
+        return managed.renewal->decide(now, usable_validity(managed),
                                        record ? std::optional(record->authority) : std::nullopt, budgets);
       };
       if (budgets.empty()) budgets = accounts_.budgets();
-      Advice advice = advise();
-      const bool asks = managed.held && managed.renewal->wants_window(now) &&
-                        managed.renewal->memory().failures == 0 && now < managed.held->ends;
-      if (advice.action == Advice::Do::renew || asks) {
-        if (!ours) ours = turn_->take(now);
-        if (!ours) {
+      Decision decision = decide();
+      const bool query_due = managed.held && managed.renewal->window_query_due(now) &&
+                             managed.renewal->state().failures == 0 && now < managed.held->ends;
+      if (decision.action == Decision::Action::renew || query_due) {
+        if (!have_lease) have_lease = lease_->take(now);
+        if (!have_lease) {
           next = std::min(next, now + std::min(settings_.lease / 4 + Seconds(1), Seconds(30)));
           continue;
         }
-        // Another may have done it since.
+        // Another instance may have renewed it before this one got the lease.
         refresh(managed);
-        if (asks && managed.renewal->wants_window(now)) ask_window(managed, now);
+        if (query_due && managed.renewal->window_query_due(now)) query_window(managed, now);
         budgets = accounts_.budgets();
-        advice = advise();
-        if (advice.action == Advice::Do::renew) {
-          attempt(managed, advice.authority);
+        decision = decide();
+        if (decision.action == Decision::Action::renew) {
+          attempt(managed, decision.authority);
           now = environment_.now();
           budgets = accounts_.budgets();
-          advice = advise();
+          decision = decide();
         }
-        tell_alarm(managed, now);
+        log_alarm(managed, now);
       }
-      next = std::min(next, advice.action == Advice::Do::renew ? now + Seconds(1) : advice.at);
-      if (managed.held && managed.renewal->memory().failures == 0) {
-        next = std::min(next, managed.renewal->memory().ask_window_at.value_or(now));
+      next = std::min(next, decision.action == Decision::Action::renew ? now + Seconds(1) : decision.at);
+      if (managed.held && managed.renewal->state().failures == 0) {
+        next = std::min(next, managed.renewal->state().ask_window_at.value_or(now));
       }
     }
   } catch (const StateError& error) {
     log_.line("certificates: %s", error.what());
-    next = begun + kAfterStateError;
+    next = begun + kRetryAfterError;
   } catch (const Stopped&) {
     next = begun;
   } catch (const TurnLost&) {
     log_.line("certificates: the lease went to another instance");
     next = begun + settings_.lease / 4;
-    ours = false;
+    have_lease = false;
   } catch (const std::exception& error) {
     log_.line("certificates: %s", error.what());
-    next = begun + kAfterStateError;
+    next = begun + kRetryAfterError;
   }
   try {
-    if (ours) turn_->give_back();
+    if (have_lease) lease_->give_back();
   } catch (const StateError& error) {
     log_.line("certificates: %s", error.what());
   }
   return std::max(next, environment_.now() + Seconds(1));
 }
 
-void Keeper::run(const std::stop_token& stop) {
+void CertificateRenewer::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
-    const Instant next = work();
-    // Counted besides, for a clock that is set back meanwhile.
-    for (auto left = kLongestSleep / kLook; left > 0 && environment_.now() < next; --left) {
-      if (!environment_.pause(kLook)) return;
+    const Instant next = run_pass();
+    // The iterations are counted too, so that a clock set back meanwhile does not prolong the wait.
+    for (auto left = kMaxSleep / kSyncInterval; left > 0 && environment_.now() < next; --left) {
+      if (!environment_.pause(kSyncInterval)) return;
       try {
-        look();
+        sync();
       } catch (const std::exception& error) {
         log_.line("certificates: %s", error.what());
         break;
@@ -147,17 +149,17 @@
   }
 }
 
-void Keeper::look() {
+void CertificateRenewer::sync() {
   store_->look();
-  challenges_.answer(environment_.now());
+  challenges_.sync(environment_.now());
   const Instant now = environment_.now();
   for (Managed& managed : managed_) {
     refresh(managed);
-    tell_alarm(managed, now);
+    log_alarm(managed, now);
   }
 }
 
-void Keeper::refresh(Managed& managed) {
+void CertificateRenewer::refresh(Managed& managed) {
   const std::string name = file(managed, ".current.pem");
   if (std::string stamp = store_->stamp(name); stamp != managed.current_stamp) {
     managed.current_stamp = std::move(stamp);
@@ -166,12 +168,12 @@
         Certificate leaf = first_certificate(pem->view());
         const Validity validity = validity_of(leaf);
         if (!belongs_to(leaf, key_from_pem(pem->view())))
-          throw CryptoError("the key is not the certificate's");
+          throw CryptoError("the private key does not match the certificate");
         if (registry_) registry_->put(managed.settings.id, pem->view());
         managed.leaf = std::move(leaf);
         managed.held = validity;
       } catch (const std::runtime_error& error) {
-        // What is served goes on; the file is kept for whoever wants to know.
+        // The certificate loaded before stays in use; the bad file is kept aside for inspection.
         store_->put_aside(name, error.what());
         managed.current_stamp.clear();
       }
@@ -181,43 +183,44 @@
   if (std::string stamp = store_->stamp(schedule); stamp != managed.schedule_stamp) {
     managed.schedule_stamp = std::move(stamp);
     if (const auto text = store_->read(schedule)) {
-      if (const auto kept = parse_schedule(*text)) {
-        managed.seed = kept->seed;
-        managed.last_failure = kept->last_failure;
+      if (const auto record = parse_schedule(*text)) {
+        managed.seed = record->seed;
+        managed.last_failure = record->last_failure;
         managed.renewal =
-            std::make_unique<Renewal>(settings_.policy, kept->seed, settings_.authorities.size());
-        managed.renewal->restore(kept->memory);
+            std::make_unique<RenewalSchedule>(settings_.policy, record->seed, settings_.authorities.size());
+        managed.renewal->restore(record->state);
       }
     }
   }
 }
 
-void Keeper::tell_alarm(Managed& managed, Instant now) {
+void CertificateRenewer::log_alarm(Managed& managed, Instant now) {
   const Alarm alarm = managed.renewal->alarm(now, managed.held);
-  const bool grave = alarm >= Alarm::late;
-  const bool again = grave && (now - managed.told_at >= kRepeatAlarm || now < managed.told_at);
-  if (managed.told == alarm && !again) return;
-  const bool worth_saying = managed.told ? true : alarm != Alarm::good;
-  managed.told = alarm;
-  managed.told_at = now;
-  if (!worth_saying) return;
+  const bool serious = alarm >= Alarm::late;
+  const bool repeat =
+      serious && (now - managed.alarm_logged_at >= kAlarmRepeatInterval || now < managed.alarm_logged_at);
+  if (managed.logged_alarm == alarm && !repeat) return;
+  const bool log_it = managed.logged_alarm ? true : alarm != Alarm::good;
+  managed.logged_alarm = alarm;
+  managed.alarm_logged_at = now;
+  if (!log_it) return;
   const char* const id = managed.settings.id.c_str();
-  const std::string because = managed.renewal->memory().failures == 0
+  const std::string because = managed.renewal->state().failures == 0
                                   ? ""
-                                  : "; " + std::to_string(managed.renewal->memory().failures) +
+                                  : "; " + std::to_string(managed.renewal->state().failures) +
                                         " attempts failed, last: " + managed.last_failure;
   if (!managed.held) {
-    log_.line("%scertificate %s: expired: there is none yet%s", grave ? "ALARM " : "", id, because.c_str());
+    log_.line("%scertificate %s: expired: none issued yet%s", serious ? "ALARM " : "", id, because.c_str());
   } else if (alarm == Alarm::expired) {
     log_.line("ALARM certificate %s: expired since %s%s", id, date(managed.held->ends).c_str(),
               because.c_str());
   } else {
-    log_.line("%scertificate %s: %s, ends %s, in %s%s", grave ? "ALARM " : "", id, name_of(alarm),
+    log_.line("%scertificate %s: %s, ends %s, in %s%s", serious ? "ALARM " : "", id, name_of(alarm),
               date(managed.held->ends).c_str(), span_text(managed.held->ends - now).c_str(), because.c_str());
   }
 }
 
-Keeper::Managed& Keeper::find(const std::string& id) {
+CertificateRenewer::Managed& CertificateRenewer::find(const std::string& id) {
   for (Managed& each : managed_) {
     if (each.settings.id == id) return each;
   }
@@ -226,52 +229,54 @@
   throw SettingsError("there is no certificate \"" + id + "\"; there is: " + known);
 }
 
-std::vector<Standing> Keeper::standings() {
+std::vector<CertificateStatus> CertificateRenewer::statuses() {
   const Instant now = environment_.now();
-  std::vector<Standing> all;
+  std::vector<CertificateStatus> all;
   for (Managed& managed : managed_) {
     refresh(managed);
-    Standing standing;
-    standing.id = managed.settings.id;
-    standing.names = managed.settings.names;
-    standing.alarm = managed.renewal->alarm(now, managed.held);
-    standing.validity = managed.held;
+    CertificateStatus status;
+    status.id = managed.settings.id;
+    status.names = managed.settings.names;
+    status.alarm = managed.renewal->alarm(now, managed.held);
+    status.validity = managed.held;
     if (managed.leaf) {
-      standing.issuer = issuer_of(managed.leaf);
-      standing.fingerprint = fingerprint(managed.leaf);
+      status.issuer = issuer_of(managed.leaf);
+      status.fingerprint = fingerprint(managed.leaf);
     }
-    if (managed.held) standing.due = managed.renewal->due_at(*managed.held);
-    standing.next = managed.renewal->memory().next;
-    standing.failures = managed.renewal->memory().failures;
-    standing.last_failure = managed.last_failure;
-    standing.order_open = issuing_.load(managed.settings.id).has_value();
-    all.push_back(std::move(standing));
+    if (managed.held) status.due = managed.renewal->due_at(*managed.held);
+    status.next = managed.renewal->state().next;
+    status.failures = managed.renewal->state().failures;
+    status.last_failure = managed.last_failure;
+    status.order_open = issuing_.load(managed.settings.id).has_value();
+    all.push_back(std::move(status));
   }
   return all;
 }
 
-void Keeper::save_schedule(Managed& managed) {
+void CertificateRenewer::save_schedule(Managed& managed) {
   const std::string name = file(managed, ".schedule.json");
   try {
-    store_->write(name, to_text(Schedule{managed.renewal->memory(), managed.seed, managed.last_failure}));
+    store_->write(name,
+                  to_text(ScheduleRecord{managed.renewal->state(), managed.seed, managed.last_failure}));
     managed.schedule_stamp = store_->stamp(name);
   } catch (const StateError& error) {
-    // It is in memory, and holds while the process lives.
-    log_.line("certificates: the schedule could not be kept: %s", error.what());
+    // The schedule in memory applies until the process ends.
+    log_.line("certificates: cannot save the renewal schedule: %s", error.what());
   }
 }
 
-std::string Keeper::attempt(Managed& managed, std::size_t authority) {
+std::string CertificateRenewer::attempt(Managed& managed, std::size_t authority) {
   Failure why = Failure::local;
   std::optional<Seconds> retry;
   std::string what;
   try {
     const Issued issued = issuing_.issue(
-        {managed.settings, managed.leaf, wanted(managed), managed.renewal->memory().failures}, authority);
+        {managed.settings, managed.leaf, usable_validity(managed), managed.renewal->state().failures},
+        authority);
     if (issued.chain.empty()) {
-      taken_into_use(managed, issued.record);
+      record_in_use(managed, issued.record);
     } else {
-      swap(managed, issued);
+      install(managed, issued);
     }
     return {};
   } catch (const AcmeError& error) {
@@ -288,25 +293,25 @@
   const Instant now = environment_.now();
   managed.renewal->failed(now, authority, why, retry, managed.held);
   managed.last_failure = what;
-  const Instant next = managed.renewal->memory().next.value_or(now);
-  log_.line("certificate %s: not renewed by %s (%s): %s; again in %s", managed.settings.id.c_str(),
+  const Instant next = managed.renewal->state().next.value_or(now);
+  log_.line("certificate %s: not renewed by %s (%s): %s; next attempt in %s", managed.settings.id.c_str(),
             settings_.authorities[authority].name.c_str(), name_of(why), what.c_str(),
             span_text(next - now).c_str());
   save_schedule(managed);
   return what;
 }
 
-void Keeper::swap(Managed& managed, const Issued& issued) {
-  steps_.step("swap");  // the turn is looked at here for the last time
+void CertificateRenewer::install(Managed& managed, const Issued& issued) {
+  steps_.step("swap");  // last check of the lease before the certificate is replaced
   const Secret pem(std::string(pem_of(issued.key).view()) + issued.chain);
   store_->write_pem(file(managed, ".current.pem"), pem);
   steps_.step("swapped");
-  taken_into_use(managed, issued.record);
+  record_in_use(managed, issued.record);
   log_.line("certificate %s: renewed by %s, ends %s", managed.settings.id.c_str(),
             settings_.authorities[issued.record.authority].name.c_str(), date(managed.held->ends).c_str());
 }
 
-void Keeper::taken_into_use(Managed& managed, const OrderRecord& record) {
+void CertificateRenewer::record_in_use(Managed& managed, const OrderRecord& record) {
   managed.renewal->succeeded(environment_.now(), record.authority);
   managed.last_failure.clear();
   save_schedule(managed);
@@ -315,36 +320,37 @@
   issuing_.drop(managed.settings.id, record);
 }
 
-void Keeper::ask_window(Managed& managed, Instant now) {
+void CertificateRenewer::query_window(Managed& managed, Instant now) {
   const std::size_t authority = 0;
   try {
     Client client(settings_.authorities[authority].access, environment_.now, environment_.stopped);
     const auto info = client.renewal_info(renewal_id(managed.leaf));
-    managed.renewal->window(now, info ? info->window : std::nullopt, info ? info->retry_after : std::nullopt);
+    managed.renewal->set_window(now, info ? info->window : std::nullopt,
+                                info ? info->retry_after : std::nullopt);
     if (info && !info->explanation.empty()) {
-      log_.line("certificate %s: the authority's word on renewal: %s", managed.settings.id.c_str(),
+      log_.line("certificate %s: renewal notice of the authority: %s", managed.settings.id.c_str(),
                 info->explanation.c_str());
     }
   } catch (const std::runtime_error&) {
-    // It is of no consequence: without a window the share of the lifetime decides.
-    managed.renewal->window(now, std::nullopt, std::nullopt);
+    // Not an error: without a window the renewal is due by the remaining share of the lifetime.
+    managed.renewal->set_window(now, std::nullopt, std::nullopt);
   }
   save_schedule(managed);
 }
 
-// ---- By hand
+// ---- Operator commands
 
-std::string Keeper::with_lease(const std::function<void()>& work) {
+std::string CertificateRenewer::with_lease(const std::function<void()>& action) {
   try {
-    for (int tries = 0; !turn_->take(environment_.now()); ++tries) {
-      const auto holder = turn_->holder(environment_.now());
-      if (tries >= kLeaseTries || !environment_.pause(milliseconds(1000))) {
-        return "another instance is at work (" + (holder ? holder->name : std::string("unknown")) + ")";
+    for (int tries = 0; !lease_->take(environment_.now()); ++tries) {
+      const auto holder = lease_->holder(environment_.now());
+      if (tries >= kMaxLeaseAttempts || !environment_.pause(milliseconds(1000))) {
+        return "another instance holds the lease (" + (holder ? holder->name : std::string("unknown")) + ")";
       }
     }
     std::string failure;
     try {
-      work();
+      action();
     } catch (const Stopped&) {
       failure = "stopped";
     } catch (const TurnLost&) {
@@ -352,39 +358,39 @@
     } catch (const std::runtime_error& error) {
       failure = error.what();
     }
-    turn_->give_back();
+    lease_->give_back();
     return failure;
   } catch (const StateError& error) {
     return error.what();
   }
 }
 
-std::string Keeper::renew_now(const std::string& id) {
+std::string CertificateRenewer::renew_now(const std::string& id) {
   std::string failure;
   const std::string other = with_lease([&] {
     Managed& managed = find(id);
     refresh(managed);
-    managed.renewal->hurry();
+    managed.renewal->clear_backoff();
     const auto record = issuing_.load(managed.settings.id);
     const Instant now = environment_.now();
-    const Advice advice = managed.renewal->advise(
+    const Decision decision = managed.renewal->decide(
         now, std::nullopt, record ? std::optional(record->authority) : std::nullopt, accounts_.budgets());
-    if (advice.action != Advice::Do::renew) {
-      failure = std::string(advice.why) + " until " + date(advice.at);
+    if (decision.action != Decision::Action::renew) {
+      failure = std::string(decision.reason) + " until " + date(decision.at);
       return;
     }
-    failure = attempt(managed, advice.authority);
+    failure = attempt(managed, decision.authority);
   });
   return other.empty() ? failure : other;
 }
 
-std::string Keeper::revoke(const std::string& id, int reason) {
+std::string CertificateRenewer::revoke(const std::string& id, int reason) {
   return with_lease([&] {
     Managed& managed = find(id);
     refresh(managed);
-    if (!managed.leaf) throw SettingsError("there is no certificate to revoke");
+    if (!managed.leaf) throw SettingsError("no certificate to revoke");
     std::string failures;
-    // Of whichever authority issued it: the others do not know it.
+    // The issuing authority is not recorded, so each is tried; those that did not issue it refuse.
     for (std::size_t i = 0; i < settings_.authorities.size(); ++i) {
       try {
         accounts_.open(i)->client->revoke(managed.leaf, reason);
@@ -398,19 +404,19 @@
   });
 }
 
-std::string Keeper::roll_over(std::size_t authority) {
+std::string CertificateRenewer::roll_over(std::size_t authority) {
   return with_lease([&] { accounts_.roll_over(authority); });
 }
 
-std::string Keeper::deactivate(std::size_t authority) {
+std::string CertificateRenewer::deactivate(std::size_t authority) {
   return with_lease([&] { accounts_.deactivate(authority); });
 }
 
-std::string Keeper::change_contact(std::size_t authority) {
+std::string CertificateRenewer::change_contact(std::size_t authority) {
   return with_lease([&] {
-    const auto session = accounts_.open(authority);  // changes it if the settings have another
+    const auto session = accounts_.open(authority);  // updates the contact if the settings differ
     if (session->account.contact != settings_.authorities[authority].access.contact) {
-      throw SettingsError("the contact was not changed");
+      throw SettingsError("the authority did not change the contact");
     }
   });
 }
--- a/src/certificates.cpp
+++ b/src/certificates.cpp
@@ -26,12 +26,12 @@
   keeper_ = make_keeper(std::move(settings), round_.get_token());
 }
 
-std::unique_ptr<acme::Keeper> Certificates::make_keeper(acme::Settings settings,
-                                                        std::stop_token round) const {
-  acme::Kept kept = make_store_ ? make_store_(settings, [round] { return round.stop_requested(); })
-                                : acme::kept_on_disk(settings, log_);
-  return std::make_unique<acme::Keeper>(std::move(settings), log_, registry_,
-                                        acme::Environment::real(std::move(round)), std::move(kept));
+std::unique_ptr<acme::CertificateRenewer> Certificates::make_keeper(acme::Settings settings,
+                                                                    std::stop_token round) const {
+  acme::SharedState kept = make_store_ ? make_store_(settings, [round] { return round.stop_requested(); })
+                                       : acme::open_state_on_disk(settings, log_);
+  return std::make_unique<acme::CertificateRenewer>(
+      std::move(settings), log_, registry_, acme::Environment::real(std::move(round)), std::move(kept));
 }
 
 void Certificates::start() {
--- a/src/certificates.hpp
+++ b/src/certificates.hpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <thread>
 
-#include "acme/keeper.hpp"
+#include "acme/certificate_renewer.hpp"
 #include "config.hpp"
 #include "serve.hpp"
 
@@ -19,7 +19,7 @@
   // Makes the store of a keeper's state, once for each new keeper. `stopped`: whether operations that wait
   // should give up.
   using StoreFactory =
-      std::function<acme::Kept(const acme::Settings& settings, std::function<bool()> stopped)>;
+      std::function<acme::SharedState(const acme::Settings& settings, std::function<bool()> stopped)>;
 
   // Throws ConfigError if the file is invalid, std::runtime_error if the stored state cannot be trusted.
   // `tls_port`: whether the process has a TLS port, which the challenge tls-alpn-01 needs. `make_store`:
@@ -37,7 +37,7 @@
   void stop() override { thread_.request_stop(); }
 
  private:
-  std::unique_ptr<acme::Keeper> make_keeper(acme::Settings settings, std::stop_token round) const;
+  std::unique_ptr<acme::CertificateRenewer> make_keeper(acme::Settings settings, std::stop_token round) const;
   // Hands new settings to the thread, which restarts the keeper with them.
   void replace_settings(acme::Settings settings);
   void run(const std::stop_token& stop);
@@ -49,7 +49,7 @@
   std::mutex mutex_;
   std::optional<acme::Settings> new_settings_{};
   std::stop_source round_{};  // stopped when new settings arrive or the thread is stopped
-  std::unique_ptr<acme::Keeper> keeper_{};
+  std::unique_ptr<acme::CertificateRenewer> keeper_{};
   std::jthread thread_{};  // last member: joined before the members it uses are destroyed
 };
 
--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -4,8 +4,8 @@
 #include <map>
 #include <optional>
 
+#include "acme/certificate_renewer.hpp"
 #include "acme/json.hpp"
-#include "acme/keeper.hpp"
 #include "certificates.hpp"
 #include "config.hpp"
 #include "fleet/certificate_store.hpp"
@@ -33,8 +33,8 @@
  public:
   CertificateAccess(const std::string& file, const std::optional<std::string>& fleet_file, Logger& log) {
     acme::Settings settings = Certificates::read(file);
-    settings.settle = std::max(settings.settle, kChallengeSettleTime);
-    acme::Kept kept;
+    settings.publish_delay = std::max(settings.publish_delay, kChallengeSettleTime);
+    acme::SharedState kept;
     if (fleet_file) {
       const fleet::FleetSettings fleet = fleet::parse_fleet(read_file(*fleet_file));
       const std::string name = "certs-by-hand-" + std::to_string(acme::random_bits());
@@ -49,22 +49,23 @@
       if (!member_->ask_and_wait(move, kDutyTimeout))
         throw std::runtime_error("the fleet's register did not answer the request for the certificates duty");
     } else {
-      kept = acme::kept_on_disk(settings, log);
+      kept = acme::open_state_on_disk(settings, log);
     }
     keeper_.emplace(std::move(settings), log, nullptr, acme::Environment::real({}), std::move(kept));
   }
-  acme::Keeper* operator->() { return &*keeper_; }
+  acme::CertificateRenewer* operator->() { return &*keeper_; }
 
  private:
   std::optional<fleet::Membership> member_;
-  std::optional<acme::Keeper> keeper_;  // declared last: it uses member_ and is destroyed before it
+  std::optional<acme::CertificateRenewer>
+      keeper_;  // declared last: it uses member_ and is destroyed before it
 };
 
 std::string json_timestamp(const std::optional<acme::Instant>& at) {
   return at ? "\"" + acme::timestamp(*at) + "\"" : "null";
 }
 
-std::string status_json(const acme::Standing& each) {
+std::string status_json(const acme::CertificateStatus& each) {
   return "{\"id\":" + json_quoted(each.id) + ",\"names\":" + acme::in_brackets(each.names) + ",\"alarm\":\"" +
          acme::name_of(each.alarm) +
          "\",\"ends\":" + json_timestamp(each.validity ? std::optional(each.validity->ends) : std::nullopt) +
@@ -75,7 +76,7 @@
          ",\"order_open\":" + (each.order_open ? "true" : "false") + "}";
 }
 
-void print(const acme::Standing& each) {
+void print(const acme::CertificateStatus& each) {
   std::printf("%-16s %-8s", each.id.c_str(), acme::name_of(each.alarm));
   if (each.validity) {
     std::printf(" ends %s, renewal due %s, issued by %s", acme::timestamp(each.validity->ends).c_str(),
@@ -173,11 +174,11 @@
 int CertsCommand::status() const {
   std::FILE* const null_stream = std::fopen("/dev/null", "w");
   Logger quiet(null_stream);
-  acme::Keeper keeper(Certificates::read(file_), quiet, nullptr, acme::Environment::real({}));
+  acme::CertificateRenewer keeper(Certificates::read(file_), quiet, nullptr, acme::Environment::real({}));
   int code = 0;
   std::string out;
   bool found = false;
-  for (const acme::Standing& each : keeper.standings()) {
+  for (const acme::CertificateStatus& each : keeper.statuses()) {
     if (!id_.empty() && each.id != id_) continue;
     found = true;
     code = std::max(code, exit_code_for(each.alarm));
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -15,10 +15,10 @@
 namespace quartzarch::test {
 namespace {
 
-using acme::Advice;
 using acme::Budget;
+using acme::Decision;
 using acme::Failure;
-using acme::Renewal;
+using acme::RenewalSchedule;
 using acme::Validity;
 
 constexpr Instant kStart{Seconds(1800000000)};
@@ -32,17 +32,17 @@
     const Validity held{kStart, kStart + lifetime};
     std::set<Instant> points;
     for (std::uint64_t seed = 0; seed < 100; ++seed) {
-      const Renewal renewal({}, seed, 1);
+      const RenewalSchedule renewal({}, seed, 1);
       const Instant due = renewal.due_at(held);
       EXPECT_LE(due, held.ends - lifetime / 3);
       EXPECT_GE(due, held.ends - lifetime / 3 - lifetime / 10);
       EXPECT_EQ(due, renewal.due_at(held)) << "it moves from one look to the next";
-      EXPECT_EQ(renewal.advise(due - Seconds(1), held, {}, roomy()).at, due);
-      EXPECT_EQ(renewal.advise(due, held, {}, roomy()).action, Advice::Do::renew);
+      EXPECT_EQ(renewal.decide(due - Seconds(1), held, {}, roomy()).at, due);
+      EXPECT_EQ(renewal.decide(due, held, {}, roomy()).action, Decision::Action::renew);
       points.insert(due);
     }
     EXPECT_GT(points.size(), 90u) << "installations renew in step";
-    const Renewal renewal({}, 1, 1);
+    const RenewalSchedule renewal({}, 1, 1);
     const auto at = [&](double left) {
       return renewal.alarm(
           held.ends - Seconds(static_cast<std::int64_t>(left * static_cast<double>(lifetime.count()))), held);
@@ -58,15 +58,15 @@
 
 TEST(Renewal, AWindowOfTheAuthorityGoesBeforeAndARetiredCertificateIsRenewedAtOnce) {
   const Validity held{kStart, kStart + 90 * kDay};
-  Renewal renewal({}, 7, 1);
-  renewal.window(kStart, acme::Window{kStart + 10 * kDay, kStart + 12 * kDay}, kHour);
+  RenewalSchedule renewal({}, 7, 1);
+  renewal.set_window(kStart, acme::Window{kStart + 10 * kDay, kStart + 12 * kDay}, kHour);
   EXPECT_GE(renewal.due_at(held), kStart + 10 * kDay);
   EXPECT_LE(renewal.due_at(held), kStart + 12 * kDay);
-  EXPECT_FALSE(renewal.wants_window(kStart + kHour - Seconds(1)));
-  EXPECT_TRUE(renewal.wants_window(kStart + kHour));
-  renewal.window(kStart, acme::Window{kStart - 2 * kDay, kStart - kDay}, {});
-  EXPECT_EQ(renewal.advise(kStart, held, {}, roomy()).action, Advice::Do::renew);
-  renewal.window(kStart, acme::Window{held.ends - kDay, held.ends}, {});
+  EXPECT_FALSE(renewal.window_query_due(kStart + kHour - Seconds(1)));
+  EXPECT_TRUE(renewal.window_query_due(kStart + kHour));
+  renewal.set_window(kStart, acme::Window{kStart - 2 * kDay, kStart - kDay}, {});
+  EXPECT_EQ(renewal.decide(kStart, held, {}, roomy()).action, Decision::Action::renew);
+  renewal.set_window(kStart, acme::Window{held.ends - kDay, held.ends}, {});
   EXPECT_LE(renewal.due_at(held), held.ends - held.lifetime() / 4)
       << "a window at the very end was waited for";
 }
@@ -75,29 +75,29 @@
   acme::Policy policy;
   const Validity held{kStart, kStart + 90 * kDay};
   Instant now = held.ends - 30 * kDay;
-  Renewal renewal(policy, 3, 1);
+  RenewalSchedule renewal(policy, 3, 1);
   Seconds last{0};
   for (int i = 0; i < 12; ++i) {
     renewal.failed(now, 0, Failure::refused, {}, held);
-    const Advice advice = renewal.advise(now, held, {}, roomy());
-    ASSERT_EQ(advice.action, Advice::Do::wait);
-    last = advice.at - now;
+    const Decision decision = renewal.decide(now, held, {}, roomy());
+    ASSERT_EQ(decision.action, Decision::Action::wait);
+    last = decision.at - now;
     EXPECT_LE(last, policy.longest_wait);
-    now = advice.at;
+    now = decision.at;
   }
   EXPECT_GE(last, policy.longest_wait / 2);
   renewal.failed(now, 0, Failure::rate_limited, 9 * kHour, held);
-  EXPECT_EQ(renewal.advise(now + 8 * kHour, held, {}, roomy()).at, now + 9 * kHour);
+  EXPECT_EQ(renewal.decide(now + 8 * kHour, held, {}, roomy()).at, now + 9 * kHour);
   renewal.failed(now, 0, Failure::rate_limited, 1000 * kDay, held);
-  EXPECT_EQ(renewal.advise(now + kDay, held, {}, roomy()).action, Advice::Do::renew)
+  EXPECT_EQ(renewal.decide(now + kDay, held, {}, roomy()).action, Decision::Action::renew)
       << "put off without bound";
 
   // Rejections: no more within the hour, however short the waits.
   policy.longest_wait = policy.first_wait = Seconds(1);
-  Renewal hasty(policy, 3, 1);
+  RenewalSchedule hasty(policy, 3, 1);
   int attempts = 0;
   for (Instant at = kStart; at < kStart + kHour; at += Seconds(10)) {
-    if (hasty.advise(at, {}, {}, roomy()).action != Advice::Do::renew) continue;
+    if (hasty.decide(at, {}, {}, roomy()).action != Decision::Action::renew) continue;
     ++attempts;
     hasty.failed(at, 0, Failure::rejected, {}, {});
   }
@@ -105,37 +105,37 @@
   // An account that has placed its orders holds all of its certificates back, but not an open order.
   std::vector<Budget> spent{Budget(1, kHour)};
   spent[0].spend(kStart);
-  const Renewal fresh({}, 1, 1);
-  EXPECT_EQ(fresh.advise(kStart, {}, {}, spent).at, kStart + kHour);
-  EXPECT_EQ(fresh.advise(kStart, {}, 0, spent).action, Advice::Do::renew);
+  const RenewalSchedule fresh({}, 1, 1);
+  EXPECT_EQ(fresh.decide(kStart, {}, {}, spent).at, kStart + kHour);
+  EXPECT_EQ(fresh.decide(kStart, {}, 0, spent).action, Decision::Action::renew);
 }
 
 TEST(Renewal, AfterAStatedTimeTheSecondAuthorityTakesItsTurn) {
   acme::Policy policy;
-  Renewal renewal(policy, 5, 2);
+  RenewalSchedule renewal(policy, 5, 2);
   std::map<std::size_t, int> asked, late;
   Instant now = kStart;
   for (int i = 0; i < 40; ++i) {
-    const Advice advice = renewal.advise(now, {}, {}, roomy());
-    if (advice.action == Advice::Do::wait) {
-      now = advice.at;
+    const Decision decision = renewal.decide(now, {}, {}, roomy());
+    if (decision.action == Decision::Action::wait) {
+      now = decision.at;
       continue;
     }
-    ++(now - kStart >= policy.fallback_after ? late : asked)[advice.authority];
-    renewal.failed(now, advice.authority, Failure::unreachable, {}, {});
+    ++(now - kStart >= policy.fallback_after ? late : asked)[decision.authority];
+    renewal.failed(now, decision.authority, Failure::unreachable, {}, {});
   }
   EXPECT_EQ(asked[1], 0);
   EXPECT_GT(late[1], late[0]);
   EXPECT_GT(late[0], 0) << "the first is forgotten";
   renewal.succeeded(now, 1);
-  EXPECT_EQ(renewal.advise(now, {}, {}, roomy()).authority, 0u);
+  EXPECT_EQ(renewal.decide(now, {}, {}, roomy()).authority, 0u);
 }
 
 // Whatever the clock does, and whatever was kept: no wait is endless, no limit is passed.
 TEST(Renewal, ClockJumpsDoNoHarm) {
   EXPECT_TRUE(rc::check("clock jumps", [] {
     acme::Policy policy;
-    Renewal renewal(policy, *rc::gen::arbitrary<std::uint64_t>(), 2);
+    RenewalSchedule renewal(policy, *rc::gen::arbitrary<std::uint64_t>(), 2);
     Instant now = kStart;
     std::vector<Budget> accounts{Budget(5, 3 * kHour), Budget(5, 3 * kHour)};
     for (int i = 0; i < 60; ++i) {
@@ -143,15 +143,15 @@
           *rc::gen::element<std::int64_t>(1, 60, 3600, 86400, -86400, 365 * 86400, -365 * 86400);
       now += Seconds(jump);
       if (now < kStart) now = kStart;
-      const Advice advice = renewal.advise(now, {}, {}, accounts);
-      if (advice.action == Advice::Do::wait) {
-        RC_ASSERT(advice.at > now);
-        RC_ASSERT(advice.at - now <= policy.duplicates.span);
+      const Decision decision = renewal.decide(now, {}, {}, accounts);
+      if (decision.action == Decision::Action::wait) {
+        RC_ASSERT(decision.at > now);
+        RC_ASSERT(decision.at - now <= policy.duplicates.span);
         continue;
       }
-      accounts[advice.authority].spend(now);
-      RC_ASSERT(accounts[advice.authority].spent(now) <= 5u);
-      renewal.failed(now, advice.authority,
+      accounts[decision.authority].spend(now);
+      RC_ASSERT(accounts[decision.authority].spent(now) <= 5u);
+      renewal.failed(now, decision.authority,
                      *rc::gen::element(Failure::refused, Failure::unreachable, Failure::rejected), {}, {});
     }
   }));
@@ -199,7 +199,7 @@
   run(*keeper, begun + 50 * kDay);
   EXPECT_EQ(there.counts().orders, 1) << "ordered before it was due";
   Alarm worst = Alarm::good;
-  run(*keeper, begun + 360 * kDay, [&] { worst = std::max(worst, keeper->standings()[0].alarm); });
+  run(*keeper, begun + 360 * kDay, [&] { worst = std::max(worst, keeper->statuses()[0].alarm); });
   // At the earliest after 54 days, at the latest after 60.
   EXPECT_GE(there.counts().certificates, 6) << said();
   EXPECT_LE(there.counts().certificates, 7) << said();
@@ -278,7 +278,7 @@
   const auto keeper = this->keeper();
   const Instant begun = now();
   run(*keeper, begun + kHour);
-  const auto due = keeper->standings()[0].due;
+  const auto due = keeper->statuses()[0].due;
   ASSERT_TRUE(due);
   EXPECT_GE(*due, begun + 50 * kDay);
   run(*keeper, begun + 62 * kDay);
@@ -310,7 +310,7 @@
 TEST_P(EachFault, IsSurvivedAndTheOldCertificateServesMeanwhile) {
   Authority& there = authority();
   settings.authorities[0].access.http_timeout = milliseconds(2000);
-  settings.order_patience = 3 * kHour;
+  settings.order_timeout = 3 * kHour;
   const auto keeper = this->keeper();
   ASSERT_EQ(keeper->renew_now("sip"), "") << said();
   const std::string old = handshake(registry->server(), "").certificate;
@@ -330,7 +330,7 @@
                              fault.find("other") == 0 || fault.find("expired") == 0 ||
                              fault.find("short") == 0 || fault.find("reject") == 0;
   EXPECT_EQ(orders, lost_for_good ? 2 : 1) << "needless orders\n" << said();
-  EXPECT_EQ(keeper->standings()[0].failures, 0u);
+  EXPECT_EQ(keeper->statuses()[0].failures, 0u);
   EXPECT_EQ(files_with("aside"), 0u);
 }
 
@@ -341,30 +341,30 @@
   const auto keeper = this->keeper();
   run(*keeper, now() + kHour);
   const std::string first = kept("sip.current.pem");
-  Instant due = *keeper->standings()[0].due;
+  Instant due = *keeper->statuses()[0].due;
   run(*keeper, due - Seconds(1));
   there.add({Fault::unavailable, "", -1, due - Seconds(1), due + kDay});
   const int before = there.counts().orders;
   Alarm worst = Alarm::good;
-  run(*keeper, due + kDay, [&] { worst = std::max(worst, keeper->standings()[0].alarm); });
+  run(*keeper, due + kDay, [&] { worst = std::max(worst, keeper->statuses()[0].alarm); });
   EXPECT_EQ(kept("sip.current.pem"), first);
   EXPECT_EQ(worst, Alarm::late);
   EXPECT_NE(said().find("ALARM certificate sip: late"), std::string::npos);
   run(*keeper, due + kDay + 7 * kHour);
   EXPECT_NE(kept("sip.current.pem"), first) << said();
   EXPECT_EQ(there.counts().orders, before + 1);
-  EXPECT_EQ(keeper->standings()[0].alarm, Alarm::good);
+  EXPECT_EQ(keeper->statuses()[0].alarm, Alarm::good);
 }
 
 TEST_F(Installation, RefusedUntilTheEndTheAlarmsComeInOrderAndLongBefore) {
   Authority& there = authority();
   const auto keeper = this->keeper();
   run(*keeper, now() + kHour);
-  const Validity held = *keeper->standings()[0].validity;
+  const Validity held = *keeper->statuses()[0].validity;
   there.add({Fault::unavailable, "", -1, now(), Instant::max()});
   std::vector<std::pair<Alarm, Seconds>> seen;
   run(*keeper, held.ends + kDay, [&] {
-    const Alarm alarm = keeper->standings()[0].alarm;
+    const Alarm alarm = keeper->statuses()[0].alarm;
     if (seen.empty() || seen.back().first != alarm) seen.emplace_back(alarm, held.ends - now());
   });
   ASSERT_EQ(seen.size(), 5u);
@@ -405,11 +405,11 @@
   settings.directory = folder.file("certs");
   acme::Environment skewed = environment();
   skewed.now = [&] { return Instant(Seconds(time.load() + offset)); };
-  acme::Keeper wrong(settings, log, registry, skewed);
+  acme::CertificateRenewer wrong(settings, log, registry, skewed);
   for (const std::int64_t each : {365 * 86400L, -86400L}) {
     offset = each;
     for (int i = 0; i < 20; ++i) {
-      const Instant next = wrong.work();
+      const Instant next = wrong.run_pass();
       time += std::min<std::int64_t>(std::max<std::int64_t>((next - skewed.now()).count(), 1), 3600);
     }
   }
@@ -480,9 +480,9 @@
   std::fflush(log_file);
   std::FILE* const nowhere = std::fopen("/dev/null", "w");
   Logger quiet(nowhere);
-  acme::Keeper starved(settings, quiet, registry, environment());
+  acme::CertificateRenewer starved(settings, quiet, registry, environment());
   ::setrlimit(RLIMIT_FSIZE, &none);
-  for (int i = 0; i < 5; ++i) set(starved.work());
+  for (int i = 0; i < 5; ++i) set(starved.run_pass());
   ::setrlimit(RLIMIT_FSIZE, &old);
   EXPECT_EQ(there.counts().orders, 1);
   EXPECT_EQ(kept("sip.current.pem"), before);
@@ -550,12 +550,13 @@
 TEST_F(Installation, OfTwoThatWakeTogetherOneRenewsAndBothServeIt) {
   Authority& there = authority();
   const auto other_registry = std::make_shared<tls::Registry>();
-  acme::Keeper a(settings, log, registry, environment()), b(settings, log, other_registry, environment());
-  std::jthread first([&] { a.work(); }), second([&] { b.work(); });
+  acme::CertificateRenewer a(settings, log, registry, environment()),
+      b(settings, log, other_registry, environment());
+  std::jthread first([&] { a.run_pass(); }), second([&] { b.run_pass(); });
   first.join();
   second.join();
-  a.look();
-  b.look();
+  a.sync();
+  b.sync();
   EXPECT_EQ(there.counts().orders, 1) << said();
   const std::string served = handshake(registry->server(), "sip.lab.example").certificate;
   EXPECT_FALSE(served.empty());
@@ -569,20 +570,20 @@
   const auto other_registry = std::make_shared<tls::Registry>();
   acme::Environment plain = environment();
   plain.step = {};
-  acme::Keeper b(settings, log, other_registry, plain);
+  acme::CertificateRenewer b(settings, log, other_registry, plain);
   bool once = false;
   on_step = [&](const char* what) {
     if (std::string(what) != "fetched" || std::exchange(once, true)) return;
-    EXPECT_GT(b.work(), now() + Seconds(1)) << "two held the lease";
+    EXPECT_GT(b.run_pass(), now() + Seconds(1)) << "two held the lease";
     set(now() + settings.lease + Seconds(1));
-    b.work();
+    b.run_pass();
   };
-  acme::Keeper a(settings, log, registry, environment());
-  a.work();
+  acme::CertificateRenewer a(settings, log, registry, environment());
+  a.run_pass();
   EXPECT_NE(said().find("the lease went to another instance"), std::string::npos);
   EXPECT_EQ(there.counts().orders, 1) << said();
   EXPECT_EQ(there.counts().certificates, 1);
-  a.look();
+  a.sync();
   EXPECT_EQ(handshake(registry->server(), "").certificate,
             handshake(other_registry->server(), "").certificate);
   EXPECT_EQ(files_with(".order.json") + files_with(".key-"), 0u);
@@ -700,22 +701,22 @@
     }
   };
   const std::pair<std::string, const char*> bad[] = {
-      {"directory = ", "line 1: no TOML"},
+      {"directory = ", "line 1: invalid TOML"},
       {"direktory = \"x\"\n" + good, "line 1: \"direktory\" is unknown"},
       {good.substr(good.find('\n')), "\"directory\" is missing"},
       {good + "key = \"dsa\"\n", "line 7: \"certificate.key\" is none of"},
       {good + "[[certificate]]\nid = \"sip\"\nnames = [\"b.example\"]\n",
-       "line 7: \"certificate.id\" is there twice"},
+       "line 7: \"certificate.id\" is duplicated"},
       {good + "[[certificate]]\nid = \"../x\"\nnames = [\"b.example\"]\n",
        "line 8: \"certificate.id\" may have"},
       {good + "[[certificate]]\nid = \"x\"\nnames = [\"b,DNS:c\"]\n",
-       "line 9: \"certificate.names\" holds no host name"},
+       "line 9: \"certificate.names\" contains an invalid host name"},
       {good + "[renewal]\nlate_share = 0.5\n", "line 7: \"renewal\" needs"},
       {good + "[renewal]\nfirst_wait_s = 0\n", "line 8: \"renewal.first_wait_s\" is not within 1 and 86400"},
-      {"challenges = [\"dns-01\"]\n" + good, "line 1: \"challenges\" holds neither"},
+      {"challenges = [\"dns-01\"]\n" + good, "line 1: \"challenges\" contains an unknown challenge type"},
       {"challenges = [\"http-01\"]\n" + good, "line 1: \"challenges\" has http-01, which needs"},
       {good + "[[authority]]\ndirectory = \"http://ca.example\"\n",
-       "line 8: \"authority.directory\" is no https URL"},
+       "line 8: \"authority.directory\" is not an https URL"},
       {good + "[[authority]]\ndirectory = \"https://x\"\neab_kid = \"k\"\n",
        "line 7: \"authority.eab_kid\" and"},
   };
@@ -818,8 +819,8 @@
   settings.directory = arguments[0];
   settings.challenges = {"http-01"};
   settings.http01 = parse_address(arguments[3]);
-  settings.patience = Seconds(60);
-  settings.poll = milliseconds(2);
+  settings.step_timeout = Seconds(60);
+  settings.poll_interval = milliseconds(2);
   settings.lease = Seconds(30);
   settings.authorities.resize(1);
   settings.authorities[0].access.directory = arguments[1];
@@ -834,9 +835,9 @@
     if (++step == die_at) ::raise(SIGKILL);
   };
   Logger log;
-  acme::Keeper keeper(settings, log, nullptr, environment);
-  keeper.work();
-  return keeper.standings()[0].validity ? 0 : 1;
+  acme::CertificateRenewer keeper(settings, log, nullptr, environment);
+  keeper.run_pass();
+  return keeper.statuses()[0].validity ? 0 : 1;
 }
 
 }  // namespace
--- a/tests/installation.hpp
+++ b/tests/installation.hpp
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <thread>
 
-#include "acme/keeper.hpp"
+#include "acme/certificate_renewer.hpp"
 #include "authority/authority.hpp"
 #include "config.hpp"
 #include "loopback.hpp"
@@ -43,7 +43,7 @@
     settings.directory = folder.file("certs");
     settings.http01 = free_address();
     settings.challenges = {"http-01"};
-    settings.patience = Seconds(600);
+    settings.step_timeout = Seconds(600);
     settings.authorities.resize(1);
     settings.certificates = {{"sip", {"sip.lab.example"}, "ecdsa-p256"}};
   }
@@ -79,13 +79,13 @@
     };
     return made;
   }
-  std::unique_ptr<acme::Keeper> keeper() {
-    return std::make_unique<acme::Keeper>(settings, log, registry, environment());
+  std::unique_ptr<acme::CertificateRenewer> keeper() {
+    return std::make_unique<acme::CertificateRenewer>(settings, log, registry, environment());
   }
   // Passes of the keeper, each when it asked to be called, until `end`.
-  void run(acme::Keeper& keeper, Instant end, const std::function<void()>& each = {}) {
+  void run(acme::CertificateRenewer& keeper, Instant end, const std::function<void()>& each = {}) {
     while (now() < end) {
-      const Instant next = keeper.work();
+      const Instant next = keeper.run_pass();
       if (each) each();
       set(std::min(std::max(next, now() + Seconds(1)), end));
     }
