--- a/src/certificates.cpp
+++ b/src/certificates.cpp
@@ -34,11 +34,11 @@
                                         acme::Environment::real(std::move(round)), std::move(kept));
 }
 
-void Certificates::begin() {
+void Certificates::start() {
   thread_ = std::jthread([this](const std::stop_token& stop) { run(stop); });
 }
 
-std::function<void()> Certificates::read_again() {
+std::function<void()> Certificates::reload() {
   return [this, new_settings = read(path_)] { replace_settings(new_settings); };
 }
 
--- a/src/certificates.hpp
+++ b/src/certificates.hpp
@@ -14,7 +14,7 @@
 
 namespace quartzarch {
 
-class Certificates : public KeptCertificates {
+class Certificates : public CertificateManager {
  public:
   // Makes the store of a keeper's state, once for each new keeper. `stopped`: whether operations that wait
   // should give up.
@@ -32,8 +32,8 @@
 
   const std::string& path() const override { return path_; }
   std::shared_ptr<tls::Registry> registry() const override { return registry_; }
-  void begin() override;
-  std::function<void()> read_again() override;
+  void start() override;
+  std::function<void()> reload() override;
   void stop() override { thread_.request_stop(); }
 
  private:
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -25,7 +25,7 @@
  public:
   Question(Loop& loop, const sockaddr_in& to, std::string frame)
       : stream_(std::make_shared<Stream>(loop, to, milliseconds(500), static_cast<Stream::Owner&>(*this),
-                                         Rank::servers)) {
+                                         Priority::servers)) {
     stream_->send({std::move(frame), {}, 0});
   }
   ~Question() override { stream_->close(); }
@@ -34,7 +34,7 @@
   const std::vector<std::string>& answer() const { return answer_; }
 
  private:
-  void arrived(Stream& stream) override {
+  void on_data(Stream& stream) override {
     link::LinkMessage message;
     std::size_t length = 0;
     const auto taken = link::decode(stream.input(), message, length);
@@ -42,7 +42,7 @@
     if (taken == link::Taken::whole) answer_.assign(message.values.begin(), message.values.end());
     over_ = true;
   }
-  void lost(Stream&, Lost) override { over_ = true; }
+  void on_disconnected(Stream&, DisconnectReason) override { over_ = true; }
 
   std::shared_ptr<Stream> stream_;
   std::vector<std::string> answer_;
@@ -283,12 +283,12 @@
       std::printf("{\"duty\":%s,\"holder\":%s,\"token\":%llu,\"paused\":%s,\"kept_for\":%s,\"wanted\":%s}\n",
                   json_quoted(name).c_str(), json_quoted(holder).c_str(),
                   static_cast<unsigned long long>(duty.token), duty.paused ? "true" : "false",
-                  json_quoted(duty.reserved).c_str(), json_quoted(duty.wanted).c_str());
+                  json_quoted(duty.reserved).c_str(), json_quoted(duty.requested_holder).c_str());
       return;
     }
     std::string notes = duty.paused ? "paused " : "";
     if (!duty.reserved.empty()) notes += "kept for " + duty.reserved + " ";
-    if (!duty.wanted.empty()) notes += "wanted at " + duty.wanted;
+    if (!duty.requested_holder.empty()) notes += "wanted at " + duty.requested_holder;
     std::printf("%-24s %-16s %10llu  %s\n", name.c_str(), holder.empty() ? "-" : holder.c_str(),
                 static_cast<unsigned long long>(duty.token), notes.c_str());
   });
@@ -319,13 +319,13 @@
   }
   Loop loop(steady_time);
   const Signals signals(loop);
-  duty::Member member(loop, log, fleet::addresses(settings), fleet::steward_settings(settings, name_),
+  duty::Member member(loop, log, fleet::addresses(settings), fleet::lease_settings(settings, name_),
                       {fleet::duty_settings(settings, duty_name_, name_)},
                       seed() ^ static_cast<std::uint64_t>(::getpid()));
   duty::Runner runner(loop, log, member, duty_name_, command_, settings.ending);
-  member.does(duty_name_, runner);
+  member.set_work(duty_name_, runner);
   member.start();
-  while (!signals.stop_came() && !(once_ && runner.done())) loop.pass(milliseconds(200));
+  while (!signals.stop_requested_at() && !(once_ && runner.done())) loop.pass(milliseconds(200));
   member.leave();
   // The program has the lease's time to end, and no longer.
   for (const Time until = loop.now() + settings.ttl + milliseconds(500);
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -76,11 +76,11 @@
 }
 
 // May also throw simdjson::simdjson_error.
-FleetNews fleet_event_of(object from) {
-  FleetNews event;
+ServerListUpdate fleet_event_of(object from) {
+  ServerListUpdate event;
   event.index = required<std::uint64_t>(from, "index");
   const object endpoints = required<object>(from, "endpoints");
-  event.whole = value(endpoints, "whole", false);
+  event.full = value(endpoints, "whole", false);
   for (const element entry : required<array>(endpoints, "hosts"))
     event.hosts.push_back(parse_host(entry.get_object()));
   return event;
@@ -134,7 +134,7 @@
   }
 }
 
-FleetNews parse_fleet_event(std::string_view json) {
+ServerListUpdate parse_fleet_event(std::string_view json) {
   simdjson::dom::parser parser;
   try {
     return fleet_event_of(parser.parse(json).get_object());
--- a/src/config.hpp
+++ b/src/config.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/fleet.hpp"
+#include "core/server_inventory.hpp"
 #include "settings.hpp"
 
 namespace quartzarch {
@@ -48,7 +48,7 @@
   std::uint64_t seed = 0;
   Limits limits;
   std::uint64_t known_index = 0;
-  std::vector<FleetNews> known;
+  std::vector<ServerListUpdate> known;
   InstanceSettings instance;
   std::vector<std::string> unknown{};  // paths of the settings that this program does not know
 };
@@ -67,6 +67,6 @@
 std::vector<sockaddr_in> parse_planner_addresses(std::string_view toml);
 
 // Parses one event of the coordinator's stream of setup servers. Throws ConfigError if it is malformed.
-FleetNews parse_fleet_event(std::string_view json);
+ServerListUpdate parse_fleet_event(std::string_view json);
 
 }  // namespace quartzarch
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -18,16 +18,16 @@
 
 Server::Server(Loop& loop, Logger& log, const sockaddr_in& listen)
     : loop_(loop), log_(log), acceptor_(loop, listen_on(listen)) {
-  loop_.watch(*this, Rank::callers);
+  loop_.watch(*this, Priority::callers);
 }
 
 Server::~Server() {
-  loop_.forget(*this);
+  loop_.unwatch(*this);
   for (auto& [raw, stream] : streams_) stream->close();
 }
 
-void Server::ready(short) {
-  Fd fd = acceptor_.next();
+void Server::on_ready(short) {
+  Fd fd = acceptor_.accept();
   if (!fd) return;
   if (streams_.size() >= kMaxConnections) {
     // Closes the connection that has been idle longest: it may be a client that does not read.
@@ -35,23 +35,23 @@
       return a.second->last_used() < b.second->last_used();
     });
     oldest->second->close();
-    loop_.bury(oldest->second);
+    loop_.keep_until_pass_end(oldest->second);
     streams_.erase(oldest);
   }
   auto stream =
-      std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::callers);
+      std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
   stream->limit_output(kMaxOutputBytes);
   streams_[stream.get()] = std::move(stream);
 }
 
-void Server::lost(Stream& stream, Lost) {
+void Server::on_disconnected(Stream& stream, DisconnectReason) {
   const auto found = streams_.find(&stream);
   if (found == streams_.end()) return;
-  loop_.bury(found->second);
+  loop_.keep_until_pass_end(found->second);
   streams_.erase(found);
 }
 
-void Server::arrived(Stream& stream) {
+void Server::on_data(Stream& stream) {
   while (stream.alive()) {
     const std::string_view input = stream.input();
     const auto end = input.find('\n');
@@ -60,7 +60,7 @@
       log_.line("control: line too long, connection closed");
       stream.send({error_reply("the line is too long"), {}, 0});
       stream.close();
-      return lost(stream, Lost::closed);
+      return on_disconnected(stream, DisconnectReason::closed);
     }
     std::string reply = answer(input.substr(0, end));
     stream.consume(end + 1);
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -27,7 +27,7 @@
   using std::runtime_error::runtime_error;
 };
 
-class Server : private Watched, private Stream::Owner {
+class Server : private IoHandler, private Stream::Owner {
  public:
   // Returns the members of the reply after "ok", each with a leading comma, as in `,"id":"x"`. Throws
   // CommandError.
@@ -44,10 +44,10 @@
 
  private:
   int descriptor() const override { return acceptor_.fd().get(); }
-  short interest() const override { return acceptor_.resting() ? 0 : POLLIN; }
-  void ready(short) override;
-  void arrived(Stream& stream) override;
-  void lost(Stream& stream, Lost) override;
+  short interest() const override { return acceptor_.paused() ? 0 : POLLIN; }
+  void on_ready(short) override;
+  void on_data(Stream& stream) override;
+  void on_disconnected(Stream& stream, DisconnectReason) override;
   std::string answer(std::string_view line);
 
   Loop& loop_;
--- a/src/control_service.cpp
+++ b/src/control_service.cpp
@@ -95,7 +95,7 @@
       shared_list_(std::move(shared_list)) {
   auto stored = restore_rules();
   if (shared_list_) start_sharing(std::move(stored));
-  planner_.guard(&gate_);
+  planner_.set_admission_filter(&gate_);
   control_.on("gap.add", [this](Element request) { return add(request); });
   control_.on("gap.lift", [this](Element request) { return lift(request); });
   control_.on("gap.list", [this](Element request) { return list(request); });
@@ -108,7 +108,7 @@
 
 ControlService::~ControlService() {
   loop_.cancel(sweep_timer_);
-  planner_.guard(nullptr);
+  planner_.set_admission_filter(nullptr);
 }
 
 void ControlService::sweep() {
@@ -213,7 +213,7 @@
 void ControlService::refuse_held_calls(const std::vector<std::string>& new_ids) {
   if (new_ids.empty()) return;
   const Time now = loop_.now();
-  planner_.reconsider([&](const Request& held) {
+  planner_.recheck_held_calls([&](const Request& held) {
     std::optional<Duration> away;
     for (const std::string& id : new_ids) {
       if (!away) away = gate_.offer_to_rule(id, held, now);
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -7,11 +7,13 @@
 namespace quartzarch {
 namespace {
 
-constexpr std::size_t kMostPast = 20000;
+// Ended calls are remembered up to this number; the oldest are forgotten first.
+constexpr std::size_t kMaxEndedCalls = 20000;
 constexpr Duration kRetryAfterWhenFull = std::chrono::seconds(1);
 
-// The number called as the controller's key: 16 hex digits as they are, anything else by its FNV-1a hash.
-std::uint64_t key_of(std::string_view number) {
+// The called number as the controller's key: up to 16 hex digits by their value, anything else by its FNV-1a
+// hash.
+std::uint64_t number_key(std::string_view number) {
   if (number.empty()) return 0;
   std::uint64_t key = 0;
   const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), key, 16);
@@ -21,7 +23,8 @@
   return key;
 }
 
-Cause cause_of(std::string_view note) {
+// The controller's cause for the note that a setup server gives with a refusal.
+Cause cause_from_note(std::string_view note) {
   if (note == "blocked") return Cause::no_circuit;
   if (note == "bounced" || note == "far_swamped") return Cause::rejected;
   if (note == "swamped") return Cause::processor_full;
@@ -29,7 +32,8 @@
   return Cause::none;
 }
 
-Ending refusal_of(int why) {
+// The ending of an attempt that a server refused with the release cause `why`.
+Ending refusal_ending(int why) {
   switch (why) {
     case cause::kNoCircuit:
       return Ending::full;
@@ -44,26 +48,26 @@
 
 }  // namespace
 
-Planner::Planner(Loop& loop, Logger& log, InstanceSettings start, std::uint64_t seed, Bounds bounds)
+Planner::Planner(Loop& loop, Logger& log, InstanceSettings start, std::uint64_t seed, Capacity capacity)
     : loop_(loop),
       log_(log),
       start_(std::move(start)),
       controller_(start_.settings, seed, loop.now()),
       servers_(loop, log, *this, start_.connect_timeout),
-      bounds_(bounds) {
-  for (const std::string& name : start_.class_names) tally_.know(name);
-  loop_.at_each_end([this] { return send_due(); });
+      capacity_(capacity) {
+  for (const std::string& name : start_.class_names) counters_.add_class(name);
+  loop_.after_each_pass([this] { return send_due(); });
 }
 
-// ---- The list
+// ---- The list of setup servers
 
-void Planner::news(const FleetNews& news) {
-  listed_ = true;
-  const Fleet::Change change = fleet_.apply(news);
-  // What ran at an address that has another process now, or none, is cut.
+void Planner::update_servers(const ServerListUpdate& update) {
+  server_list_known_ = true;
+  const ServerInventory::Change change = server_inventory_.apply(update);
+  // Calls established at an address that has another process now, or none, are cut.
   for (const ServerId& server : change.replaced) {
-    died(server);
-    servers_.drop(server);
+    on_process_gone(server);
+    servers_.disconnect(server);
   }
   for (const ServerEntry& entry : change.list.entries) {
     log_.line("list: server %s number %d %s", server_text(entry.id).c_str(), entry.number,
@@ -76,15 +80,15 @@
   for (const ServerEntry& entry : change.list.entries) {
     if (entry.availability == Availability::gone) {
       listed_servers_.erase(entry.id);
-      servers_.drop(entry.id);
+      servers_.disconnect(entry.id);
     } else {
       listed_servers_[entry.id] = entry.availability;
-      servers_.keep(entry.id);
+      servers_.keep_connected(entry.id);
     }
   }
 }
 
-void Planner::resettle(const InstanceSettings& fresh) {
+void Planner::reload_settings(const InstanceSettings& fresh) {
   std::vector<CallClass>& table = start_.settings.classes;
   std::vector<std::string>& names = start_.class_names;
   std::vector<bool> kept(names.size(), false);
@@ -101,13 +105,13 @@
       kept[static_cast<std::size_t>(at - names.begin())] = true;
       continue;
     }
-    // A new or changed class takes a new place; calls of the old one keep theirs.
+    // A new or changed class is appended; calls of the old one keep their index.
     table.push_back(wanted);
     names.push_back(name);
     kept.push_back(true);
-    tally_.know(name);
+    counters_.add_class(name);
   }
-  // What vanished, or was replaced by a later place, is no longer found by its name.
+  // A class that was removed, or replaced by an appended one, is no longer found by its name.
   for (std::size_t i = 0; i < names.size(); ++i) {
     if (!kept[i]) names[i].clear();
   }
@@ -122,23 +126,24 @@
   const CallId call = request.call;
   if (const Exchange* const known = find(call)) {
     log_.line("call %s: a second set-up with its id", call_text(call).c_str());
-    // The first one's caller has left and its attempt is out: a second one may not be, and this caller is
-    // owed an answer. While the first one's answer is owed, or its call stands, it is that one's.
-    if (!known->owed() && !known->stands()) front.refuse(call, kRetryAfterWhenFull);
+    // If the first one's caller has left but its attempt is still in flight, no second attempt may be made,
+    // and this caller needs an answer. While the first one is unanswered or its call is established, the id
+    // belongs to that one and nothing is answered here.
+    if (!known->answer_pending() && !known->established()) front.refuse(call, kRetryAfterWhenFull);
     return;
   }
-  // Answers given before anything is decided, counted as all others are.
+  // Answers given without asking the controller; they are counted like all others.
   const auto fail_now = [&] {
-    tally_.failed(request.call_class);
+    counters_.failed(request.call_class);
     front.fail(call, Failure::error);
   };
   const auto refuse_now = [&](Duration retry_after) {
-    tally_.refused(request.call_class);
+    counters_.refused(request.call_class);
     front.refuse(call, retry_after);
   };
-  // Every set-up gets a new id. One that is over may still be heard of by its id, and a broken caller that
-  // asks under one id without end must not make an attempt of each.
-  if (past_.count(call) > 0) return fail_now();
+  // Callers use a new id for every set-up. Messages about an ended call may still arrive under its id, and a
+  // faulty caller that reuses one id endlessly must not cause an attempt each time.
+  if (ended_calls_.count(call) > 0) return fail_now();
   const auto& names = start_.class_names;
   const auto name =
       request.call_class.empty() ? names.end() : std::find(names.begin(), names.end(), request.call_class);
@@ -146,167 +151,173 @@
     log_.line("call %s: unknown class \"%s\"", call_text(call).c_str(), request.call_class.c_str());
     return fail_now();
   }
-  if (calls_.size() >= bounds_.calls || waiting_bytes_ + request.description.size() > bounds_.waiting_bytes) {
+  if (calls_.size() >= capacity_.calls ||
+      waiting_bytes_ + request.description.size() > capacity_.waiting_bytes) {
     return refuse_now(kRetryAfterWhenFull);
   }
-  if (!Servers::can_carry({call, request.call_class, request.number, request.description, {}})) {
+  if (!Servers::is_sendable({call, request.call_class, request.number, request.description, {}})) {
     log_.line("call %s: nothing a setup server can read, failed", call_text(call).c_str());
     return fail_now();
   }
-  if (const auto away = drain_ ? drain_->refuses(loop_.now()) : std::nullopt) return refuse_now(*away);
-  if (gate_) {
-    if (const auto away = gate_->turns_away(request, loop_.now())) return refuse_now(*away);
+  if (const auto retry_after = drain_ ? drain_->refusal_retry_after(loop_.now()) : std::nullopt)
+    return refuse_now(*retry_after);
+  if (admission_filter_) {
+    if (const auto retry_after = admission_filter_->rejected_for(request, loop_.now()))
+      return refuse_now(*retry_after);
   }
   CallArrived event;
   event.call = call;
   event.call_class = static_cast<unsigned>(name - names.begin());
-  event.number_key = key_of(request.number);
-  // No caller waits longer than its class lets it, whatever it says.
+  event.number_key = number_key(request.number);
+  // The deadline of the class limits the caller's time-out, whatever the request says.
   const Duration longest = start_.settings.classes[event.call_class].deadline;
-  if (!request.patience || (longest > Duration{0} && *request.patience > longest)) request.patience = longest;
-  event.caller_timeout = *request.patience - std::max(loop_.now() - request.came, Duration{0});
+  if (!request.caller_timeout || (longest > Duration{0} && *request.caller_timeout > longest))
+    request.caller_timeout = longest;
+  event.caller_timeout = *request.caller_timeout - std::max(loop_.now() - request.received_at, Duration{0});
   event.first_choice = request.first_choice;
   event.advised = request.advised;
   event.retry = request.retry;
   event.reconnect = request.cut;
-  ++owed_;
+  ++pending_answers_;
   waiting_bytes_ += request.description.size();
   calls_.emplace(call, Exchange(std::move(request), front));
   deliver(event);
 }
 
-void Planner::reconsider(const std::function<std::optional<Duration>(const Request&)>& turns_away) {
+void Planner::recheck_held_calls(const std::function<std::optional<Duration>(const Request&)>& rejected_for) {
   std::vector<CallId> held;
   for (const auto& [call, exchange] : calls_) {
-    if (exchange.owed() && !exchange.attempt) held.push_back(call);
+    if (exchange.answer_pending() && !exchange.attempt) held.push_back(call);
   }
-  // In the order in which they came, whatever the table's.
+  // In order of arrival, independent of the order of the hash table.
   std::sort(held.begin(), held.end(), [this](CallId a, CallId b) {
-    const Time first = find(a)->request().came, second = find(b)->request().came;
+    const Time first = find(a)->request().received_at, second = find(b)->request().received_at;
     return first != second ? first < second : a < b;
   });
   for (const CallId call : held) {
     Exchange* const exchange = find(call);
-    if (!exchange || !exchange->owed() || exchange->attempt) continue;
-    const auto away = turns_away(exchange->request());
-    if (!away) continue;
-    settle(*exchange);
-    tally_.refused(exchange->request().call_class);
-    exchange->refuse(*away);
+    if (!exchange || !exchange->answer_pending() || exchange->attempt) continue;
+    const auto retry_after = rejected_for(exchange->request());
+    if (!retry_after) continue;
+    clear_pending(*exchange);
+    counters_.refused(exchange->request().call_class);
+    exchange->refuse(*retry_after);
     withdraw(call);
   }
 }
 
 Duration Planner::longest_aim() const { return longest_aim_of(start_.settings.classes); }
 
-// The controller hears nothing of it: what it still decides about these calls finds none, and each event
-// would have it look at all calls that it holds.
-void Planner::answer_owed() {
-  std::vector<CallId> owed;
+// The controller is not told: its later actions for these calls find no call and do nothing, and each event
+// would make it examine all calls that it holds.
+void Planner::answer_pending_calls() {
+  std::vector<CallId> unanswered;
   for (const auto& [call, exchange] : calls_) {
-    if (exchange.owed()) owed.push_back(call);
+    if (exchange.answer_pending()) unanswered.push_back(call);
   }
-  std::sort(owed.begin(), owed.end());
-  for (const CallId call : owed) {
+  std::sort(unanswered.begin(), unanswered.end());
+  for (const CallId call : unanswered) {
     Exchange& exchange = *find(call);
     answer_without_server(exchange);
-    if (exchange.attempt && exchange.attempt->left)
-      servers_.end(exchange.attempt->server, call, cause::kNormal);
-    erase(call);
+    if (exchange.attempt && exchange.attempt->dispatched)
+      servers_.release(exchange.attempt->server, call, cause::kNormal);
+    forget(call);
   }
 }
 
 void Planner::answer_without_server(Exchange& exchange) {
-  if (exchange.attempts > 0) return answer_failed(exchange);
-  settle(exchange);
-  tally_.refused(exchange.request().call_class);
+  if (exchange.attempts_made > 0) return answer_failed(exchange);
+  clear_pending(exchange);
+  counters_.refused(exchange.request().call_class);
   exchange.refuse(kRetryAfterWhenFull);
 }
 
 void Planner::answer_failed(Exchange& exchange) {
-  settle(exchange);
-  tally_.failed(exchange.request().call_class);
+  clear_pending(exchange);
+  counters_.failed(exchange.request().call_class);
   exchange.fail(Failure::error);
 }
 
 void Planner::cancel(CallId call) {
   Exchange* const exchange = find(call);
-  if (!exchange || !exchange->owed()) return;
-  settle(*exchange);
+  if (!exchange || !exchange->answer_pending()) return;
+  clear_pending(*exchange);
   exchange->close();
   withdraw(call);
 }
 
-// The call needs no more attempts: its caller has left, or has its answer.
+// Ends a call that needs no more attempts because its caller has left or has its answer.
 void Planner::withdraw(CallId call) {
   deliver(CallCancelled{call});
-  Exchange* const left = find(call);
-  if (!left) return;
-  if (!left->attempt) return erase(call);
-  // An attempt that the controller did not call off is out until it ends. One that has not begun to leave
-  // never does: nobody waits for it any more.
-  const Exchange::Attempt attempt = *left->attempt;
-  if (!attempt.left || servers_.take_back(attempt.server, call)) attempt_ended(*left, Ending::not_sent);
+  Exchange* const exchange = find(call);
+  if (!exchange) return;
+  if (!exchange->attempt) return forget(call);
+  // An attempt that the controller did not cancel stays in flight until it ends. One of which nothing was
+  // written yet is withdrawn: nobody waits for it any more.
+  const Exchange::Attempt attempt = *exchange->attempt;
+  if (!attempt.dispatched || servers_.withdraw_unsent(attempt.server, call))
+    attempt_ended(*exchange, Ending::not_sent);
 }
 
 void Planner::release(CallId call, int cause) {
   Exchange* const exchange = find(call);
   if (!exchange) {
-    // It may have been set up before this process started.
-    if (past_.count(call) == 0) servers_.end_everywhere(call, cause);
-    return remember(call);
+    // The call may have been set up before this process started.
+    if (ended_calls_.count(call) == 0) servers_.release_everywhere(call, cause);
+    return remember_ended(call);
   }
-  if (!exchange->stands()) return cancel(call);
+  if (!exchange->established()) return cancel(call);
   exchange->close();
-  servers_.end(exchange->attempt->server, call, cause);
-  end_standing(call, Ending::cancelled, cause, {});
+  servers_.release(exchange->attempt->server, call, cause);
+  end_established(call, Ending::cancelled, cause, {});
 }
 
-// ---- The server side
+// ---- Messages and connections of setup servers
 
-SetUpOutcome Planner::told_of_call(const ServerId& server, ServerLine line, MessageOrigin origin) {
+SetUpOutcome Planner::on_call_message(const ServerId& server, ServerLine line, MessageOrigin origin) {
   Exchange* const exchange = find(line.call);
   if (!exchange) {
-    told_of_unknown_call(server, line);
+    handle_unknown_call_message(server, line);
     return SetUpOutcome::open;
   }
   if (exchange->attempt && exchange->attempt->server != server) {
-    told_by_another_server(*exchange, server, line);
+    handle_other_server_message(*exchange, server, line);
     return SetUpOutcome::open;
   }
-  return told_of_attempt(*exchange, server, std::move(line), origin);
+  return handle_attempt_message(*exchange, server, std::move(line), origin);
 }
 
-void Planner::told_of_unknown_call(const ServerId& server, const ServerLine& line) {
-  const bool is_past = past_.count(line.call) > 0;
+void Planner::handle_unknown_call_message(const ServerId& server, const ServerLine& line) {
+  const bool has_ended = ended_calls_.count(line.call) > 0;
   if (line.op == ServerOp::accept) {
-    if (!is_past) return ignore(server, line, "unknown call");
-    // Nobody will ever use the call.
+    if (!has_ended) return ignore(server, line, "unknown call");
+    // No caller will use the call.
     log_.call_line("call %s: late answer of %s, released there", call_text(line.call).c_str(),
                    server_text(server).c_str());
-    return servers_.end(server, line.call, cause::kNormal);
+    return servers_.release(server, line.call, cause::kNormal);
   }
-  // It may have stood before this process started: its caller must still hear that it is over.
-  const bool over = line.why == cause::kNormal || line.why == cause::kTemporary;
-  remember(line.call);
-  if (!is_past && over && strays_) strays_->over(line.call, line.why);
+  // The call may have been established before this process started: its caller must still be told of its end.
+  const bool call_over = line.why == cause::kNormal || line.why == cause::kTemporary;
+  remember_ended(line.call);
+  if (!has_ended && call_over && unknown_call_front_) unknown_call_front_->call_ended(line.call, line.why);
 }
 
-// Of an earlier attempt there, which is over: a call that stands by it has nobody to use it.
-void Planner::told_by_another_server(const Exchange& exchange, const ServerId& server,
-                                     const ServerLine& line) {
+// The message concerns an earlier attempt at that server, which has ended. A call that it established has no
+// caller and is released.
+void Planner::handle_other_server_message(const Exchange& exchange, const ServerId& server,
+                                          const ServerLine& line) {
   if (line.op != ServerOp::accept) return ignore(server, line, "the attempt is at another server");
   log_.call_line("call %s: late answer of %s, released there", call_text(exchange.request().call).c_str(),
                  server_text(server).c_str());
-  servers_.end(server, line.call, cause::kNormal);
+  servers_.release(server, line.call, cause::kNormal);
 }
 
 namespace {
 
 AttemptState state_of(const Exchange& exchange, bool set_up_is_out) {
   if (!exchange.attempt) return AttemptState::none;
-  if (exchange.stands()) return AttemptState::established;
-  return exchange.attempt->left && set_up_is_out ? AttemptState::sent : AttemptState::scheduled;
+  if (exchange.established()) return AttemptState::established;
+  return exchange.attempt->dispatched && set_up_is_out ? AttemptState::sent : AttemptState::scheduled;
 }
 
 ServerMessage message_of(const ServerLine& line) {
@@ -317,125 +328,127 @@
 
 }  // namespace
 
-SetUpOutcome Planner::told_of_attempt(Exchange& exchange, const ServerId& server, ServerLine line,
-                                      MessageOrigin origin) {
+SetUpOutcome Planner::handle_attempt_message(Exchange& exchange, const ServerId& server, ServerLine line,
+                                             MessageOrigin origin) {
   const CallId call = line.call;
-  const Duration out_for = exchange.attempt ? loop_.now() - exchange.attempt->sent : Duration{0};
-  const MessageRule rule = *find_rule(state_of(exchange, origin.set_up_is_out), message_of(line),
-                                      origin.connection, exchange.earlier.at(server), age_of(out_for));
-  const Ending over = line.why == cause::kNormal ? Ending::completed : Ending::reset;
+  const Duration elapsed = exchange.attempt ? loop_.now() - exchange.attempt->sent_at : Duration{0};
+  const MessageRule rule =
+      *find_rule(state_of(exchange, origin.set_up_is_out), message_of(line), origin.connection,
+                 exchange.earlier_attempts.at(server), attempt_age(elapsed));
+  const Ending ending = line.why == cause::kNormal ? Ending::completed : Ending::reset;
   if (rule.verdict == Verdict::refused || rule.verdict == Verdict::give_up) {
     log_message(
         server, line,
-        origin.connection == Connection::own ? "on the set-up's connection" : "on another connection");
+        origin.connection == MessageConnection::own ? "on the set-up's connection" : "on another connection");
   }
   switch (rule.verdict) {
     case Verdict::ignore:
       ignore(server, line, rule.reason);
       return SetUpOutcome::open;
-    case Verdict::ended_early:
+    case Verdict::ended_before_answer:
       log_message(server, line, rule.reason);
       await_answer_of_ended_call(exchange, line.why);
       return SetUpOutcome::open;
     case Verdict::answered:
-      return answered(exchange, std::move(line));
+      return handle_answer(exchange, std::move(line));
     case Verdict::refused:
-      attempt_ended(exchange, refusal_of(line.why), cause_of(line.note), parse_load(line.load));
+      attempt_ended(exchange, refusal_ending(line.why), cause_from_note(line.note), parse_load(line.load));
       return SetUpOutcome::settled;
     case Verdict::give_up:
-      give_up(exchange);
+      abandon_attempt(exchange);
       return SetUpOutcome::settled;
     case Verdict::ended:
-      end_standing(call, over, line.why, parse_load(line.load));
+      end_established(call, ending, line.why, parse_load(line.load));
       return SetUpOutcome::settled;
     case Verdict::ended_and_release:
-      servers_.end(server, call, cause::kNormal);
-      end_standing(call, over, line.why, parse_load(line.load));
+      servers_.release(server, call, cause::kNormal);
+      end_established(call, ending, line.why, parse_load(line.load));
       return SetUpOutcome::settled;
   }
   return SetUpOutcome::open;
 }
 
-SetUpOutcome Planner::answered(Exchange& exchange, ServerLine line) {
+SetUpOutcome Planner::handle_answer(Exchange& exchange, ServerLine line) {
   const Exchange::Attempt attempt = *exchange.attempt;
-  if (!exchange.owed()) {
-    // Its caller has left: nobody will ever use the call.
-    servers_.end(attempt.server, line.call, cause::kNormal);
+  if (!exchange.answer_pending()) {
+    // Its caller has left and will not use the call.
+    servers_.release(attempt.server, line.call, cause::kNormal);
     attempt_ended(exchange, Ending::cancelled);
     return SetUpOutcome::settled;
   }
-  settle(exchange);
-  if (gate_) gate_->answered(exchange.request(), loop_.now());
-  tally_.served(exchange.request().call_class);
+  clear_pending(exchange);
+  if (admission_filter_) admission_filter_->answered(exchange.request(), loop_.now());
+  counters_.served(exchange.request().call_class);
   exchange.answer(std::move(line.description));
-  deliver(CallEstablished{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent});
-  if (!line.load.empty()) told(attempt.server, parse_load(line.load));
-  if (!attempt.ended_early) return SetUpOutcome::established;
-  const Ending over = *attempt.ended_early == cause::kNormal ? Ending::completed : Ending::reset;
-  end_standing(line.call, over, *attempt.ended_early, {});
+  deliver(CallEstablished{line.call, attempt.number, attempt.server, loop_.now() - attempt.sent_at});
+  if (!line.load.empty()) on_load_report(attempt.server, parse_load(line.load));
+  if (!attempt.early_end_cause) return SetUpOutcome::established;
+  const Ending ending = *attempt.early_end_cause == cause::kNormal ? Ending::completed : Ending::reset;
+  end_established(line.call, ending, *attempt.early_end_cause, {});
   return SetUpOutcome::settled;
 }
 
-// What has stood and is over is told within 1 s: answered and ended if the answer still comes, else failed.
+// A call that was established and has ended must be reported to its caller within 1 s: answered and ended if
+// the answer still arrives, else failed.
 void Planner::await_answer_of_ended_call(Exchange& exchange, int cause) {
-  if (std::exchange(exchange.attempt->ended_early, cause)) return;
+  if (std::exchange(exchange.attempt->early_end_cause, cause)) return;
   const CallId call = exchange.request().call;
-  loop_.at(loop_.now() + kAnswerAfterEnd, [this, call, number = exchange.attempt->number] {
+  loop_.at(loop_.now() + kAnswerTimeoutAfterEnd, [this, call, number = exchange.attempt->number] {
     Exchange* const ended = find(call);
-    if (!ended || !ended->attempt || ended->attempt->number != number || ended->stands()) return;
-    log_.call_line("call %s: over before its answer came", call_text(call).c_str());
+    if (!ended || !ended->attempt || ended->attempt->number != number || ended->established()) return;
+    log_.call_line("call %s: ended before its answer arrived", call_text(call).c_str());
     answer_without_server(*ended);
     withdraw(call);
   });
 }
 
-// The server may have meant this attempt or an earlier one. Ended from here, it is over either way.
-void Planner::give_up(Exchange& exchange) {
-  servers_.end(exchange.attempt->server, exchange.request().call, cause::kNormal);
+// The server's message may concern this attempt or an earlier one. Releasing the call ends it in either case.
+void Planner::abandon_attempt(Exchange& exchange) {
+  servers_.release(exchange.attempt->server, exchange.request().call, cause::kNormal);
   attempt_ended(exchange, Ending::reset, Cause::connection_lost);
 }
 
-void Planner::broke(const ServerId& server, CallId call, unsigned attempt, Break how) {
+void Planner::on_set_up_lost(const ServerId& server, CallId call, unsigned attempt, SetUpLoss how) {
   Exchange* const exchange = find(call);
-  if (!exchange || !exchange->attempt || exchange->stands()) return;
+  if (!exchange || !exchange->attempt || exchange->established()) return;
   if (exchange->attempt->server != server || exchange->attempt->number != attempt) return;
-  // A connection that broke says nothing of the process behind it; one that cannot be made does.
-  attempt_ended(*exchange, how == Break::sent ? Ending::reset : Ending::not_connected,
-                how == Break::unreachable ? Cause::none : Cause::connection_lost);
+  // A broken connection tells nothing about the server process; a connection that cannot be made does.
+  attempt_ended(*exchange, how == SetUpLoss::sent ? Ending::reset : Ending::not_connected,
+                how == SetUpLoss::unreachable ? Cause::none : Cause::connection_lost);
 }
 
-void Planner::told(const ServerId& server, const LoadReport& report) {
+void Planner::on_load_report(const ServerId& server, const LoadReport& report) {
   deliver(ServerProbed{server, true, report});
 }
 
-std::vector<CallId> Planner::standing_at(const ServerId& server) const {
+std::vector<CallId> Planner::established_at(const ServerId& server) const {
   std::vector<CallId> found;
   for (const auto& [call, exchange] : calls_) {
-    if (exchange.stands() && exchange.attempt->server == server) found.push_back(call);
+    if (exchange.established() && exchange.attempt->server == server) found.push_back(call);
   }
   std::sort(found.begin(), found.end());
   return found;
 }
 
-void Planner::died(const ServerId& server) {
-  const std::vector<CallId> cut = standing_at(server);
+void Planner::on_process_gone(const ServerId& server) {
+  const std::vector<CallId> cut = established_at(server);
   if (cut.empty()) return;
   log_.line("server %s: its process is gone, %zu calls cut", server_text(server).c_str(), cut.size());
-  for (const CallId call : cut) end_standing(call, Ending::reset, cause::kTemporary, {});
+  for (const CallId call : cut) end_established(call, Ending::reset, cause::kTemporary, {});
 }
 
-// Some may stand there still: they are released, should it be there again.
-void Planner::cut_off(const ServerId& server, const std::vector<CallId>& calls) {
+// Some calls may still be established there: they are released in case the server becomes reachable again.
+void Planner::on_calls_unreachable(const ServerId& server, const std::vector<CallId>& calls) {
   log_.line("server %s: silent, %zu calls cut", server_text(server).c_str(), calls.size());
   for (const CallId call : calls) {
-    servers_.end(server, call, cause::kTemporary);
-    end_standing(call, Ending::reset, cause::kTemporary, {});
+    servers_.release(server, call, cause::kTemporary);
+    end_established(call, Ending::reset, cause::kTemporary, {});
   }
 }
 
 std::size_t Planner::concurrent() const {
   return static_cast<std::size_t>(std::count_if(calls_.begin(), calls_.end(), [](const auto& each) {
-    return each.second.owed() || each.second.stands();
+    return each.second.answer_pending() || each.second.established();
   }));
 }
 
@@ -455,8 +468,8 @@
   return found == calls_.end() ? nullptr : &found->second;
 }
 
-void Planner::settle(const Exchange& exchange) {
-  --owed_;
+void Planner::clear_pending(const Exchange& exchange) {
+  --pending_answers_;
   waiting_bytes_ -= exchange.request().description.size();
 }
 
@@ -467,102 +480,104 @@
 }
 
 void Planner::ignore(const ServerId& server, const ServerLine& line, const char* reason) {
-  ++tally_.messages_ignored;
+  ++counters_.messages_ignored;
   log_message(server, line, (std::string("ignored, ") + reason).c_str());
 }
 
-void Planner::erase(CallId call) {
-  if (calls_.erase(call) > 0) remember(call);
+void Planner::forget(CallId call) {
+  if (calls_.erase(call) > 0) remember_ended(call);
 }
 
-void Planner::remember(CallId call) {
-  if (!past_.insert(call).second) return;
-  past_order_.push_back(call);
-  if (past_order_.size() <= kMostPast) return;
-  past_.erase(past_order_.front());
-  past_order_.pop_front();
+void Planner::remember_ended(CallId call) {
+  if (!ended_calls_.insert(call).second) return;
+  ended_calls_order_.push_back(call);
+  if (ended_calls_order_.size() <= kMaxEndedCalls) return;
+  ended_calls_.erase(ended_calls_order_.front());
+  ended_calls_order_.pop_front();
 }
 
 void Planner::attempt_ended(Exchange& exchange, Ending ending, Cause cause, const LoadReport& report) {
   const CallId call = exchange.request().call;
   const Exchange::Attempt attempt = *std::exchange(exchange.attempt, std::nullopt);
-  if (attempt.ended_early && exchange.owed()) answer_failed(exchange);
-  const bool settled = !exchange.owed();
-  exchange.timed_out = ending == Ending::timed_out;
-  exchange.earlier.ended(attempt.server, ending);
-  ++tally_.attempts_ended[static_cast<std::size_t>(ending)];
+  if (attempt.early_end_cause && exchange.answer_pending()) answer_failed(exchange);
+  const bool settled = !exchange.answer_pending();
+  exchange.last_timed_out = ending == Ending::timed_out;
+  exchange.earlier_attempts.record(attempt.server, ending);
+  ++counters_.attempts_ended[static_cast<std::size_t>(ending)];
   log_.call_line("call %s: attempt %u at %s ended after %lld ms: %s%s", call_text(call).c_str(),
                  attempt.number, server_text(attempt.server).c_str(),
-                 static_cast<long long>((loop_.now() - attempt.sent) / std::chrono::milliseconds(1)),
-                 std::string(ending_text(ending)).c_str(), settled ? ", nothing more is owed" : "");
-  if (settled) erase(call);
-  deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent, ending, cause,
+                 static_cast<long long>((loop_.now() - attempt.sent_at) / std::chrono::milliseconds(1)),
+                 std::string(ending_text(ending)).c_str(), settled ? ", nothing left to answer" : "");
+  if (settled) forget(call);
+  deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent_at, ending, cause,
                        settled, std::nullopt, report});
 }
 
-void Planner::end_standing(CallId call, Ending ending, int cause, const LoadReport& report) {
+void Planner::end_established(CallId call, Ending ending, int cause, const LoadReport& report) {
   Exchange* const exchange = find(call);
   const Exchange::Attempt attempt = *exchange->attempt;
-  exchange->over(cause);
-  servers_.call_over(attempt.server, call);
-  erase(call);
-  deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent, ending, Cause::none,
-                       true, std::nullopt, report});
+  exchange->end(cause);
+  servers_.forget_call(attempt.server, call);
+  forget(call);
+  deliver(AttemptEnded{call, attempt.number, attempt.server, loop_.now() - attempt.sent_at, ending,
+                       Cause::none, true, std::nullopt, report});
 }
 
 // ---- The controller
 
-// Events that come up while an action is carried out wait for their turn.
+// Events that arise while an action is executed are queued behind it.
 void Planner::deliver(Event event) {
   events_.push_back(std::move(event));
-  if (!pumping_) pump();
+  if (!processing_events_) process_events();
 }
 
-void Planner::pump() {
-  pumping_ = true;
+void Planner::process_events() {
+  processing_events_ = true;
   while (!events_.empty()) {
     const Event event = std::move(events_.front());
     events_.pop_front();
     for (const Action& action : controller_.handle(loop_.now(), event)) {
-      std::visit([this](const auto& a) { carry_out(a); }, action);
+      std::visit([this](const auto& a) { execute(a); }, action);
     }
   }
-  pumping_ = false;
+  processing_events_ = false;
 }
 
-// A set-up leaves at the end of the pass only: what is read in the same pass may still stop it.
-void Planner::carry_out(const SendSetup& action) {
+// A set-up is sent only at the end of the pass of the event loop: a message read in the same pass may still
+// cancel it.
+void Planner::execute(const SendSetup& action) {
   Exchange* const exchange = find(action.call);
-  if (!exchange || !exchange->owed() || exchange->attempt) return;
-  exchange->attempt = Exchange::Attempt{exchange->attempts++, action.server, loop_.now(), false};
+  if (!exchange || !exchange->answer_pending() || exchange->attempt) return;
+  exchange->attempt = Exchange::Attempt{exchange->attempts_made++, action.server, loop_.now(), false};
   const Time until = action.give_up_after && *action.give_up_after != Duration{0}
                          ? std::min(loop_.now() + *action.give_up_after, exchange->deadline())
                          : exchange->deadline();
   watch_deadline(*exchange, until);
-  due_.emplace_back(action.call, exchange->attempt->number);
+  due_attempts_.emplace_back(action.call, exchange->attempt->number);
 }
 
 void Planner::watch_deadline(const Exchange& exchange, Time at) {
   loop_.at(at, [this, call = exchange.request().call, number = exchange.attempt->number] {
     Exchange* const late = find(call);
-    if (!late || !late->attempt || late->attempt->number != number || late->stands()) return;
-    if (late->attempt->left) servers_.end(late->attempt->server, call, cause::kNormal);
+    if (!late || !late->attempt || late->attempt->number != number || late->established()) return;
+    if (late->attempt->dispatched) servers_.release(late->attempt->server, call, cause::kNormal);
     attempt_ended(*late, Ending::timed_out);
   });
 }
 
 bool Planner::send_due() {
-  const auto due = std::exchange(due_, {});
+  const auto due = std::exchange(due_attempts_, {});
   for (const auto& [call, number] : due) {
     Exchange* const exchange = find(call);
-    if (!exchange || !exchange->attempt || exchange->attempt->number != number || exchange->attempt->left)
+    if (!exchange || !exchange->attempt || exchange->attempt->number != number ||
+        exchange->attempt->dispatched)
       continue;
-    exchange->attempt->left = true;
+    exchange->attempt->dispatched = true;
     if (number > 0) {
       log_.call_line("call %s: attempt %u to %s", call_text(call).c_str(), number,
                      server_text(exchange->attempt->server).c_str());
     }
-    ++tally_.dispatches;
+    ++counters_.dispatches;
     const Request& request = exchange->request();
     servers_.offer(exchange->attempt->server, {call, request.call_class, request.number, request.description,
                                                exchange->deadline(), number});
@@ -570,43 +585,46 @@
   return !due.empty();
 }
 
-void Planner::carry_out(const CancelAttempt& action) {
+void Planner::execute(const CancelAttempt& action) {
   Exchange* const exchange = find(action.call);
-  if (!exchange || !exchange->attempt || exchange->attempt->number != action.attempt || exchange->stands())
+  if (!exchange || !exchange->attempt || exchange->attempt->number != action.attempt ||
+      exchange->established())
     return;
-  // Its call is over: the answer is waited for, and the call is not to be sent again.
-  if (exchange->attempt->ended_early && exchange->owed()) return;
-  if (exchange->attempt->left) servers_.end(exchange->attempt->server, action.call, cause::kNormal);
+  // The call has already ended at the server: its answer is awaited, and the call must not be sent again.
+  if (exchange->attempt->early_end_cause && exchange->answer_pending()) return;
+  if (exchange->attempt->dispatched) servers_.release(exchange->attempt->server, action.call, cause::kNormal);
   attempt_ended(*exchange, Ending::cancelled);
 }
 
-void Planner::carry_out(const Refuse& action) {
+void Planner::execute(const Refuse& action) {
   Exchange* const exchange = find(action.call);
-  if (!exchange || !exchange->owed()) return;
-  settle(*exchange);
-  if (gate_) gate_->refused(exchange->request(), loop_.now());
-  tally_.refused(exchange->request().call_class);
-  if (exchange->attempts > 0) {
-    log_.call_line("call %s: refused after %u attempts", call_text(action.call).c_str(), exchange->attempts);
+  if (!exchange || !exchange->answer_pending()) return;
+  clear_pending(*exchange);
+  if (admission_filter_) admission_filter_->refused(exchange->request(), loop_.now());
+  counters_.refused(exchange->request().call_class);
+  if (exchange->attempts_made > 0) {
+    log_.call_line("call %s: refused after %u attempts", call_text(action.call).c_str(),
+                   exchange->attempts_made);
   }
   exchange->refuse(action.retry_after);
-  if (!exchange->attempt) erase(action.call);
+  if (!exchange->attempt) forget(action.call);
 }
 
-void Planner::carry_out(const Fail& action) {
+void Planner::execute(const Fail& action) {
   Exchange* const exchange = find(action.call);
-  if (!exchange || !exchange->owed()) return;
-  settle(*exchange);
-  tally_.failed(exchange->request().call_class);
-  log_.call_line("call %s: failed after %u attempts", call_text(action.call).c_str(), exchange->attempts);
-  exchange->fail(exchange->timed_out ? Failure::timed_out : Failure::error);
-  if (!exchange->attempt) erase(action.call);
+  if (!exchange || !exchange->answer_pending()) return;
+  clear_pending(*exchange);
+  counters_.failed(exchange->request().call_class);
+  log_.call_line("call %s: failed after %u attempts", call_text(action.call).c_str(),
+                 exchange->attempts_made);
+  exchange->fail(exchange->last_timed_out ? Failure::timed_out : Failure::error);
+  if (!exchange->attempt) forget(action.call);
 }
 
-void Planner::carry_out(const SetTimer& action) {
+void Planner::execute(const SetTimer& action) {
   loop_.at(loop_.now() + action.after, [this, token = action.token] { deliver(TimerFired{token}); });
 }
 
-void Planner::carry_out(const Log& action) { log_.line("%s", action.text.c_str()); }
+void Planner::execute(const Log& action) { log_.line("%s", action.text.c_str()); }
 
 }  // namespace quartzarch
--- a/src/fleet/certificate_store.hpp
+++ b/src/fleet/certificate_store.hpp
@@ -1,9 +1,9 @@
-// A fleet's certificates, keys and orders in the register, sealed, with a copy in each controller's
+// A fleet's certificates, keys and orders: encrypted in the register, with a copy in each controller's
 // directory.
 //
-// Reads come from the copy, so that certificates are served whatever becomes of the voters. A change goes to
-// the register first, under the token of the duty and the revision at which the value was known, then to the
-// copy: one that was held up on the way does nothing, neither after the holding nor after a later change.
+// Reads use the copy, so that certificates are served even if the voters are unreachable. A change goes to
+// the register first, with the fencing token of the duty and the revision that the value is expected to have,
+// and then to the copy: a delayed change has no effect, neither after the holding nor after a later change.
 #pragma once
 
 #include <map>
@@ -20,20 +20,22 @@
 
 inline constexpr const char* kCertificatesDuty = "certificates";
 
+// The store of the ACME client of a fleet's controller.
 class CertificateStore : public acme::Store {
  public:
-  // `stopped`: ends waiting for the register.
+  // `stopped`: returns true to end waiting for the register.
   CertificateStore(Logger& log, Membership& fleet, Seal seal, const std::string& directory,
                    std::function<bool()> stopped);
 
-  // Waits until the register's were told once; false: it is out of reach, the copy is what there is.
-  bool wait_first(Duration patience);
-  // Everything as the register has it, ahead of the first change under that token. False: out of reach.
-  bool catch_up(duty::Token token);
-  // Of the last catch_up(); 0: there was none.
+  // Waits until the register's contents were received once. False: it is out of reach, and only the copy is
+  // available.
+  bool wait_for_contents(Duration timeout);
+  // Reads everything from the register, before the first change under that token. False: it is out of reach.
+  bool reload(duty::Token token);
+  // The token of the last reload(); 0: there was none.
   duty::Token token() const { return token_; }
-  // No change since then may or may not have been done.
-  bool sure() const { return sure_; }
+  // False after a change whose outcome is unknown: reload() has to be called before the next one.
+  bool consistent() const { return consistent_; }
 
   std::optional<std::string> read(const std::string& name) const override;
   void write(const std::string& name, std::string_view text) override;
@@ -50,70 +52,73 @@
   void look() override;
 
  private:
-  struct Told {
+  struct WatchUpdate {
     reg::Revision at = 0;
     std::vector<reg::Change> changes{};
-    bool whole = false;
+    bool complete = false;
   };
   struct Known {
-    reg::Revision changed = 0;  // the last change that was told or made
-    reg::Revision stands = 0;   // what a write has to expect; 0: it is not there
+    reg::Revision changed = 0;         // revision of the last change received or made
+    reg::Revision value_revision = 0;  // revision that a write has to expect; 0: the value does not exist
   };
-  // Filled on the fleet's thread, emptied on the keeper's.
+  // Filled on the fleet's thread, emptied on the thread of the ACME client.
   struct Inbox {
     std::mutex mutex;
-    std::vector<Told> told;
+    std::vector<WatchUpdate> updates;
   };
 
   void watch();
-  // To the register. Throws StateError, TurnLost.
+  // Applies a change to the register. Throws StateError, TurnLost.
   void change(reg::Command command);
   void put(const std::string& name, std::string_view text);
-  std::vector<std::string> copied() const;  // names
+  std::vector<std::string> copied_names() const;  // names
   std::optional<acme::Secret> copy_of(const std::string& name) const;
-  // Into the copy, if it differs.
-  void take(const std::string& name, std::string_view text);
-  void take_all(const Told& told);
-  // What a controller had before it was of a fleet: the first holder's is everybody's.
-  void bring_in();
+  // Writes to the copy, if it differs.
+  void update_copy(const std::string& name, std::string_view text);
+  void apply_update(const WatchUpdate& update);
+  // Imports this controller's records from before the fleet: those of the first holder become everybody's.
+  void import_copy();
 
   Logger& log_;
   Membership& fleet_;
-  Office& office_;
+  DutyHandle& duty_handle_;
   Seal seal_;
   acme::StateDirectory copy_;
   std::function<bool()> stopped_;
   std::shared_ptr<Inbox> inbox_ = std::make_shared<Inbox>();
   std::map<std::string, Known> known_;
-  std::map<std::string, std::string> unusable_;  // digests of what was put aside: not taken again
-  bool begun_ = false;                           // the register has a fleet's certificates
-  bool first_ = false;                           // they were told once
-  bool told_unsealed_ = false;
+  std::map<std::string, std::string>
+      rejected_digests_;       // digests of records put aside, which are not copied again
+  bool initialized_ = false;   // the register holds the fleet's certificates
+  bool received_all_ = false;  // the complete contents were received once
+  bool logged_unsealed_ = false;
   duty::Token token_ = 0;
-  bool sure_ = false;
-  mutable bool copy_lacks_ = false;  // it is to be made anew from the register
-  Time made_anew_{};
+  bool consistent_ = false;
+  mutable bool copy_incomplete_ = false;  // the copy has to be completed from the register
+  Time rewatched_at_{};
 };
 
-// Whose turn it is to change the certificates: the duty's holder's.
+// The turn to change the certificates, which is the duty's holder's.
 class DutyTurn : public acme::Turn {
  public:
-  DutyTurn(Office& office, CertificateStore& store) : office_(office), store_(store) {}
-  ~DutyTurn() override { office_.busy(false); }
+  DutyTurn(DutyHandle& duty_handle, CertificateStore& store) : duty_handle_(duty_handle), store_(store) {}
+  ~DutyTurn() override { duty_handle_.busy(false); }
 
   bool take(acme::Instant now) override;
   bool keep(acme::Instant now) override;
-  void give_back() override { office_.busy(false); }
+  void give_back() override { duty_handle_.busy(false); }
   std::optional<Holder> holder(acme::Instant now) const override;
 
  private:
-  Office& office_;
+  DutyHandle& duty_handle_;
   CertificateStore& store_;
 };
 
-// The seal of the file that the settings name. Throws ConfigError if there is none, or no such file.
+// Reads the encryption key from the file that the settings name. Throws ConfigError if none is named, or the
+// file does not hold one.
 Seal read_seal(const FleetSettings& settings);
-acme::Kept kept_by_fleet(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
-                         Duration patience, std::function<bool()> stopped);
+// The store and the turn for a controller of a fleet; waits `timeout` for the register's contents.
+acme::Kept open_fleet_store(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
+                            Duration timeout, std::function<bool()> stopped);
 
 }  // namespace quartzarch::fleet
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -1,8 +1,8 @@
-// A serving process's part in its fleet: a voter if the file names it so, a session, and the duties that it
-// can do. On a thread and loop of its own, by the steady clock: a disk that takes its time holds no call up,
-// and calls go on as they are whatever becomes of the fleet.
+// A serving process's membership of its fleet: a voter if the settings file names it so, a session, and the
+// duties that it may hold. It runs on a thread and loop of its own, by the steady clock, so that a slow disk
+// delays no call and calls go on whatever happens to the fleet.
 //
-// What else the process has shares the register through it: ask() and watch() from any thread, and an Office
+// The rest of the process uses the register through it: ask() and watch() from any thread, and a DutyHandle
 // for each duty.
 #pragma once
 
@@ -21,76 +21,80 @@
 
 namespace quartzarch::fleet {
 
-// A duty as the threads that do its work see it. Every act is a write to the register under the token, which
-// refuses it once the holding is over: the work need not be awaited longer than `ending` when it is to end.
-class Office : public duty::Work {
+// A duty as seen by the threads that do its work. Every action of the work is a write to the register under
+// the token, which refuses it once the holding is over; so when the work has to end, it need not be awaited
+// for longer than `ending`.
+class DutyHandle : public duty::Work {
  public:
-  Office(std::string name, Duration ending) : name_(std::move(name)), ending_(ending) {}
+  DutyHandle(std::string name, Duration ending) : name_(std::move(name)), ending_(ending) {}
 
-  // The token under which may be acted at this moment; any thread.
+  // The token under which the work may act at this moment; any thread.
   std::optional<duty::Token> holds() const;
-  // While the work is at something, its end is awaited, for a while. Any thread.
-  void busy(bool at_work);
-  // The work gets on. Without a word for the duty's time of progress it goes to another controller. Any
+  // Reports that the work is in the middle of something; its end is then awaited for a while. Any thread.
+  void busy(bool is_busy);
+  // Reports progress. Without a report for the duty's progress time the duty goes to another controller. Any
   // thread.
-  void progressed();
+  void report_progress();
   const std::string& name() const { return name_; }
 
  private:
   friend class Membership;
   void attach(Loop& loop, Mailbox& mailbox, duty::Member& member);
   void begin(duty::Token token) override;
-  void end(duty::Token token, duty::Why why, Time until) override;
-  void extended(duty::Token token, Time until) override;
-  void told_to_end();
+  void end(duty::Token token, duty::EndReason reason, Time until) override;
+  void lease_extended(duty::Token token, Time until) override;
+  // The work has stopped before its deadline.
+  void finish_ending();
 
   const std::string name_;
   const Duration ending_;
   Loop* loop_ = nullptr;
   Mailbox* mailbox_ = nullptr;
   duty::Member* member_ = nullptr;
-  // On the fleet's thread.
+  // Used on the fleet's thread only.
   duty::Token ending_token_ = 0;
   std::optional<Loop::TimerId> timer_;
 
   mutable std::mutex mutex_;
-  duty::Token token_ = 0;  // 0: nothing may be begun
+  duty::Token token_ = 0;  // 0: the work must not act
   Time until_{};
-  bool at_work_ = false;
-  Time told_progress_{};
+  bool busy_ = false;
+  Time last_report_{};
 };
 
+// Runs a process's membership on a thread of its own.
 class Membership : public Extension {
  public:
-  // `duties`: what this process does when it holds them. Throws ConfigError if this voter's disk or address
-  // cannot be had: told at the start, not later.
+  // `duties`: the duties that this process may hold. Throws ConfigError if this voter's disk or address
+  // cannot be used, so that the start fails, not the running process.
   Membership(Logger& log, const FleetSettings& settings, const std::string& name, std::uint64_t seed,
              const std::vector<std::string>& duties = {});
   ~Membership() override;
   void stop() override;
 
-  // Any thread; `done` and `told` run on the fleet's thread, and never after this object's end.
-  void ask(reg::Command command, reg::Access::Done done);
-  void watch(const std::string& prefix, reg::Access::Told told);
-  // Asks until there is an answer, `patience` is over or `given_up` says so; not on the fleet's thread. For
-  // commands that may come twice.
-  std::optional<reg::Reply> ask_and_wait(const reg::Command& command, Duration patience,
-                                         const std::function<bool()>& given_up = {});
-  Office& office(const std::string& duty) { return *offices_.at(duty); }
+  // Callable from any thread; `done` and `on_changes` run on the fleet's thread, and never after this
+  // object's end.
+  void ask(reg::Command command, reg::ClientProtocol::Done done);
+  void watch(const std::string& prefix, reg::ClientProtocol::OnChanges on_changes);
+  // Asks repeatedly until there is a reply, `timeout` has passed or `cancelled` returns true; not on the
+  // fleet's thread. For idempotent commands.
+  std::optional<reg::Reply> ask_and_wait(const reg::Command& command, Duration timeout,
+                                         const std::function<bool()>& cancelled = {});
+  DutyHandle& duty_handle(const std::string& duty) { return *handles_.at(duty); }
 
  private:
-  class Parts;
+  class LoopState;
   void run();
 
-  std::map<std::string, std::unique_ptr<Office>> offices_;
-  std::unique_ptr<Parts> parts_;
+  std::map<std::string, std::unique_ptr<DutyHandle>> handles_;
+  std::unique_ptr<LoopState> state_;
   std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
 
-// The register's voters and the duty settings as the layers below take them.
+// The register's voters and the duty settings in the form that the layers below take.
 std::map<std::string, sockaddr_in> addresses(const FleetSettings& settings);
-duty::Settings steward_settings(const FleetSettings& settings, const std::string& name);
+duty::Settings lease_settings(const FleetSettings& settings, const std::string& name);
 duty::DutySettings duty_settings(const FleetSettings& settings, const std::string& duty,
                                  const std::string& name);
 
--- a/src/front/sip/transport.cpp
+++ b/src/front/sip/transport.cpp
@@ -38,17 +38,17 @@
     : loop_(loop), log_(log), most_connections_(most_connections), on_message_(std::move(on_message)) {
   if (listening.udp) {
     udp_ = bind_udp(*listening.udp);
-    loop_.watch(*this, Rank::callers);
+    loop_.watch(*this, Priority::callers);
   }
   if (listening.tcp) {
     tcp_ = std::make_unique<Listener>(*this, TransportKind::tcp, listen_on(*listening.tcp));
-    loop_.watch(*tcp_, Rank::callers);
+    loop_.watch(*tcp_, Priority::callers);
   }
   if (listening.tls) {
     tls_context_ = std::make_unique<TlsContext>(log, listening.certificates, listening.tls_certificate,
                                                 listening.tls_ca);
     tls_ = std::make_unique<Listener>(*this, TransportKind::tls, listen_on(*listening.tls));
-    loop_.watch(*tls_, Rank::callers);
+    loop_.watch(*tls_, Priority::callers);
     if (tls_context_->watches()) look_at_certificate();
   }
   sweep();
@@ -57,9 +57,9 @@
 Transport::~Transport() {
   loop_.cancel(sweep_timer_);
   if (certificate_timer_) loop_.cancel(*certificate_timer_);
-  loop_.forget(*this);
-  if (tcp_) loop_.forget(*tcp_);
-  if (tls_) loop_.forget(*tls_);
+  loop_.unwatch(*this);
+  if (tcp_) loop_.unwatch(*tcp_);
+  if (tls_) loop_.unwatch(*tls_);
   for (auto& [id, connection] : connections_) connection.stream->close();
 }
 
@@ -80,7 +80,7 @@
 
 // ---- UDP
 
-void Transport::ready(short) {
+void Transport::on_ready(short) {
   for (int i = 0; i < kDatagramsAtOnce; ++i) {
     std::array<char, 65536> bytes;
     Hop from;
@@ -135,15 +135,15 @@
 void Transport::accept_all(Acceptor& acceptor, TransportKind kind) {
   while (room()) {
     sockaddr_in peer{};
-    Fd fd = acceptor.next(&peer);
+    Fd fd = acceptor.accept(&peer);
     if (!fd) {
-      if (!acceptor.resting()) return;
+      if (!acceptor.paused()) return;
       log_.line("sip: no descriptor left, connections have to wait");
       return make_room();
     }
-    Connection& connection =
-        add(std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::callers),
-            peer, kind);
+    Connection& connection = add(
+        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers),
+        peer, kind);
     if (kind == TransportKind::tls) connection.tls = TlsSession::accepting(tls_context_->server());
   }
   make_room();
@@ -157,7 +157,7 @@
       });
   if (oldest == connections_.end()) return;
   oldest->second.stream->close();
-  loop_.bury(oldest->second.stream);
+  loop_.keep_until_pass_end(oldest->second.stream);
   connections_.erase(oldest);
 }
 
@@ -203,7 +203,7 @@
   if (to.address.sin_port == 0 || (to.kind == TransportKind::tls && !tls_context_)) return nullptr;
   if (!room()) make_room();
   Connection& made = add(std::make_shared<Stream>(loop_, to.address, kConnectTimeout,
-                                                  static_cast<Stream::Owner&>(*this), Rank::callers),
+                                                  static_cast<Stream::Owner&>(*this), Priority::callers),
                          to.address, to.kind);
   made.spoke = true;  // it is ours: only responses come on it
   if (to.kind == TransportKind::tls) {
@@ -231,7 +231,7 @@
   connection.undelivered.emplace(tag, std::move(message));
 }
 
-void Transport::arrived(Stream& stream) {
+void Transport::on_data(Stream& stream) {
   Connection* const connection = of(stream);
   if (!connection) return;
   const std::uint64_t id = connection->id;
@@ -294,16 +294,16 @@
   log_.line("sip: %s from %s, connection closed", why, address_text(connection.peer).c_str());
   Stream& stream = *connection.stream;
   stream.close();
-  lost(stream, Lost::closed);
+  on_disconnected(stream, DisconnectReason::closed);
 }
 
-void Transport::lost(Stream& stream, Lost) {
+void Transport::on_disconnected(Stream& stream, DisconnectReason) {
   Connection* const found = of(stream);
   if (!found) return;
   const Connection gone = std::move(*found);
   connections_.erase(gone.id);
-  loop_.bury(gone.stream);
-  if (!stream.came_up()) {
+  loop_.keep_until_pass_end(gone.stream);
+  if (!stream.was_connected()) {
     log_.line("sip: no connection to %s", address_text(gone.peer).c_str());
     return;  // its timers decide what becomes of what was to be sent
   }
--- a/src/gap/gate.hpp
+++ b/src/gap/gate.hpp
@@ -9,7 +9,7 @@
 namespace quartzarch::gap {
 
 // The planner's Gate, backed by the table of gap rules.
-class GapGate : public Gate {
+class GapGate : public AdmissionFilter {
  public:
   // The window in which heavy hitters are counted: `panes` panes of length `pane`, each with `counters`
   // counters.
@@ -21,7 +21,7 @@
   GapGate(const Table::Bounds& bounds, const SketchSettings& sketch, std::uint64_t seed)
       : table_(bounds, seed), heavy_hitters_(sketch.counters, sketch.panes, sketch.pane) {}
 
-  std::optional<Duration> turns_away(const Request& request, Time now) override;
+  std::optional<Duration> rejected_for(const Request& request, Time now) override;
   // Offers a call that is already waiting for a server to the rule `id` alone; returns the retry delay if the
   // rule refuses it. Used when a rule is announced while calls wait.
   std::optional<Duration> offer_to_rule(const std::string& id, const Request& request, Time now);
--- a/src/register/service.cpp
+++ b/src/register/service.cpp
@@ -5,8 +5,8 @@
 namespace quartzarch::reg {
 namespace {
 
-// A frame of changes stays under the link's limit: the rest follows in the next.
-constexpr std::size_t kMostBytes = 48 * 1024;
+// A frame of changes stays under the link's limit; the rest follows in the next one.
+constexpr std::size_t kMaxChangesBytes = 48 * 1024;
 
 }  // namespace
 
@@ -21,8 +21,8 @@
     case FrameType::watch:
       if (message.values.size() != 1 || known.watches.size() >= bounds_.watches) return false;
       known.watches[std::string(message.text(0))] = message.call;
-      told_ = 0;
-      tell_watchers();
+      notified_revision_ = 0;
+      notify_watchers();
       return true;
     default:
       return false;
@@ -32,18 +32,18 @@
 bool Service::ask(Time now, ClientId client, const link::LinkMessage& message) {
   if (message.values.size() != 1) return false;
   const auto command = decode_command(message.text(0));
-  // Only the leader ends sessions and reservations, of itself.
-  if (!command || command->op == Op::expire || command->op == Op::reserve_over) return false;
+  // Only the leader itself proposes these.
+  if (!command || command->op == Op::expire || command->op == Op::expire_reservation) return false;
   Client& known = clients_[client];
-  if (known.asked >= bounds_.asked) return false;
-  ++known.asked;
-  const std::weak_ptr<bool> living = living_;
+  if (known.in_flight >= bounds_.in_flight) return false;
+  ++known.in_flight;
+  const std::weak_ptr<bool> alive = alive_;
   node_.propose(
-      now, {*command}, {[this, living, client, id = message.call](Outcome outcome, const Reply& reply) {
-        if (living.expired()) return;
+      now, {*command}, {[this, alive, client, id = message.call](Outcome outcome, const Reply& reply) {
+        if (alive.expired()) return;
         const auto found = clients_.find(client);
         if (found == clients_.end()) return;
-        --found->second.asked;
+        --found->second.in_flight;
         if (outcome == Outcome::done) {
           send_(client, frame(FrameType::reply, id, {encode(reply)}));
         } else {
@@ -58,18 +58,18 @@
   node_.tick(now);
   const auto due = expiry_.due(now, node_.leads(), node_.state());
   for (const Command& command : due) node_.propose(now, {command}, {[](Outcome, const Reply&) {}});
-  tell_watchers();
+  notify_watchers();
 }
 
-void Service::tell_watchers() {
+void Service::notify_watchers() {
   const State& state = node_.state();
-  if (std::exchange(told_, state.revision()) == state.revision()) return;
-  // Sent at the end: a connection may break at it, and its client be gone.
+  if (std::exchange(notified_revision_, state.revision()) == state.revision()) return;
+  // Frames are sent at the end, because sending may break a connection and remove its client.
   std::vector<std::pair<ClientId, std::string>> frames;
   for (auto& [id, client] : clients_) {
     for (auto each = client.watches.begin(); each != client.watches.end();) {
       auto& [prefix, known] = *each;
-      // A voter that is behind what the client knows says nothing until it has caught up.
+      // A voter that is behind what the client knows sends nothing until it has caught up.
       if (known >= state.revision()) {
         ++each;
         continue;
@@ -83,7 +83,8 @@
       std::vector<std::string> values = {prefix};
       std::size_t bytes = 0;
       for (const Change& change : *changes) {
-        if (bytes > 0 && bytes + change.key.size() + (change.value ? change.value->size() : 0) > kMostBytes) {
+        if (bytes > 0 &&
+            bytes + change.key.size() + (change.value ? change.value->size() : 0) > kMaxChangesBytes) {
           frames.emplace_back(id, frame(FrameType::changes, known, values));
           values = {prefix};
           bytes = 0;
@@ -96,7 +97,7 @@
         known = change.revision;
       }
       known = state.revision();
-      // Without changes too: the client learns how far it has been told.
+      // Sent without changes too, so that the client learns the revision it is notified up to.
       if (values.size() > 1) frames.emplace_back(id, frame(FrameType::changes, known, values));
       ++each;
     }
--- a/src/register/voter_server.cpp
+++ b/src/register/voter_server.cpp
@@ -9,19 +9,21 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t kMostConnections = 2048;
-// To one voter: what does not fit is lost, as on a network, and comes again by the library's own means.
-constexpr std::size_t kMostSegments = 512;
-constexpr std::size_t kMostOutput = 32u << 20;
-constexpr Duration kConnect = milliseconds(500);
-constexpr Duration kRetry = milliseconds(100);
-constexpr Duration kJoinAgain = milliseconds(1000);
-constexpr Duration kDiskAgain = milliseconds(2000);  // whether there is room on the disk
+constexpr std::size_t kMaxConnections = 2048;
+// Limit of unsent segments to one voter. What exceeds it is dropped, as on a network; the consensus library
+// sends it again.
+constexpr std::size_t kMaxUnsentSegments = 512;
+constexpr std::size_t kMaxOutputBytes = 32u << 20;
+constexpr Duration kConnectTimeout = milliseconds(500);
+constexpr Duration kReconnectDelay = milliseconds(100);
+constexpr Duration kJoinInterval = milliseconds(1000);
+constexpr Duration kDiskRetryInterval =
+    milliseconds(2000);  // between checks whether a full disk takes writes again
 
 std::uint64_t hash(std::string_view text, std::uint64_t from) {
   std::uint64_t value = from;
   for (const char c : text) value = (value ^ static_cast<unsigned char>(c)) * 1099511628211u;
-  // Kept positive in SQLite's signed integers, and never nobody's.
+  // Positive in SQLite's signed integers, and never 0, which stands for no voter.
   return (value >> 2) | 1;
 }
 
@@ -53,7 +55,7 @@
   if (id_ == 0) {
     id_ = fresh_identity(settings_.name);
     disk_.set_identity(id_);
-    log_.line("register: this voter's disk is new: it asks to be added as %llx",
+    log_.line("register: this voter's disk is new: it asks to be added with identity %llx",
               static_cast<unsigned long long>(id_));
   }
   NodeSettings node;
@@ -64,12 +66,12 @@
   node_ = std::make_unique<Node>(node, disk_, static_cast<Transport&>(*this), seed ^ id_, loop_.now());
   service_ = std::make_unique<Service>(
       *node_, [this](std::uint64_t client, std::string frame) { send_to_client(client, std::move(frame)); });
-  loop_.watch(*this, Rank::servers);
+  loop_.watch(*this, Priority::servers);
   tick();
 }
 
 VoterServer::~VoterServer() {
-  loop_.forget(*this);
+  loop_.unwatch(*this);
   loop_.cancel(timer_);
   service_.reset();
   for (auto& [stream, connection] : connections_) connection.stream->close();
@@ -85,17 +87,17 @@
   }
   Disk disk(settings.directory);
   if (disk.identity() != 0 || disk.used())
-    throw StorageError(settings.directory + ": has a register already");
+    throw StorageError(settings.directory + ": already holds a register");
   NodeSettings node;
   node.id = first_identity(settings.name);
   node.address = settings.name;
   for (const auto& [name, address] : settings.addresses)
-    node.first_voters.push_back({first_identity(name), name, true});
-  class Nowhere : public Transport {
+    node.initial_voters.push_back({first_identity(name), name, true});
+  class NullTransport : public Transport {
     void send(VoterId, const std::string&, std::string) override {}
-  } nowhere;
+  } null_transport;
   disk.set_identity(node.id);
-  Node first(node, disk, nowhere, 1, Time{});
+  Node first(node, disk, null_transport, 1, Time{});
 }
 
 // ---- Voters
@@ -110,54 +112,54 @@
   Outgoing& out = outgoing_[name];
   if (!out.stream) {
     if (loop_.now() < out.retry_at) return;
-    out.stream = std::make_shared<Stream>(loop_, address->second, kConnect,
-                                          static_cast<Stream::Owner&>(*this), Rank::servers);
-    out.stream->limit_output(kMostOutput);
+    out.stream = std::make_shared<Stream>(loop_, address->second, kConnectTimeout,
+                                          static_cast<Stream::Owner&>(*this), Priority::servers);
+    out.stream->limit_output(kMaxOutputBytes);
     out.stream->send({frame(FrameType::hello, id_, {settings_.name}), {}, 0});
   }
-  if (out.stream->unsent().size() >= kMostSegments) return;
+  if (out.stream->unsent().size() >= kMaxUnsentSegments) return;
   out.stream->send({std::move(bytes), {}, 0});
 }
 
-// ---- Who connects
+// ---- Incoming connections
 
-void VoterServer::ready(short) {
+void VoterServer::on_ready(short) {
   while (true) {
-    Fd fd = acceptor_.next();
+    Fd fd = acceptor_.accept();
     if (!fd) return;
-    if (connections_.size() >= kMostConnections) continue;
+    if (connections_.size() >= kMaxConnections) continue;
     auto stream =
-        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::servers);
-    Stream& came = *stream;
-    came.limit_output(kMostOutput);
-    Connection& connection = connections_[&came];
+        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::servers);
+    Stream& accepted = *stream;
+    accepted.limit_output(kMaxOutputBytes);
+    Connection& connection = connections_[&accepted];
     connection.stream = std::move(stream);
     connection.client = ++last_client_;
-    clients_[connection.client] = &came;
+    clients_[connection.client] = &accepted;
   }
 }
 
-void VoterServer::arrived(Stream& stream) {
+void VoterServer::on_data(Stream& stream) {
   while (stream.alive()) {
     const auto found = connections_.find(&stream);
-    if (found == connections_.end()) return;  // one of our own to another voter: nothing is said on it
+    if (found == connections_.end()) return;  // a connection to another voter: nothing is received on it
     Connection& from = found->second;
     link::LinkMessage message;
     std::size_t length = 0;
-    const auto taken =
-        link::decode(stream.input(), message, length, from.peer ? wire::kLongest : link::kLongestMessage);
+    const auto taken = link::decode(stream.input(), message, length,
+                                    from.peer ? wire::kMaxMessageBytes : link::kLongestMessage);
     if (taken == link::Taken::part) return;
-    if (taken == link::Taken::malformed || !take(from, message, stream.input().substr(0, length))) {
-      log_.line("register: what came from %s is no message of this version, connection closed",
+    if (taken == link::Taken::malformed || !handle_frame(from, message, stream.input().substr(0, length))) {
+      log_.line("register: malformed message from %s, connection closed",
                 from.name.empty() ? "a client" : from.name.c_str());
       stream.close();
-      return lost(stream, Lost::closed);
+      return on_disconnected(stream, DisconnectReason::closed);
     }
     if (stream.alive()) stream.consume(length);
   }
 }
 
-bool VoterServer::take(Connection& from, const link::LinkMessage& message, std::string_view bytes) {
+bool VoterServer::handle_frame(Connection& from, const link::LinkMessage& message, std::string_view bytes) {
   switch (type_of(message)) {
     case FrameType::hello:
       if (message.values.size() != 1 || message.call == 0) return false;
@@ -170,28 +172,28 @@
       node_->receive(loop_.now(), from.peer, from.name, bytes);
       return true;
     case FrameType::join:
-      return join(from);
+      return handle_join(from);
     case FrameType::status:
       from.stream->send({status(), {}, 0});
       return true;
     case FrameType::remove:
-      return remove(from, message);
+      return handle_remove(from, message);
     case FrameType::lead:
-      return lead(from, message);
+      return handle_lead(from, message);
     default:
       return service_->received(loop_.now(), from.client, message);
   }
 }
 
-// A voter that has no vote asks all others, again and again; the leader does the next step.
-bool VoterServer::join(const Connection& from) {
+// A voter without a vote asks all others repeatedly; the leader takes the next step.
+bool VoterServer::handle_join(const Connection& from) {
   if (from.peer == 0) return false;
   if (!node_->leads()) return true;
   const auto change = next_change(node_->status().voters, from.name, from.peer);
   if (!change) return true;
-  const std::string what = (change->remove ? "remove the old " : "add ") + from.name;
-  const auto done = [this, what](const std::string& error) {
-    log_.line("register: voters: %s: %s", what.c_str(), error.empty() ? "done" : error.c_str());
+  const std::string description = (change->remove ? "remove the old " : "add ") + from.name;
+  const auto done = [this, description](const std::string& error) {
+    log_.line("register: voters: %s: %s", description.c_str(), error.empty() ? "done" : error.c_str());
   };
   if (change->remove) {
     node_->remove_voter(loop_.now(), change->id, done);
@@ -201,12 +203,13 @@
   return true;
 }
 
-// By hand. One that the file names would ask to be added again at once.
-bool VoterServer::remove(const Connection& from, const link::LinkMessage& message) {
+// An operator's removal of a voter. One that the settings file names is refused, since it would ask to be
+// added again at once.
+bool VoterServer::handle_remove(const Connection& from, const link::LinkMessage& message) {
   if (message.values.size() != 1) return false;
   const std::string name(message.text(0));
-  const auto answer = [this, client = from.client](const std::string& wrong) {
-    send_to_client(client, frame(FrameType::remove, 0, {wrong}));
+  const auto answer = [this, client = from.client](const std::string& error) {
+    send_to_client(client, frame(FrameType::remove, 0, {error}));
   };
   const Voters voters = node_->status().voters;
   const auto found =
@@ -214,12 +217,12 @@
   if (!node_->leads()) {
     answer("this voter is not the leader");
   } else if (settings_.addresses.count(name) > 0) {
-    answer("the leader's file names it, so it would come back");
+    answer("the leader's settings file names it, so it would come back");
   } else if (found == voters.end()) {
     answer("there is no such voter");
   } else {
     node_->remove_voter(loop_.now(), found->id, [this, name, answer](const std::string& error) {
-      log_.line("register: voters: remove %s by hand: %s", name.c_str(),
+      log_.line("register: voters: remove %s, requested by an operator: %s", name.c_str(),
                 error.empty() ? "done" : error.c_str());
       answer(error);
     });
@@ -227,52 +230,52 @@
   return true;
 }
 
-// By hand, before a voter's machine is worked on.
-bool VoterServer::lead(const Connection& from, const link::LinkMessage& message) {
+// An operator's transfer of leadership, for example before maintenance of a voter's machine.
+bool VoterServer::handle_lead(const Connection& from, const link::LinkMessage& message) {
   if (message.values.size() != 1) return false;
   const std::string name(message.text(0));
   const Node::Status status = node_->status();
   const auto found = std::find_if(status.voters.begin(), status.voters.end(),
                                   [&](const Voter& voter) { return voter.address == name && voter.votes; });
-  std::string wrong;
+  std::string error;
   if (!status.leader) {
-    wrong = "this voter is not the leader";
+    error = "this voter is not the leader";
   } else if (!name.empty() && found == status.voters.end()) {
-    wrong = "there is no such voter with a vote";
+    error = "there is no such voter with a vote";
   } else if (name == settings_.name) {
-    wrong = "it leads already";
-  } else if (!node_->hand_over(loop_.now(), name.empty() ? 0 : found->id)) {
-    wrong = "nothing is heard of it";
+    error = "it is already the leader";
+  } else if (!node_->transfer_leadership(loop_.now(), name.empty() ? 0 : found->id)) {
+    error = "the leader has no contact with it";
   }
-  log_.line("register: leadership asked for %s by hand: %s", name.empty() ? "any other" : name.c_str(),
-            wrong.empty() ? "handed over" : wrong.c_str());
-  send_to_client(from.client, frame(FrameType::lead, 0, {wrong}));
+  log_.line("register: leadership transfer to %s requested by an operator: %s",
+            name.empty() ? "any other" : name.c_str(), error.empty() ? "started" : error.c_str());
+  send_to_client(from.client, frame(FrameType::lead, 0, {error}));
   return true;
 }
 
 bool VoterServer::resign() {
   const Node::Status status = node_->status();
   if (!status.leader) return resigning_ && status.leader_id == 0;
-  if (node_->hand_over(loop_.now()) && !std::exchange(resigning_, true)) {
-    log_.line("register: term %llu, leadership is handed over for a stop",
+  if (node_->transfer_leadership(loop_.now()) && !std::exchange(resigning_, true)) {
+    log_.line("register: term %llu, leadership is transferred before this voter stops",
               static_cast<unsigned long long>(status.term));
   }
   return resigning_;
 }
 
-void VoterServer::lost(Stream& stream, Lost) {
+void VoterServer::on_disconnected(Stream& stream, DisconnectReason) {
   if (const auto found = connections_.find(&stream); found != connections_.end()) {
     const Connection gone = std::move(found->second);
     connections_.erase(found);
     clients_.erase(gone.client);
-    loop_.bury(gone.stream);
-    service_->gone(gone.client);
+    loop_.keep_until_pass_end(gone.stream);
+    service_->client_disconnected(gone.client);
     return;
   }
   for (auto& [name, out] : outgoing_) {
     if (out.stream.get() != &stream) continue;
-    loop_.bury(std::exchange(out.stream, nullptr));
-    out.retry_at = loop_.now() + kRetry;
+    loop_.keep_until_pass_end(std::exchange(out.stream, nullptr));
+    out.retry_at = loop_.now() + kReconnectDelay;
   }
 }
 
@@ -285,11 +288,11 @@
 
 void VoterServer::tick() {
   service_->tick(loop_.now());
-  tell_changes();
-  if (node_->failure_may_pass() && loop_.now() >= disk_again_) recover();
-  if (!node_->failed() && loop_.now() >= join_again_) {
-    join_again_ = loop_.now() + kJoinAgain;
-    // One that is cut off does not know whether it has its vote; asking is harmless.
+  log_changes();
+  if (node_->failure_is_retryable() && loop_.now() >= disk_retry_at_) recover();
+  if (!node_->failed() && loop_.now() >= join_retry_at_) {
+    join_retry_at_ = loop_.now() + kJoinInterval;
+    // A voter that is cut off does not know whether it has its vote; asking is harmless.
     if (next_change(node_->status().voters, settings_.name, id_)) {
       for (const auto& [name, address] : settings_.addresses) {
         if (name != settings_.name) send_to(name, frame(FrameType::join, id_, {settings_.name}));
@@ -300,27 +303,27 @@
 }
 
 void VoterServer::recover() {
-  disk_again_ = loop_.now() + kDiskAgain;
+  disk_retry_at_ = loop_.now() + kDiskRetryInterval;
   try {
     disk_.reopen();
-    node_->begin_anew();
-    told_failed_ = false;
-    log_.line("register: the disk takes writes again: this voter goes on");
+    node_->restart_from_disk();
+    logged_failure_ = false;
+    log_.line("register: the disk accepts writes again: this voter resumes");
   } catch (const std::runtime_error&) {
-    // Still full: told once, tried again.
+    // Still full: logged once, retried later.
   }
 }
 
-void VoterServer::tell_changes() {
-  if (node_->failed() && !std::exchange(told_failed_, true)) {
-    disk_again_ = loop_.now() + kDiskAgain;
-    log_.line("register: the disk failed: this voter votes no more until %s",
-              node_->failure_may_pass() ? "there is room" : "it is started again");
+void VoterServer::log_changes() {
+  if (node_->failed() && !std::exchange(logged_failure_, true)) {
+    disk_retry_at_ = loop_.now() + kDiskRetryInterval;
+    log_.line("register: the disk failed: this voter does not vote until %s",
+              node_->failure_is_retryable() ? "there is free space" : "it is restarted");
   }
   const auto status = node_->status();
-  if (status.leader_id == told_leader_ && status.term == told_term_) return;
-  told_leader_ = status.leader_id;
-  told_term_ = status.term;
+  if (status.leader_id == logged_leader_ && status.term == logged_term_) return;
+  logged_leader_ = status.leader_id;
+  logged_term_ = status.term;
   if (status.leader_id != 0) {
     log_.line("register: term %llu, the leader is %s", static_cast<unsigned long long>(status.term),
               status.leader_address.c_str());
--- a/standin/faults/history.hpp
+++ b/standin/faults/history.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "quartzarch/controller.hpp"
-#include "register/access.hpp"
+#include "register/client_protocol.hpp"
 
 namespace quartzarch::faults {
 
@@ -50,7 +50,7 @@
 // Used in virtual time and over sockets: `ask` is the register's client there.
 class Recorder {
  public:
-  using Ask = std::function<void(reg::Command, reg::Access::Done)>;
+  using Ask = std::function<void(reg::Command, reg::ClientProtocol::Done)>;
   static constexpr unsigned kKeys = 4;
   static std::string key(unsigned number) { return "history/" + std::to_string(number); }
 
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -8,7 +8,7 @@
 
 #include "faults/history.hpp"
 #include "faults/memory_disk.hpp"
-#include "register/access.hpp"
+#include "register/client_protocol.hpp"
 #include "register/service.hpp"
 
 namespace quartzarch::faults {
@@ -113,8 +113,8 @@
     unsigned connection = 0;
     int connected_to = -1;
     Time stopped_until{};
-    std::unique_ptr<duty::Steward> steward;
-    std::unique_ptr<reg::Access> access;
+    std::unique_ptr<duty::LeaseManager> leases;
+    std::unique_ptr<reg::ClientProtocol> access;
     std::map<std::string, Work> works;
     Time next_count{};
     bool counting = false;
@@ -172,7 +172,7 @@
                        (status.leader ? " leads term " : " term ") + std::to_string(status.term) + ", voters";
     for (const auto& each : status.voters)
       text += " " + std::to_string(each.id) + (each.votes ? "" : " without a vote");
-    if (!status.voters_agreed) text += ", not agreed";
+    if (!status.voters_committed) text += ", not agreed";
     if (text == voter.told) return;
     voter.told = text;
     tell(text + ", log " + std::to_string(status.last_index) + ", agreed " +
@@ -193,7 +193,7 @@
     reg::NodeSettings settings;
     settings.id = voter.id;
     settings.address = address(voter.number);
-    if (first) settings.first_voters = first_voters_;
+    if (first) settings.initial_voters = first_voters_;
     settings.election = milliseconds(300);
     settings.heartbeat = milliseconds(60);
     settings.snapshot_after = 64;
@@ -250,7 +250,7 @@
       bool known = false;
       reg::VoterId old = 0;
       for (const auto& each : status.voters) {
-        if (each.id == voter.id) known = each.votes && status.voters_agreed;
+        if (each.id == voter.id) known = each.votes && status.voters_committed;
         if (each.address == address(voter.number) && each.id != voter.id) old = each.id;
       }
       if (known) voter.joining = false;
@@ -300,7 +300,7 @@
     controller.connected_to = -1;
     controller.works.clear();
     if (!controller.recorder) {
-      const auto ask = [this, &controller](reg::Command command, reg::Access::Done done) {
+      const auto ask = [this, &controller](reg::Command command, reg::ClientProtocol::Done done) {
         controller.access->ask(controller.clock.at(now_), std::move(command), std::move(done));
       };
       controller.recorder = std::make_unique<Recorder>(history_, controller.number, ask, random_());
@@ -313,27 +313,28 @@
     settings.incarnation = (std::uint64_t{controller.life} << 32) + 1;
     settings.ttl = settings_.ttl;
     settings.drift = settings_.drift;
-    settings.first_back_off = milliseconds(300);
-    settings.longest_back_off = milliseconds(2000);
-    settings.counts_from_answer = settings_.counts_from_answer;
+    settings.min_back_off = milliseconds(300);
+    settings.max_back_off = milliseconds(2000);
+    settings.lease_from_reply = settings_.counts_from_answer;
     std::vector<duty::DutySettings> duties;
     for (unsigned i = 0; i < settings_.duties; ++i) duties.push_back({duty_name(i), true, {}});
-    controller.steward = std::make_unique<duty::Steward>(settings, duties, random_());
-    reg::Access::Settings access;
+    controller.leases = std::make_unique<duty::LeaseManager>(settings, duties, random_());
+    reg::ClientProtocol::Settings access;
     for (unsigned i = 0; i < settings_.voters; ++i) access.voters.push_back(address(i));
-    controller.access = std::make_unique<reg::Access>(access, random_());
+    controller.access = std::make_unique<reg::ClientProtocol>(access, random_());
     controller.access->watch(
         std::string(reg::kDutyPrefix), [this, &controller](reg::Revision, const auto& changes, bool) {
           for (const reg::Change& change : changes) {
             if (!change.value) continue;
-            controller.steward->shown(controller.clock.at(now_), change.key.substr(reg::kDutyPrefix.size()),
-                                      change.revision, reg::parse_duty(*change.value));
+            controller.leases->on_duty_changed(controller.clock.at(now_),
+                                               change.key.substr(reg::kDutyPrefix.size()), change.revision,
+                                               reg::parse_duty(*change.value));
           }
         });
   }
 
   void step(Controller& controller) {
-    if (controller.steward && now_ >= controller.stopped_until) {
+    if (controller.leases && now_ >= controller.stopped_until) {
       for (auto& held : std::exchange(controller.held_up, {})) held();
       drive(controller);
     }
@@ -343,7 +344,7 @@
   void drive(Controller& controller) {
     const Time local = controller.clock.at(now_);
     const unsigned life = controller.life;
-    for (auto& request : controller.steward->due(local)) {
+    for (auto& request : controller.leases->due(local)) {
       ++seen_.duty_messages;
       controller.access->ask(
           local, std::move(request.command),
@@ -351,28 +352,29 @@
             if (controller.life != life) return;
             const Time then = controller.clock.at(now_);
             if (reply) {
-              controller.steward->answered(then, id, *reply);
+              controller.leases->on_reply(then, id, *reply);
             } else {
-              controller.steward->lost(then, id);
+              controller.leases->on_no_reply(then, id);
             }
           });
     }
-    for (const duty::Order& order : controller.steward->orders()) {
-      tell(name(controller) + " " + order.duty +
-           (order.kind == duty::Order::Kind::begin ? " begins"
-                                                   : std::string(" ends: ") + duty::why_text(order.why)) +
-           " token " + std::to_string(order.token));
-      if (order.kind == duty::Order::Kind::begin) {
+    for (const duty::Action& action : controller.leases->take_actions()) {
+      tell(name(controller) + " " + action.duty +
+           (action.kind == duty::Action::Kind::begin
+                ? " begins"
+                : std::string(" ends: ") + duty::end_reason_text(action.reason)) +
+           " token " + std::to_string(action.token));
+      if (action.kind == duty::Action::Kind::begin) {
         ++seen_.holdings;
-        controller.works[order.duty] = {order.token, now_, std::nullopt};
-      } else if (const auto work = controller.works.find(order.duty); work != controller.works.end()) {
+        controller.works[action.duty] = {action.token, now_, std::nullopt};
+      } else if (const auto work = controller.works.find(action.duty); work != controller.works.end()) {
         work->second.ends_at = now_ + milliseconds(draw(100));
       }
     }
     for (auto each = controller.works.begin(); each != controller.works.end();) {
       auto& [duty, work] = *each;
       if (work.ends_at && now_ >= *work.ends_at) {
-        controller.steward->ended(local, duty, work.token, false);
+        controller.leases->ended(local, duty, work.token, false);
         each = controller.works.erase(each);
         continue;
       }
@@ -391,7 +393,7 @@
   // A duty's work acts on something outside, and may be held up between its look at the lease and the write.
   void effect(Controller& controller, const std::string& duty, Work& work) {
     work.next_effect = now_ + kEffectEvery;
-    const auto token = controller.steward->holds(controller.clock.at(now_), duty);
+    const auto token = controller.leases->holds(controller.clock.at(now_), duty);
     if (!token) return;
     const Duration on_way = chance(0.02) ? milliseconds(draw(4000)) : Duration{500 + draw(3000)};
     at(now_ + on_way, [this, duty, written = *token] {
@@ -526,7 +528,7 @@
 
   void close_at_voter(Controller& controller) {
     Voter& voter = *voters_[static_cast<unsigned>(controller.connected_to)];
-    if (voter.service) voter.service->gone(client_id(controller, controller.connection));
+    if (voter.service) voter.service->client_disconnected(client_id(controller, controller.connection));
   }
 
   void break_connection(Controller& controller) {
@@ -566,7 +568,7 @@
       for (auto& voter : voters_) {
         if (!voter->node || !voter->node->leads() || now_ < voter->stopped_until) continue;
         const reg::VoterId to = chance(0.5) ? 0 : voters_[static_cast<unsigned>(draw(3))]->id;
-        const bool begun = voter->node->hand_over(voter->clock.at(now_), to);
+        const bool begun = voter->node->transfer_leadership(voter->clock.at(now_), to);
         if (begun) tell(address(voter->number) + " hands over to " + std::to_string(to));
         seen_.hand_overs += begun;
       }
@@ -621,18 +623,18 @@
         break;
       case 6:  // is killed and starts again
         close_if_connected(controller);
-        controller.steward.reset();
+        controller.leases.reset();
         ++controller.life;
         at(until, [this, &controller] {
-          if (!controller.steward) start(controller);
+          if (!controller.leases) start(controller);
         });
         break;
       case 7:
-        if (controller.steward) {
-          controller.steward->leave(controller.clock.at(now_),
-                                    "c" + std::to_string(draw(static_cast<int>(settings_.controllers))));
+        if (controller.leases) {
+          controller.leases->leave(controller.clock.at(now_),
+                                   "c" + std::to_string(draw(static_cast<int>(settings_.controllers))));
           at(until, [&controller] {
-            if (controller.steward) controller.steward->come_back();
+            if (controller.leases) controller.leases->rejoin();
           });
         }
         break;
@@ -732,8 +734,8 @@
     }
     for (auto& controller : controllers_) {
       controller->stopped_until = now_;
-      if (!controller->steward) start(*controller);
-      controller->steward->come_back();
+      if (!controller->leases) start(*controller);
+      controller->leases->rejoin();
     }
     for (unsigned i = 0; i < settings_.duties; ++i) unpause(duty_name(i));
   }
@@ -765,8 +767,8 @@
       const std::string duty = duty_name(i);
       int holders = 0;
       for (auto& controller : controllers_) {
-        if (!controller->steward || now_ < controller->stopped_until) continue;
-        if (controller->steward->holds(controller->clock.at(now_), duty)) ++holders;
+        if (!controller->leases || now_ < controller->stopped_until) continue;
+        if (controller->leases->holds(controller->clock.at(now_), duty)) ++holders;
       }
       if (holders > 1) fault("two hold " + duty + " at once");
       Time& free_since = free_since_[duty];
--- a/standin/setup_server/setup_server.cpp
+++ b/standin/setup_server/setup_server.cpp
@@ -15,7 +15,7 @@
 
 SetupServer::SetupServer(const Options& options)
     : options_(options), acceptor_(loop_, listen_on(options.listen)), random_(options.seed) {
-  loop_.watch(*this, Rank::callers);
+  loop_.watch(*this, Priority::callers);
   thread_ = std::jthread([this](const std::stop_token& stop) {
     while (!stop.stop_requested()) loop_.pass(kLook);
   });
@@ -25,19 +25,19 @@
   thread_.request_stop();
   thread_.join();
   for (auto& [raw, stream] : streams_) stream->close();
-  loop_.forget(*this);
+  loop_.unwatch(*this);
 }
 
-void SetupServer::ready(short) {
-  while (Fd fd = acceptor_.next()) {
+void SetupServer::on_ready(short) {
+  while (Fd fd = acceptor_.accept()) {
     auto stream =
-        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Rank::callers);
+        std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
     streams_[stream.get()] = stream;
     say(*stream, "group", std::string(16, '0'), "\"with\":{\"load\":" + load() + "}");
   }
 }
 
-void SetupServer::lost(Stream& stream, Lost) {
+void SetupServer::on_disconnected(Stream& stream, DisconnectReason) {
   const auto found = streams_.find(&stream);
   if (found == streams_.end()) return;
   // The set-ups open on a connection are given up with it; a call that stands belongs to none.
@@ -48,11 +48,11 @@
     ++counts_.given_up;
     return true;
   });
-  loop_.bury(found->second);
+  loop_.keep_until_pass_end(found->second);
   streams_.erase(found);
 }
 
-void SetupServer::arrived(Stream& stream) {
+void SetupServer::on_data(Stream& stream) {
   for (;;) {
     const std::string_view input = stream.input();
     const auto end = input.find('\n');
--- a/tests/attempt_identity_test.cpp
+++ b/tests/attempt_identity_test.cpp
@@ -1,6 +1,5 @@
-// An attempt is identified by more than its call and its server: messages of an earlier attempt of the same
-// call at the same server come late, twice or on another connection, and must not end or answer a later
-// attempt.
+// Call id and server do not identify an attempt: messages for an earlier attempt of the same call at the same
+// server may arrive late, twice or on another connection, and must not end or answer a later attempt.
 #include <list>
 
 #include "loopback.hpp"
@@ -12,8 +11,10 @@
 const std::string kId = "00000000000000aa";
 const std::string kAnswered = binary(9, 0xaa, {{210, "s"}});
 
-// How the first attempt is lost; in each case the call may stand at the server.
+// How the first attempt is lost (spoilt: by a malformed line). In each case the call may be established at
+// the server.
 enum class Loss { spoilt, reset, closed };
+// The connection that the late release comes on: that of the retry, or one opened later.
 enum class On { own, fresh };
 
 struct LateRelease {
@@ -28,77 +29,82 @@
          (c.on == On::own ? "OnItsConnection" : "OnAFreshConnection");
 }
 
-// Two servers: attempts 0 and 1 go to the first, `other` hears of any that goes elsewhere.
+// A call with two servers: attempts 0 and 1 go to the first one, and `other` receives any attempt that goes
+// to the second one.
 class RetriedCall : public Program {
  protected:
   RetriedCall()
       : Program([](InstanceSettings& start) { start.settings.release_guard = milliseconds(300); }) {}
 
   void lose_the_first_attempt(Loss how) {
-    planner->news({1, true, {host(listener, 0), host(second, 1)}});
-    until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-    until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-    settle(3);
-    gateway = caller();
-    gateway.say(setup(0xaa, "d"));
-    hears(server, "offer");
-    if (how == Loss::spoilt) server.say("{\"op\":\"accept\",\x01\n");
+    planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
+    wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+    wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+    run_passes(3);
+    gateway = connect_caller();
+    gateway.send(setup(0xaa, "d"));
+    wait_to_receive(server, "offer");
+    if (how == Loss::spoilt) server.send("{\"op\":\"accept\",\x01\n");
     if (how == Loss::reset) server.reset();
     if (how == Loss::closed) server.close();
-    if (how == Loss::spoilt) until([&] { return server.ended(); }, "the close of the spoilt connection");
-    lanes.clear();
-    until([&] { return offered() > 0; }, "the retry");
-    for (Peer& lane : lanes) retried = count(lane.heard(), "offer") > 0 ? &lane : retried;
+    if (how == Loss::spoilt) wait_until([&] { return server.ended(); }, "the close of the spoilt connection");
+    connections.clear();
+    wait_until([&] { return offered() > 0; }, "the retry");
+    for (Peer& connection : connections)
+      retried = count(connection.received(), "offer") > 0 ? &connection : retried;
   }
-  // Set-ups that the first server has heard on the connections opened since the loss.
+  // Number of set-ups that the first server has received on connections opened since the loss.
   std::size_t offered() {
-    while (Peer more = listener.accept()) lanes.push_back(std::move(more));
+    while (Peer more = listener.accept()) connections.push_back(std::move(more));
     std::size_t found = 0;
-    for (Peer& lane : lanes) found += count(lane.heard(), "\"offer\"");
+    for (Peer& connection : connections) found += count(connection.received(), "\"offer\"");
     return found;
   }
-  // The retry was given up by an `end` of this side on the connection that it went out on.
-  bool given_up() { return count(retried->heard(), line("end", kId, "\"why\":16")) > 0 || retried->ended(); }
+  // The retry was released, or its connection closed, by this side.
+  bool given_up() {
+    return count(retried->received(), line("end", kId, "\"why\":16")) > 0 || retried->ended();
+  }
 
   Listener second;
   Peer other, gateway;
-  std::list<Peer> lanes;
+  std::list<Peer> connections;
   Peer* retried = nullptr;
 };
 
 class LateReleaseOfAnEarlierAttempt : public RetriedCall,
                                       public ::testing::WithParamInterface<LateRelease> {};
 
-// No second attempt is made while the first is out, nor within the release guard after it was given up.
+// A late release of the first attempt must not start another attempt while the retry is in flight, nor within
+// the release guard after the retry was abandoned. It would leave two attempts of one call running.
 TEST_P(LateReleaseOfAnEarlierAttempt, StartsNoSecondAttemptBesideTheRetry) {
   lose_the_first_attempt(GetParam().loss);
   Peer* from = retried;
   if (GetParam().on == On::fresh) {
-    // A second call shares the server, so that one more connection opens.
-    Peer helper = caller();
-    for (CallId call = 0xb0; lanes.size() < 3 && call < 0xb8; ++call) {
-      gateway.say(setup(call, "d"));
-      settle(10);
+    // Further calls to the server make one more connection open.
+    Peer second_caller = connect_caller();
+    for (CallId call = 0xb0; connections.size() < 3 && call < 0xb8; ++call) {
+      gateway.send(setup(call, "d"));
+      run_passes(10);
       offered();
     }
-    for (Peer& lane : lanes) from = &lane != retried ? &lane : from;
+    for (Peer& connection : connections) from = &connection != retried ? &connection : from;
     ASSERT_NE(from, retried);
   }
-  const std::size_t before = count(other.heard(), kId);
-  from->say(line("end", kId, "\"why\":" + std::to_string(GetParam().cause)));
+  const std::size_t before = count(other.received(), kId);
+  from->send(line("end", kId, "\"why\":" + std::to_string(GetParam().cause)));
   std::optional<Time> gave_up;
   for (int pass = 0; pass < 100; ++pass) {
-    settle(1);
-    moved_on += milliseconds(3);
+    run_passes(1);
+    clock_offset += milliseconds(3);
     if (given_up() && !gave_up) gave_up = loop.now();
-    if (count(other.heard(), kId) == before) continue;
+    if (count(other.received(), kId) == before) continue;
     ASSERT_TRUE(gave_up) << "two attempts of one call are out";
     ASSERT_GE(loop.now() - *gave_up, milliseconds(300)) << "too soon after the attempt was given up";
     return;
   }
   if (gave_up) return;
-  retried->say(line("accept", kId, "\"desc\":\"s\""));
-  until([&] { return count(gateway.heard(), kAnswered.substr(2)) == 1; }, "the answer of the retry");
+  retried->send(line("accept", kId, "\"desc\":\"s\""));
+  wait_until([&] { return count(gateway.received(), kAnswered.substr(2)) == 1; }, "the answer of the retry");
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -109,156 +115,161 @@
                       LateRelease{Loss::spoilt, 16, On::fresh}, LateRelease{Loss::spoilt, 41, On::fresh}),
     [](const auto& each) { return text(each.param); });
 
-// The retry stands when the release of the first attempt comes: which of the two is over, nobody can tell, so
-// both are.
-TEST_F(RetriedCall, AReleaseThatMayBeAnEarlierAttemptsEndsTheCallOnBothSides) {
+// The retry is established when the release of the first attempt arrives. Which of the two it ends cannot be
+// told, so the call is ended on both sides.
+TEST_F(RetriedCall, AnAmbiguousReleaseEndsTheCallOnBothSides) {
   lose_the_first_attempt(Loss::spoilt);
-  retried->say(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, kAnswered);
-  gateway.take();
-  retried->say(line("end", kId, "\"why\":16"));
-  hears(gateway, binary(12, 0xaa, {{208, "\x10"}}));
-  hears(*retried, line("end", kId, "\"why\":16"));
+  retried->send(line("accept", kId, "\"desc\":\"s\""));
+  wait_to_receive(gateway, kAnswered);
+  gateway.take_received();
+  retried->send(line("end", kId, "\"why\":16"));
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, "\x10"}}));
+  wait_to_receive(*retried, line("end", kId, "\"why\":16"));
 }
 
-// A call is answered and over before its answer was read: the release, said on another connection, comes
+// A call is answered and ended before its answer was read: the release, sent on another connection, arrives
 // first.
-TEST_F(RetriedCall, ACallWhoseReleaseOvertakesItsAnswerIsAnsweredAndThenOver) {
+TEST_F(RetriedCall, ACallWhoseReleaseOvertakesItsAnswerIsAnsweredAndThenEnded) {
   open_server();
-  gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "offer");
-  gateway.say(setup(0xbb, "d"));
-  until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
-  settle(3);
-  other.say(line("end", kId, "\"why\":16"));
-  settle();
-  EXPECT_EQ(gateway.heard(), "");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, kAnswered + binary(12, 0xaa, {{208, "\x10"}}));
+  gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
+  gateway.send(setup(0xbb, "d"));
+  wait_until([&] { return static_cast<bool>(other = listener.accept()); }, "a second connection");
+  run_passes(3);
+  other.send(line("end", kId, "\"why\":16"));
+  run_passes();
+  EXPECT_EQ(gateway.received(), "");
+  server.send(line("accept", kId, "\"desc\":\"s\""));
+  wait_to_receive(gateway, kAnswered + binary(12, 0xaa, {{208, "\x10"}}));
 }
 
-// Its answer does not come in time any more: the caller hears of the end within 1 s of it, and the call is
-// not sent again.
-TEST_F(RetriedCall, ACallThatIsOverBeforeItsAnswerIsToldWithinASecond) {
-  const HeldClock held;
-  planner->news({1, true, {host(listener, 0), host(second, 1)}});
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-  settle(3);
-  gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "offer");
-  moved_on += milliseconds(400);
-  settle(3);
-  server.say(line("end", kId, "\"why\":16"));
-  settle(3);
+// The answer of a call that has already ended does not arrive in time: the caller is told of the end
+// within 1 s, and the call is not sent again.
+TEST_F(RetriedCall, ACallThatEndsBeforeItsAnswerIsReportedWithinASecond) {
+  const FrozenClock held;
+  planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+  run_passes(3);
+  gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
+  clock_offset += milliseconds(400);
+  run_passes(3);
+  server.send(line("end", kId, "\"why\":16"));
+  run_passes(3);
   for (int tenths = 0; tenths < 10; ++tenths) {
-    moved_on += milliseconds(100);
-    settle(3);
+    clock_offset += milliseconds(100);
+    run_passes(3);
   }
-  EXPECT_EQ(gateway.heard(), binary(12, 0xaa, {{208, std::string(1, 41)}}));
-  EXPECT_EQ(other.heard(), "");
-  server.say(line("accept", kId, "\"desc\":\"s\""));
-  settle();
-  EXPECT_EQ(count(gateway.heard(), kAnswered.substr(2)), 0u);
+  EXPECT_EQ(gateway.received(), binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  EXPECT_EQ(other.received(), "");
+  server.send(line("accept", kId, "\"desc\":\"s\""));
+  run_passes();
+  EXPECT_EQ(count(gateway.received(), kAnswered.substr(2)), 0u);
 }
 
-// After so long a reset may be the cut of a call whose answer is still in the server's line: no attempt
-// elsewhere.
-TEST_F(RetriedCall, ALateResetOfASlowServerIsNotSentAgain) {
-  const HeldClock held;
-  planner->news({1, true, {host(listener, 0), host(second, 1)}});
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-  settle(3);
-  gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "offer");
-  moved_on += milliseconds(900);
-  settle(3);
-  server.say(line("end", kId, "\"why\":41"));
-  settle(3);
-  moved_on += milliseconds(600);
-  settle(3);
-  server.say(line("accept", kId, "\"desc\":\"s\""));
-  hears(gateway, kAnswered + binary(12, 0xaa, {{208, std::string(1, 41)}}));
-  EXPECT_EQ(other.heard(), "");
+// A late reset may mean that the call was established and cut while its answer is still queued at the server:
+// no attempt is made at another server.
+TEST_F(RetriedCall, ACallResetLateByASlowServerIsNotSentAgain) {
+  const FrozenClock held;
+  planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+  run_passes(3);
+  gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
+  clock_offset += milliseconds(900);
+  run_passes(3);
+  server.send(line("end", kId, "\"why\":41"));
+  run_passes(3);
+  clock_offset += milliseconds(600);
+  run_passes(3);
+  server.send(line("accept", kId, "\"desc\":\"s\""));
+  wait_to_receive(gateway, kAnswered + binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  EXPECT_EQ(other.received(), "");
 }
 
-// The attempt ends otherwise while the answer is waited for: still told, and still not sent again.
-TEST_F(RetriedCall, ACallThatIsOverBeforeItsAnswerIsNotSentAgainWhenItsConnectionBreaks) {
-  planner->news({1, true, {host(listener, 0), host(second, 1)}});
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
-  settle(3);
-  gateway = caller();
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "offer");
-  server.say(line("end", kId, "\"why\":16"));
-  settle(3);
+// The connection breaks while the answer of an ended call is awaited: the caller is still told, and the call
+// is still not sent again.
+TEST_F(RetriedCall, ACallThatEndsBeforeItsAnswerIsNotSentAgainWhenItsConnectionBreaks) {
+  planner->update_servers({1, true, {host(listener, 0), host(second, 1)}});
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); }, "the other server's connection");
+  run_passes(3);
+  gateway = connect_caller();
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
+  server.send(line("end", kId, "\"why\":16"));
+  run_passes(3);
   server.reset();
-  hears(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
-  moved_on += milliseconds(400);
-  settle();
-  EXPECT_EQ(offered() + count(other.heard(), kId), 0u);
+  wait_to_receive(gateway, binary(12, 0xaa, {{208, std::string(1, 41)}}));
+  clock_offset += milliseconds(400);
+  run_passes();
+  EXPECT_EQ(offered() + count(other.received(), kId), 0u);
 }
 
-// The table itself, where a whole conversation would only repeat it.
-TEST(MessageRules, WhatAnEarlierAttemptMayHaveSentNeverSettlesALaterOneUnasked) {
-  const auto verdict = [](ServerMessage message, Connection connection, Earlier earlier) {
-    return find_rule(AttemptState::sent, message, connection, earlier, Age::recent_attempt)->verdict;
+// Checks the decision table directly, for cases where a test over connections would only repeat it.
+TEST(MessageRules, AmbiguousMessagesNeverAnswerOrRefuseALaterAttempt) {
+  const auto verdict = [](ServerMessage message, MessageConnection connection, EarlierOutcome earlier) {
+    return find_rule(AttemptState::sent, message, connection, earlier, AttemptAge::recent_attempt)->verdict;
   };
-  for (const Earlier earlier : {Earlier::connection_lost, Earlier::given_up}) {
+  for (const EarlierOutcome earlier : {EarlierOutcome::connection_lost, EarlierOutcome::given_up}) {
     for (const ServerMessage message :
          {ServerMessage::answer, ServerMessage::refusal, ServerMessage::reset}) {
-      EXPECT_EQ(verdict(message, Connection::other, earlier), Verdict::ignore);
+      EXPECT_EQ(verdict(message, MessageConnection::other, earlier), Verdict::ignore);
     }
-    EXPECT_EQ(
-        find_rule(AttemptState::sent, ServerMessage::release, Connection::own, earlier, Age::new_attempt)
-            ->verdict,
-        Verdict::ignore);
-    EXPECT_EQ(verdict(ServerMessage::reset, Connection::own, earlier), Verdict::give_up);
+    EXPECT_EQ(find_rule(AttemptState::sent, ServerMessage::release, MessageConnection::own, earlier,
+                        AttemptAge::new_attempt)
+                  ->verdict,
+              Verdict::ignore);
+    EXPECT_EQ(verdict(ServerMessage::reset, MessageConnection::own, earlier), Verdict::give_up);
   }
-  EXPECT_EQ(verdict(ServerMessage::refusal, Connection::own, Earlier::given_up), Verdict::give_up);
-  EXPECT_EQ(verdict(ServerMessage::refusal, Connection::own, Earlier::connection_lost), Verdict::refused);
+  EXPECT_EQ(verdict(ServerMessage::refusal, MessageConnection::own, EarlierOutcome::given_up),
+            Verdict::give_up);
+  EXPECT_EQ(verdict(ServerMessage::refusal, MessageConnection::own, EarlierOutcome::connection_lost),
+            Verdict::refused);
 }
 
-// A release of the first attempt that is read after the retry would end the retry: both go on one connection.
+// If the server read the release of the first attempt after the retry, it would end the retry. So both are
+// sent on one connection, in this order.
 TEST_F(RetriedCall, ARetryFollowsTheReleaseOfTheAttemptBeforeOnItsConnection) {
-  const HeldClock held;  // a connection that owes answers for 50 ms gets no retry
+  const FrozenClock held;  // a connection with answers outstanding for 50 ms gets no retry
   struct Nobody : Servers::Owner {
-    SetUpOutcome told_of_call(const ServerId&, ServerLine, MessageOrigin) override {
+    SetUpOutcome on_call_message(const ServerId&, ServerLine, MessageOrigin) override {
       return SetUpOutcome::settled;
     }
-    void broke(const ServerId&, CallId, unsigned, Break) override {}
-    void told(const ServerId&, const LoadReport&) override {}
-    void died(const ServerId&) override {}
-    void cut_off(const ServerId&, const std::vector<CallId>&) override {}
+    void on_set_up_lost(const ServerId&, CallId, unsigned, SetUpLoss) override {}
+    void on_load_report(const ServerId&, const LoadReport&) override {}
+    void on_process_gone(const ServerId&) override {}
+    void on_calls_unreachable(const ServerId&, const std::vector<CallId>&) override {}
   } owner;
   Servers servers(loop, log, owner, milliseconds(500));
   const ServerId id = host(listener, 0).entry.id;
-  servers.keep(id);
+  servers.keep_connected(id);
   const auto accepted = [&] {
-    if (Peer more = listener.accept()) lanes.push_back(std::move(more));
-    return lanes.size();
+    if (Peer more = listener.accept()) connections.push_back(std::move(more));
+    return connections.size();
   };
-  until([&] { return accepted() == 1; }, "the first connection");
-  settle();
+  wait_until([&] { return accepted() == 1; }, "the first connection");
+  run_passes();
   const Time far = loop.now() + std::chrono::hours(1);
   servers.offer(id, {0xbb, "voice", "1", "d", far});
   servers.offer(id, {0xcc, "voice", "1", "d", far});
-  until([&] { return accepted() == 2; }, "the second connection");
-  settle();
-  servers.offer(id, {0xaa, "voice", "1", "d", far, 0});  // on the second: nothing is out there yet
+  wait_until([&] { return accepted() == 2; }, "the second connection");
+  run_passes();
+  servers.offer(
+      id, {0xaa, "voice", "1", "d", far, 0});  // on the second connection, which has nothing in flight yet
   servers.offer(id, {0xdd, "voice", "1", "d", far});
   servers.offer(id, {0xee, "voice", "1", "d", far});
-  settle();
-  servers.end(id, 0xaa, cause::kNormal);
+  run_passes();
+  servers.release(id, 0xaa, cause::kNormal);
   servers.offer(id, {0xaa, "voice", "1", "d", far, 1});
-  settle();
-  for (Peer& lane : lanes) {
-    const std::string& heard = lane.heard();
+  run_passes();
+  for (Peer& connection : connections) {
+    const std::string& heard = connection.received();
     const auto release = heard.find(line("end", kId, "\"why\":16"));
     EXPECT_EQ(release == std::string::npos, heard.find(kId) == std::string::npos);
     if (release == std::string::npos) continue;
@@ -266,9 +277,9 @@
   }
 }
 
-// The reproduction of the incident on a real process: its answer spoilt, a call is retried at the same
-// server, which then says that the call of the first attempt is over.
-TEST_F(Process, ALateReleaseOfASpoiltAttemptDoesNotSendTheCallElsewhere) {
+// The same failure on a real process: the answer of a call arrives as a malformed line, the call is retried
+// at the same server, and then the server releases the call of the first attempt.
+TEST_F(Process, ALateReleaseOfAMalformedAttemptDoesNotSendTheCallElsewhere) {
   Listener second;
   std::string text = config();
   const std::string host =
@@ -280,27 +291,29 @@
   text.replace(text.find(no_guard), no_guard.size(), "\"release_guard\":300");
   start(text);
   Peer server, other;
-  until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
-  until([&] { return static_cast<bool>(other = second.accept()); }, "its connection to the other server");
-  serves();
+  wait_until([&] { return static_cast<bool>(server = listener.accept()); }, "its connection");
+  wait_until([&] { return static_cast<bool>(other = second.accept()); },
+             "its connection to the other server");
+  wait_until_serving();
   Peer gateway = Peer::connect(address);
-  gateway.say(setup(0xaa, "d"));
-  hears(server, "offer");
-  server.say("{\"op\":\"accept\",\x01\n");
-  std::list<Peer> lanes;
+  gateway.send(setup(0xaa, "d"));
+  wait_to_receive(server, "offer");
+  server.send("{\"op\":\"accept\",\x01\n");
+  std::list<Peer> connections;
   Peer* retried = nullptr;
   const auto retry = [&] {
-    while (Peer more = listener.accept()) lanes.push_back(std::move(more));
-    for (Peer& lane : lanes) retried = count(lane.heard(), "offer") > 0 ? &lane : retried;
+    while (Peer more = listener.accept()) connections.push_back(std::move(more));
+    for (Peer& connection : connections)
+      retried = count(connection.received(), "offer") > 0 ? &connection : retried;
     return retried != nullptr;
   };
-  until(retry, "the retry");
-  retried->say("{\"op\":\"end\",\"call\":\"" + kId + "\",\"with\":{},\"why\":16}\n");
-  retried->say("{\"op\":\"accept\",\"call\":\"" + kId + "\",\"with\":{},\"desc\":\"s\"}\n");
-  until([&] { return !gateway.heard().empty() || !other.heard().empty(); },
-        "an answer or an attempt elsewhere");
-  EXPECT_EQ(other.heard(), "") << "an attempt elsewhere while the retry is out";
-  EXPECT_EQ(gateway.heard(), kAnswered);
+  wait_until(retry, "the retry");
+  retried->send("{\"op\":\"end\",\"call\":\"" + kId + "\",\"with\":{},\"why\":16}\n");
+  retried->send("{\"op\":\"accept\",\"call\":\"" + kId + "\",\"with\":{},\"desc\":\"s\"}\n");
+  wait_until([&] { return !gateway.received().empty() || !other.received().empty(); },
+             "an answer or an attempt elsewhere");
+  EXPECT_EQ(other.received(), "") << "an attempt elsewhere while the retry is out";
+  EXPECT_EQ(gateway.received(), kAnswered);
 }
 
 }  // namespace
--- a/tests/duty_history_test.cpp
+++ b/tests/duty_history_test.cpp
@@ -1,5 +1,6 @@
-// Faults drawn by chance among processes of the program, and a history of what clients of the register did
-// and saw meanwhile. QUARTZARCH_SEED draws others; the seed is printed with a failure.
+// Random faults among processes of the program, with a recorded history of the operations of the register's
+// clients that is checked for linearizability. QUARTZARCH_SEED selects the faults; the seed is printed with a
+// failure.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -28,30 +29,30 @@
       for (int v = 0; v < kVoters; ++v) voters[voter(v)] = link(name, voter(v)).address();
       Client& client = clients_[i];
       client.to = std::make_unique<reg::Client>(loop_, voters, seed + i);
-      const auto ask = [&client](reg::Command command, reg::Access::Done done) {
+      const auto ask = [&client](reg::Command command, reg::ClientProtocol::Done done) {
         client.to->ask(std::move(command), std::move(done));
         client.to->pump();
       };
       client.recorder = std::make_unique<faults::Recorder>(history_, i, ask, seed * 31 + i);
     }
   }
-  // Until so many more operations have begun, with an answer or without.
+  // Runs the clients until that many more operations have begun, whether or not they were answered.
   void record(std::size_t operations) {
     const std::size_t before = history_.operations().size();
-    until(
+    wait_until(
         [&] {
           for (Client& client : clients_) client.recorder->step([] { return steady_time(); });
           loop_.pass(milliseconds(2));
           return history_.operations().size() >= before + operations;
         },
-        "the clients going on");
+        "more operations of the clients");
   }
-  // Reads of every key, each until there is an answer: no write that was acknowledged is lost.
+  // Reads every key until there is a reply: no acknowledged write may be lost.
   void read_all() {
     Client& client = clients_[0];
     for (unsigned key = 0; key < faults::Recorder::kKeys; ++key) {
       const std::size_t answered = history_.answered();
-      until(
+      wait_until(
           [&] {
             if (!client.recorder->busy()) {
               if (history_.answered() > answered) return true;
@@ -64,7 +65,7 @@
     }
   }
 
-  // One fault, and what ends it.
+  // Injects a random fault and returns a function that ends it.
   std::function<void()> inject(std::mt19937_64& random) {
     const std::string victim = voter(static_cast<int>(random() % kVoters));
     const std::string holder = random() % 2 == 0 ? "h1" : "h2";
@@ -79,19 +80,19 @@
     std::vector<std::string> everybody = {"a", "b", "c", "h1", "h2", "w0", "w1", "w2", "w3"};
     switch (random() % 9) {
       case 0:
-        told_ += " kill " + victim;
+        injected_faults_ += " kill " + victim;
         kill(victim);
         return [this, victim] { start_voter(victim[0] - 'a'); };
       case 1:
-        told_ += " stop " + victim;
+        injected_faults_ += " stop " + victim;
         signal(victim, SIGSTOP);
         return [this, victim] { signal(victim, SIGCONT); };
       case 2:
-        told_ += " cut off " + victim;
+        injected_faults_ += " cut off " + victim;
         cut_off(victim, true);
         return [this, victim] { cut_off(victim, false); };
-      case 3: {  // the leader hears nothing of the clients but what arrives late
-        told_ += " hold what clients say";
+      case 3: {  // what clients send arrives late at the leader
+        injected_faults_ += " delay what clients send";
         std::vector<std::string> clients(everybody.begin() + 3, everybody.end());
         all(clients, [&](const std::string& who) {
           links(who, [](faults::Relay& relay) { relay.hold(faults::Way::there); });
@@ -101,23 +102,23 @@
         };
       }
       case 4:
-        told_ += " hold what " + victim + " hears back";
+        injected_faults_ += " delay what " + victim + " receives";
         links(victim, [](faults::Relay& relay) { relay.hold(faults::Way::back); });
         return [=, this] { links(victim, [](faults::Relay& relay) { relay.pass(); }); };
       case 5:
-        told_ += " break all connections";
+        injected_faults_ += " break all connections";
         all(everybody, [&](const std::string& who) { links(who, [](faults::Relay& r) { r.reset(); }); });
         return [] {};
       case 6:
-        told_ += " stop " + holder;
+        injected_faults_ += " stop " + holder;
         signal(holder, SIGSTOP);
         return [this, holder] { signal(holder, SIGCONT); };
       case 7:
-        told_ += " kill " + holder;
+        injected_faults_ += " kill " + holder;
         kill(holder);
         return [this, holder] { start_holder(holder); };
       default:
-        told_ += " trickle to " + victim;
+        injected_faults_ += " slow links to " + victim;
         all(everybody, [&](const std::string& who) {
           if (who != victim) link(who, victim).trickle();
         });
@@ -132,10 +133,10 @@
   Loop loop_{steady_time};
   faults::History history_;
   std::array<Client, kClients> clients_;
-  std::string told_;  // the faults, in order
+  std::string injected_faults_;  // the faults, in order
 };
 
-TEST_F(DutyHistory, OfRandomFaultsIsOneThatOneRegisterCouldShowAndDutiesDoNotOverlap) {
+TEST_F(DutyHistory, IsLinearizableUnderRandomFaultsAndHoldingsDoNotOverlap) {
   const char* const given = std::getenv("QUARTZARCH_SEED");
   const std::uint64_t seed = given ? std::strtoull(given, nullptr, 10) : 1;
   const char* const how_many = std::getenv("QUARTZARCH_FAULTS");
@@ -143,7 +144,7 @@
   std::mt19937_64 random(seed);
   start_fleet();
   start_holder("h1");
-  holds("h1");
+  wait_for_holder("h1");
   start_holder("h2");
   start_clients(seed);
   record(40);
@@ -153,11 +154,12 @@
     end();
     record(40);
   }
-  more_work(20);
+  wait_for_effects(20);
   read_all();
-  const std::string context = "QUARTZARCH_SEED=" + std::to_string(seed) + " draws these again:" + told_;
+  const std::string context =
+      "QUARTZARCH_SEED=" + std::to_string(seed) + " reproduces these faults:" + injected_faults_;
   EXPECT_EQ(history_.judge(), "") << context;
-  EXPECT_EQ(interleaved(written()), "") << context;
+  EXPECT_EQ(find_interleaving(read_effects()), "") << context;
   EXPECT_GT(history_.answered(), history_.operations().size() / 2) << context;
   std::printf("%zu operations, %zu with an answer\n", history_.operations().size(), history_.answered());
 }
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -54,35 +54,35 @@
   }
   explicit operator bool() const { return static_cast<bool>(fd_); }
   std::string address() const { return address_text(bound_address(fd_)); }
-  void say(const std::string& bytes) const {
+  void send(const std::string& bytes) const {
     EXPECT_EQ(::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(bytes.size()));
   }
   // As say, where the other end may have gone.
-  void say_if_open(const std::string& bytes) const {
+  void send_if_open(const std::string& bytes) const {
     [[maybe_unused]] const ssize_t said = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
   int descriptor() const { return fd_.get(); }
   // Everything heard so far.
-  const std::string& heard() {
+  const std::string& received() {
     char bytes[65536];
     for (ssize_t n; fd_ && (n = ::recv(fd_.get(), bytes, sizeof bytes, MSG_DONTWAIT)) >= 0;) {
       if (n == 0) {
         ended_ = true;
         break;
       }
-      heard_.append(bytes, static_cast<std::size_t>(n));
+      received_.append(bytes, static_cast<std::size_t>(n));
     }
-    return heard_;
+    return received_;
   }
   bool ended() {
-    heard();
+    received();
     return ended_;
   }
   // Takes what was heard off; what comes later is heard afresh.
-  std::string take() {
-    heard();
-    return std::exchange(heard_, {});
+  std::string take_received() {
+    received();
+    return std::exchange(received_, {});
   }
   void close() { fd_.reset(); }
   // Says no more, and still hears.
@@ -96,7 +96,7 @@
 
  private:
   Fd fd_;
-  std::string heard_;
+  std::string received_;
   bool ended_ = false;
 };
 
@@ -146,12 +146,12 @@
 
 // The system's clock and what a test has moved it on by, so that nothing has to be slept for. While it is
 // held, it goes on only as it is moved: a slow machine lets nothing fall due.
-inline Duration moved_on{};
-inline std::optional<Time> held_at{};
-inline Time test_clock() { return held_at.value_or(unix_time()) + moved_on; }
-struct HeldClock {
-  HeldClock() { held_at = unix_time(); }
-  ~HeldClock() { held_at.reset(); }
+inline Duration clock_offset{};
+inline std::optional<Time> frozen_at{};
+inline Time test_clock() { return frozen_at.value_or(unix_time()) + clock_offset; }
+struct FrozenClock {
+  FrozenClock() { frozen_at = unix_time(); }
+  ~FrozenClock() { frozen_at.reset(); }
 };
 
 // The program with two classes of call, and one stand-in setup server unless a test adds more.
@@ -171,19 +171,19 @@
     start.settings.quantum = milliseconds(5);
     start.settings.max_retry_after = milliseconds(2000);
     change(start);
-    planner = std::make_unique<Planner>(loop, log, start, 1, Planner::Bounds{});
+    planner = std::make_unique<Planner>(loop, log, start, 1, Planner::Capacity{});
     front = std::make_unique<BinaryFront>(loop, log, *planner, any_port(), 64, 1 << 20);
-    planner->strays_to(*front);
+    planner->set_unknown_call_front(*front);
   }
   // Passes of the loop until it holds; what never comes fails here.
-  void until(const std::function<bool()>& holds, const char* what = "what was waited for") {
+  void wait_until(const std::function<bool()>& holds, const char* what = "what was waited for") {
     for (int pass = 0; pass < 20000; ++pass) {
       if (holds()) return;
       loop.pass(milliseconds(1));
     }
     FAIL() << "never came: " << what;
   }
-  void settle(int passes = 30) {
+  void run_passes(int passes = 30) {
     for (int i = 0; i < passes; ++i) loop.pass(milliseconds(1));
   }
   static Host host(const Listener& at, int number, Availability state = Availability::ready) {
@@ -199,32 +199,32 @@
   }
   // The one server is listed and has its connection.
   void open_server() {
-    planner->news({1, true, {host(listener, 0)}});
-    until([this] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
-    settle(3);
+    planner->update_servers({1, true, {host(listener, 0)}});
+    wait_until([this] { return static_cast<bool>(server = listener.accept()); }, "the server's connection");
+    run_passes(3);
   }
-  Peer caller() { return Peer::connect(front->address()); }
+  Peer connect_caller() { return Peer::connect(front->address()); }
   // A caller whose set-up 0xaa waits for the connection to the one server, which is up and not yet seen to
   // be.
-  Peer caller_before_the_connection(const std::string& ms = "5000") {
-    Peer gateway = caller();
-    gateway.say(setup(0xaa, "d", ms));
-    until([this] { return planner->owed() == 1; }, "the set-up, held");
-    loop.at_end([this] { planner->news({1, true, {host(listener, 0)}}); });
+  Peer caller_ahead_of_the_connection(const std::string& ms = "5000") {
+    Peer gateway = connect_caller();
+    gateway.send(setup(0xaa, "d", ms));
+    wait_until([this] { return planner->pending_answers() == 1; }, "the set-up, held");
+    loop.defer([this] { planner->update_servers({1, true, {host(listener, 0)}}); });
     loop.pass(Duration{0});
     return gateway;
   }
-  void hears(Peer& peer, const std::string& text) {
-    until([&] { return peer.heard().find(text) != std::string::npos; }, text.c_str());
+  void wait_to_receive(Peer& peer, const std::string& text) {
+    wait_until([&] { return peer.received().find(text) != std::string::npos; }, text.c_str());
   }
   // The call 0xaa of this caller stands; what both sides have heard so far is taken off.
-  void stand(Peer& gateway) {
-    gateway.say(setup(0xaa, "d"));
-    hears(server, "offer");
-    server.say(line("accept", "00000000000000aa", "\"desc\":\"s\""));
-    hears(gateway, binary(9, 0xaa, {{210, "s"}}));
-    gateway.take();
-    server.take();
+  void establish_call(Peer& gateway) {
+    gateway.send(setup(0xaa, "d"));
+    wait_to_receive(server, "offer");
+    server.send(line("accept", "00000000000000aa", "\"desc\":\"s\""));
+    wait_to_receive(gateway, binary(9, 0xaa, {{210, "s"}}));
+    gateway.take_received();
+    server.take_received();
   }
   static std::string line(const std::string& op, const std::string& call, const std::string& rest) {
     return "{\"op\":\"" + op + "\",\"call\":\"" + call + "\",\"with\":{}," + rest + "}\n";
--- a/tests/shared_gaps_test.cpp
+++ b/tests/shared_gaps_test.cpp
@@ -1,5 +1,5 @@
-// Gaps that a fleet shares: the list by itself in virtual time, and three serving processes with links cut
-// between them.
+// Gaps shared by a fleet: the ledger in virtual time, and three serving processes with links cut between
+// them.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -17,36 +17,36 @@
 using gap::ListReplica;
 using std::chrono::milliseconds;
 
-// ---- The list by itself
+// ---- The ledger alone
 
-// Controllers with a list between them that takes writes as the register does: with the place expected or not
-// at all. Answers and news are late, lost and told twice; controllers are cut off and start anew from what
-// they kept.
-class Sharers {
+// Controllers around a list that accepts writes as the register does: only with the expected place. Replies
+// and updates are delayed, lost or repeated; controllers are cut off and restart from what they stored.
+class SimulatedFleet {
  public:
-  // The defect: whoever starts anew takes what it kept for news of its own.
-  Sharers(std::uint64_t seed, bool forgets_agreed) : random_(seed), forgets_agreed_(forgets_agreed) {
+  // `restores_as_unagreed`: a defect, a restarted controller takes stored entries for changes of its own.
+  SimulatedFleet(std::uint64_t seed, bool restores_as_unagreed)
+      : random_(seed), restores_as_unagreed_(restores_as_unagreed) {
     for (int i = 0; i < 4; ++i) nodes_.push_back(std::make_unique<Node>());
   }
-  // Empty if all ended alike and nothing that was lifted is in force.
-  std::string play() {
+  // Returns what went wrong; empty if all controllers end with the same list and no lifted gap is in force.
+  std::string run() {
     for (int i = 0; i < 400; ++i) {
       now_ += milliseconds(100);
-      step(*nodes_[pick(nodes_.size())]);
+      step(*nodes_[random_below(nodes_.size())]);
       deliver(false);
     }
     for (auto& node : nodes_) node->cut = false;
     for (int i = 0; i < 200; ++i) {
       now_ += milliseconds(100);
-      for (auto& node : nodes_) send(*node);
+      for (auto& node : nodes_) send_due(*node);
       deliver(true);
     }
     for (const auto& node : nodes_) {
-      if (node->ledger.pending_count() > 0) return "a change never came into the list";
-      if (node->table != in_list()) return "a controller has another list in the end";
+      if (node->ledger.pending_count() > 0) return "a change never reached the list";
+      if (node->table != active_entries()) return "a controller ended with a different list";
     }
     for (const auto& [id, item] : list_) {
-      if (lifted_.count(item.first.rule) > 0) return "a gap came back that was lifted";
+      if (lifted_.count(item.first.rule) > 0) return "a lifted gap returned";
     }
     return {};
   }
@@ -56,32 +56,32 @@
     ListReplica ledger{ListReplica::Bounds{}};
     std::map<std::string, Entry> table{};  // in force
     bool cut = false;
-    bool told = false;  // has had the whole list since its start
-    std::deque<std::vector<ListReplica::ListedEntry>> news{};
+    bool synced = false;  // has received the complete list since its start
+    std::deque<std::vector<ListReplica::ListedEntry>> updates{};
   };
-  std::size_t pick(std::size_t below) {
+  std::size_t random_below(std::size_t below) {
     return std::uniform_int_distribution<std::size_t>(0, below - 1)(random_);
   }
   static Entry rule(const std::string& id, std::uint64_t revision, std::size_t rate) {
     return {revision, R"({"id":")" + id + R"(","revision":)" + std::to_string(revision) +
                           R"(,"number":"7*","control":{"per_s":)" + std::to_string(rate) + "}}"};
   }
-  std::map<std::string, Entry> in_list() const {
+  std::map<std::string, Entry> active_entries() const {
     std::map<std::string, Entry> all;
     for (const auto& [id, item] : list_) {
       if (!item.first.lifted()) all[id] = item.first;
     }
     return all;
   }
-  static void take(Node& node, const std::vector<ListReplica::Update>& news) {
+  static void apply_news(Node& node, const std::vector<ListReplica::Update>& news) {
     for (const auto& each : news) {
       node.table.erase(each.id);
       if (each.entry && !each.entry->lifted()) node.table[each.id] = *each.entry;
     }
   }
   void step(Node& node) {
-    const std::string id(1, static_cast<char>('a' + pick(3)));
-    switch (pick(12)) {
+    const std::string id(1, static_cast<char>('a' + random_below(3)));
+    switch (random_below(12)) {
       case 0:
       case 1: {
         const auto known = node.table.find(id);
@@ -103,28 +103,28 @@
       }
       case 3:
         node.cut = !node.cut;
-        if (!node.cut) node.told = false;  // its watch begins anew
+        if (!node.cut) node.synced = false;  // its watch starts again
         break;
-      case 4: {  // started anew, from what it kept
+      case 4: {  // restarts from what it stored
         ListReplica fresh{ListReplica::Bounds{}};
         for (const auto& [each, entry] : node.table)
-          fresh.restore(each, entry, node.ledger.agreed(each) && !forgets_agreed_);
+          fresh.restore(each, entry, node.ledger.agreed(each) && !restores_as_unagreed_);
         node.ledger = std::move(fresh);
-        node.news.clear();
-        node.told = false;
+        node.updates.clear();
+        node.synced = false;
         break;
       }
-      case 5: {  // the list-keeper takes out what was lifted long ago
-        if (node.cut || !node.told) break;
+      case 5: {  // the holder of the duty removes entries lifted long ago
+        if (node.cut || !node.synced) break;
         for (const auto& each : node.ledger.sweep(now_)) write(each);
         for (const auto& each : node.ledger.sweep(now_ + std::chrono::hours(25))) write(each);
         break;
       }
       default:
-        send(node);
+        send_due(node);
     }
   }
-  // The place that it has then, or 0.
+  // Returns the entry's new place, or 0 if the write was refused.
   ListReplica::Version write(const ListReplica::Write& write) {
     const auto found = list_.find(write.id);
     const ListReplica::Version present = found == list_.end() ? 0 : found->second.second;
@@ -139,14 +139,14 @@
       list_.erase(write.id);
     }
     for (auto& node : nodes_) {
-      if (node->told) node->news.push_back({{write.id, write.entry, place_}});
+      if (node->synced) node->updates.push_back({{write.id, write.entry, place_}});
     }
     return place_;
   }
-  void send(Node& node) {
+  void send_due(Node& node) {
     for (const auto& each : node.ledger.next_writes(now_)) {
-      if (node.cut || pick(6) == 0) {
-        if (!node.cut && pick(2) == 0) write(each);  // its answer is lost
+      if (node.cut || random_below(6) == 0) {
+        if (!node.cut && random_below(2) == 0) write(each);  // the reply is lost
         node.ledger.complete_write(now_, each.id, ListReplica::Outcome::lost);
         continue;
       }
@@ -158,49 +158,49 @@
   void deliver(bool all) {
     for (auto& node : nodes_) {
       if (node->cut) continue;
-      if (!node->told) {
-        node->news.clear();
+      if (!node->synced) {
+        node->updates.clear();
         std::vector<ListReplica::ListedEntry> whole;
         for (const auto& [id, item] : list_) whole.push_back({id, item.first, item.second});
-        take(*node, node->ledger.apply(whole, true));
-        node->told = true;
+        apply_news(*node, node->ledger.apply(whole, true));
+        node->synced = true;
       }
-      while (!node->news.empty() && (all || pick(3) == 0)) {
-        take(*node, node->ledger.apply(node->news.front(), false));
-        node->news.pop_front();
+      while (!node->updates.empty() && (all || random_below(3) == 0)) {
+        apply_news(*node, node->ledger.apply(node->updates.front(), false));
+        node->updates.pop_front();
       }
     }
   }
 
   std::mt19937_64 random_;
-  const bool forgets_agreed_;
+  const bool restores_as_unagreed_;
   Time now_ = std::chrono::hours(1);
   std::vector<std::unique_ptr<Node>> nodes_;
   std::map<std::string, std::pair<Entry, ListReplica::Version>> list_;
-  std::set<std::string> lifted_;  // rules that were in the list
+  std::set<std::string> lifted_;  // lifted rules that were in the list
   std::map<std::string, std::uint64_t> highest_;
-  std::size_t rate_ = 0;  // of the last announced: no two are alike
+  std::size_t rate_ = 0;  // rate of the last announced rule; no two are alike
   ListReplica::Version place_ = 0;
 };
 
-TEST(SharedGaps, ApartOrNotAllEndWithOneListAndNothingLiftedComesBack) {
+TEST(SharedGaps, PartitionedControllersConvergeAndNoLiftedGapReturns) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
-    ASSERT_EQ(Sharers(seed, false).play(), "") << "seed " << seed;
+    ASSERT_EQ(SimulatedFleet(seed, false).run(), "") << "seed " << seed;
   }
 }
 
-TEST(SharedGaps, ThatWhatWasKeptIsTakenForNewsIsFound) {
+TEST(SharedGaps, TakingStoredEntriesForChangesIsDetected) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
-    if (!Sharers(seed, true).play().empty()) return;
+    if (!SimulatedFleet(seed, true).run().empty()) return;
   }
-  FAIL() << "no walk showed it";
+  FAIL() << "no walk detected it";
 }
 
 // ---- Serving processes
 
 class FleetGaps : public FleetProcess {
  protected:
-  std::vector<std::string> options_of(const std::string& who) override {
+  std::vector<std::string> extra_options(const std::string& who) override {
     if (control_.count(who) == 0) control_[who] = free_address();
     const std::string path = directory + "/" + who + ".control.toml";
     acme::replace_file(path, "listen = \"" + address_text(control_[who]) + "\"\ndirectory = \"" + directory +
@@ -216,102 +216,105 @@
   void announce(const std::string& who, const std::string& id, int rate) {
     gap(who, {"add", id, "--number", "7*", "--per-s", std::to_string(rate), "--who", who});
   }
-  std::string listed(const std::string& who) { return gap(who, {"list", "--json"}); }
-  void has(const std::string& who, const std::string& text) {
-    until([&] { return listed(who).find(text) != std::string::npos; }, (who + " with " + text).c_str());
+  std::string list_gaps(const std::string& who) { return gap(who, {"list", "--json"}); }
+  void wait_until_listed(const std::string& who, const std::string& text) {
+    wait_until([&] { return list_gaps(who).find(text) != std::string::npos; },
+               (who + " with " + text).c_str());
   }
-  void has_not(const std::string& who, const std::string& text) {
-    until([&] { return listed(who).find(text) == std::string::npos; }, (who + " without " + text).c_str());
+  void wait_until_unlisted(const std::string& who, const std::string& text) {
+    wait_until([&] { return list_gaps(who).find(text) == std::string::npos; },
+               (who + " without " + text).c_str());
   }
   std::map<std::string, sockaddr_in> control_;
 };
 
-TEST_F(FleetGaps, AnnouncedAnywhereTheyReachAllAndOneThatWasCutOffHearsOfThemLater) {
+TEST_F(FleetGaps, GapsReachAllControllersAndAPartitionedOneCatchesUp) {
   start_fleet();
-  for (const char* const each : {"a", "b", "c"}) serves(each);
+  for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   announce("a", "exam", 20);
-  for (const char* const each : {"a", "b", "c"}) has(each, R"("id":"exam")");
-  has("a", R"("agreed":true)");
+  for (const char* const each : {"a", "b", "c"}) wait_until_listed(each, R"("id":"exam")");
+  wait_until_listed("a", R"("agreed":true)");
   cut_off("a", true);
   announce("b", "second", 5);
   gap("b", {"lift", "exam", "--who", "b"});
-  has("c", R"("id":"second")");
-  has_not("c", R"("id":"exam")");
-  announce("a", "third", 7);  // in force where it was announced, at once
-  EXPECT_NE(listed("a").find(R"("id":"exam")"), std::string::npos);
-  EXPECT_NE(listed("a").find(R"("agreed":false)"), std::string::npos);
-  EXPECT_EQ(listed("c").find("third"), std::string::npos);
+  wait_until_listed("c", R"("id":"second")");
+  wait_until_unlisted("c", R"("id":"exam")");
+  announce("a", "third", 7);  // in force at once where it was announced
+  EXPECT_NE(list_gaps("a").find(R"("id":"exam")"), std::string::npos);
+  EXPECT_NE(list_gaps("a").find(R"("agreed":false)"), std::string::npos);
+  EXPECT_EQ(list_gaps("c").find("third"), std::string::npos);
   cut_off("a", false);
-  has("a", R"("id":"second")");
-  has_not("a", R"("id":"exam")");
-  has("c", R"("id":"third")");
+  wait_until_listed("a", R"("id":"second")");
+  wait_until_unlisted("a", R"("id":"exam")");
+  wait_until_listed("c", R"("id":"third")");
 }
 
-TEST_F(FleetGaps, OfTwoAnnouncedApartOneHoldsEverywhere) {
+TEST_F(FleetGaps, OneOfTwoConflictingGapsWinsEverywhere) {
   start_fleet();
-  for (const char* const each : {"a", "b", "c"}) serves(each);
+  for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   cut_off("a", true);
   announce("a", "exam", 11);
   announce("b", "exam", 22);
-  has("c", R"("per_s":22)");
+  wait_until_listed("c", R"("per_s":22)");
   cut_off("a", false);
-  has("a", R"("per_s":22)");
+  wait_until_listed("a", R"("per_s":22)");
   EXPECT_NE(log_of("a").find("does not hold"), std::string::npos);
 }
 
-TEST_F(FleetGaps, AStartHasTheFleetsBeforeCallsAndWithTheVotersOutOfReachItsOwnOfBefore) {
+TEST_F(FleetGaps, AStartLoadsTheFleetsGapsBeforeCallsOrItsStoredOnesWithoutVoters) {
   start_fleet();
-  for (const char* const each : {"a", "b", "c"}) serves(each);
+  for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   announce("b", "exam", 20);
-  has("a", R"("id":"exam")");
-  until(
+  wait_until_listed("a", R"("id":"exam")");
+  wait_until(
       [&] {
         std::ifstream file(directory + "/a.control/gaps.rules");
         return std::string(std::istreambuf_iterator<char>(file), {}).find("agreed") != std::string::npos;
       },
-      "the own file");
+      "the stored entry");
   kill("a");
   announce("b", "second", 5);
-  has("c", R"("id":"second")");
-  has("c", R"("agreed":true)");
+  wait_until_listed("c", R"("id":"second")");
+  wait_until_listed("c", R"("agreed":true)");
   start_voter(0);
-  serves("a");
+  wait_until_serving("a");
   EXPECT_NE(log_of("a").find("2 gaps of the fleet's list"), std::string::npos) << log_of("a");
   EXPECT_LT(log_of("a").find("gaps of the fleet's list"), log_of("a").find("serving at"));
   for (const char* const each : {"a", "b", "c"}) kill(each);
-  fleet_more = "start_wait_ms = 200\n";
+  extra_fleet_settings = "start_wait_ms = 200\n";
   start_voter(0);
-  serves("a");
+  wait_until_serving("a");
   EXPECT_NE(log_of("a").find("out of reach"), std::string::npos);
-  EXPECT_NE(listed("a").find(R"("id":"exam")"), std::string::npos) << log_of("a");
+  EXPECT_NE(list_gaps("a").find(R"("id":"exam")"), std::string::npos) << log_of("a");
   start_voter(1);
   start_voter(2);
-  has("a", R"("id":"second")");
+  wait_until_listed("a", R"("id":"second")");
 }
 
-// What was told to be in the list is there for ever, whoever dies while more is written.
-TEST_F(FleetGaps, WhatWasAgreedOnIsKeptThroughKillsInTheMiddleOfWrites) {
+// An entry reported as agreed is kept, whichever voter dies while more is written.
+TEST_F(FleetGaps, AgreedGapsSurviveKillsDuringWrites) {
   start_fleet();
-  for (const char* const each : {"a", "b", "c"}) serves(each);
+  for (const char* const each : {"a", "b", "c"}) wait_until_serving(each);
   for (int round = 0; round < 4; ++round) {
     const int victim = round % 2 == 0 ? 0 : 2;
     const std::string id = "g" + std::to_string(round);
     announce("b", id + "x", 1);
-    has("b", R"("agreed":true)");
-    announce("b", id + "y", 2);  // on its way when the voter dies
+    wait_until_listed("b", R"("agreed":true)");
+    announce("b", id + "y", 2);  // in flight when the voter dies
     kill(voter(victim));
     announce("b", id + "z", 3);
     start_voter(victim);
-    serves(voter(victim));
+    wait_until_serving(voter(victim));
   }
-  until([&] { return listed("b").find(R"("agreed":false)") == std::string::npos; }, "all of them agreed on");
+  wait_until([&] { return list_gaps("b").find(R"("agreed":false)") == std::string::npos; },
+             "agreement on all of them");
   for (const char* const each : {"a", "b", "c"}) kill(each);
   for (int i = 0; i < kVoters; ++i) start_voter(i);
   for (const char* const each : {"a", "b", "c"}) {
-    serves(each);
+    wait_until_serving(each);
     for (int round = 0; round < 4; ++round) {
       for (const char* const part : {"x", "y", "z"}) {
-        has(each, "\"id\":\"g" + std::to_string(round) + part + "\"");
+        wait_until_listed(each, "\"id\":\"g" + std::to_string(round) + part + "\"");
       }
     }
   }
