--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -192,7 +192,8 @@
   expect_error("{", {}, "config.json");
   expect_error(std::string(good).replace(good.find("\"deadline\":9000"), 15, "\"deadline\":0"), {},
                "line 1: \"request_classes.voice.deadline\" is not over 0");
-  expect_error(std::string(good).replace(good.find("127."), 4, "somewhere"), {}, "\"listen\" is no address");
+  expect_error(std::string(good).replace(good.find("127."), 4, "somewhere"), {},
+               "\"listen\" is not an address");
   expect_error(good, {"--sip", directory + "/none"}, "none: cannot be opened");
   acme::replace_file(directory + "/sip",
                      "udp = \"" + address_text(free_address()) + "\"\ndefault_class = \"exam\"\n");
