--- a/src/acme/accounts.cpp
+++ b/src/acme/accounts.cpp
@@ -5,6 +5,7 @@
 namespace quartzarch::acme {
 namespace {
 
+// A larger difference to the authority's clock means that the local clock is wrong.
 constexpr Seconds kWrongClock = std::chrono::hours(1);
 
 }  // namespace
@@ -60,14 +61,14 @@
   Account& account = session->account = load(authority);
   session->client = std::make_unique<Client>(settings.access, environment_.now, environment_.stopped);
   Client& client = *session->client;
-  client.has_renewal_info();  // reads the directory
+  client.has_renewal_info();  // fetches the directory, whose response has the authority's time
   if (const Seconds ahead = client.clock_ahead(); std::chrono::abs(ahead) > kWrongClock) {
-    throw AcmeError(Failure::local, "our clock and the authority's differ by " +
+    throw AcmeError(Failure::local, "the local clock and the authority's differ by " +
                                         span_text(std::chrono::abs(ahead)) +
-                                        ": nothing is ordered by a wrong clock");
+                                        ": no certificate is ordered with a wrong clock");
   }
   if (!account.key) {
-    // On disk before the authority hears of it: the account is found again by it.
+    // The key is stored before the account is created: after a crash the account is found again by its key.
     account.key = new_key();
     steps_.step("account key");
     store_.write_pem(file(authority, ".key.pem"), pem_of(account.key));
@@ -90,7 +91,8 @@
   return session;
 }
 
-// A rollover that was broken off: the fresh key is on disk, and the authority knows which of the two holds.
+// An interrupted rollover leaves the new key in the store. If the authority has an account with that key, the
+// rollover took effect there and the key replaces the old one; otherwise the new key is removed.
 void Accounts::finish_roll_over(std::size_t authority, Session& session) {
   const std::string fresh_file = file(authority, ".next.pem");
   const auto pem = store_.read_pem(fresh_file);
@@ -133,7 +135,7 @@
 
 void Accounts::deactivate(std::size_t authority) {
   open(authority)->client->deactivate();
-  // The key is of no more use: the next order opens a new account.
+  // The key cannot be used any more: the next order creates a new account with a new key.
   store_.put_aside(file(authority, ".key.pem"), "the account is deactivated");
   store_.remove(file(authority, ".key.pem"));
   store_.remove(file(authority, ".json"));
--- a/src/acme/client.cpp
+++ b/src/acme/client.cpp
@@ -13,16 +13,17 @@
 constexpr int kNonceTries = 5;
 constexpr std::size_t kMostOrders = 200;
 
-// A response's JSON, which lives as long as this.
+// Parses the JSON object in a response; its elements are valid as long as this object.
 class Document {
  public:
   explicit Document(const Response& response) {
     if (parser_.parse(response.body).get(root_) != simdjson::SUCCESS || !root_.is_object()) {
-      throw AcmeError(Failure::unreachable, "the authority's response is no JSON object (status " +
+      throw AcmeError(Failure::unreachable, "the authority's response is not a JSON object (status " +
                                                 std::to_string(response.status) + ")");
     }
   }
   element root() const { return root_; }
+  // Throws if the text is missing or empty.
   std::string wanted(std::string_view name) const {
     std::string found = text_in(root_, name);
     if (found.empty()) {
@@ -36,6 +37,7 @@
   element root_{};
 };
 
+// The problem document in a member of a JSON object, as in failed orders and challenges.
 std::optional<Problem> problem_in(element from, std::string_view name) {
   element error;
   if (from[name].get(error) != simdjson::SUCCESS || !error.is_object()) return std::nullopt;
@@ -55,7 +57,6 @@
   orders_url_.clear();
 }
 
-// What every response tells besides its answer.
 Response Client::taken(Response response) {
   if (!response.nonce.empty()) nonce_ = response.nonce;
   if (response.date) clock_ahead_ = *response.date - now_();
@@ -67,7 +68,8 @@
   const auto retry = parse_retry_after(response.retry_after, now_());
   const Problem problem = parse_problem(response.status, response.body);
   Failure why = problem.failure();
-  // Without a problem document it is not the authority itself that speaks, or it is in no state to.
+  // A 5xx response without a problem document comes from a proxy in front of the authority or from a failing
+  // server, so it says nothing about the request.
   if (why == Failure::refused && problem.type.empty() && response.status >= 500) why = Failure::unreachable;
   AcmeError error(why, std::string(what) + ": " + problem.plain(), retry);
   error.type = problem.type;
@@ -77,7 +79,7 @@
 
 const std::string& Client::resource(const std::string& name) {
   if (directory_.empty()) {
-    const Response response = good(taken(http_.get(access_.directory)), "no directory");
+    const Response response = good(taken(http_.get(access_.directory)), "fetching the directory failed");
     const Document document(response);
     for (const char* const each : {"newNonce", "newAccount", "newOrder"}) {
       directory_[each] = document.wanted(each);
@@ -95,13 +97,14 @@
          base64url(sign(key, sealed + "." + content)) + "\"}";
 }
 
-// A nonce may have gone stale through no fault of ours: the response to that brings a fresh one (6.5).
+// The authority may reject a nonce as expired at any time; its badNonce response carries a new one (RFC 8555,
+// 6.5).
 Response Client::post(const std::string& url, const std::string& payload, bool with_jwk) {
-  if (url.empty()) throw AcmeError(Failure::refused, "the authority offers no such resource");
+  if (url.empty()) throw AcmeError(Failure::refused, "the authority does not offer this resource");
   Response response;
   for (int i = 0; i < kNonceTries; ++i) {
     if (nonce_.empty()) taken(http_.head(resource("newNonce")));
-    if (nonce_.empty()) throw AcmeError(Failure::unreachable, "the authority gives no nonce");
+    if (nonce_.empty()) throw AcmeError(Failure::unreachable, "the authority sent no nonce");
     const std::string who = with_jwk ? "\"jwk\":" + jwk_of(*account_) : "\"kid\":" + in_quotes(account_url_);
     const std::string head = "{\"alg\":\"ES256\"," + who +
                              ",\"nonce\":" + in_quotes(std::exchange(nonce_, {})) +
@@ -109,12 +112,13 @@
     response = taken(http_.post(url, signed_by(*account_, head, payload)));
     if (response.status != 400 || parse_problem(400, response.body).type != "badNonce") return response;
   }
-  throw AcmeError(Failure::refused, "every nonce was refused");
+  throw AcmeError(Failure::refused, "the authority rejected every nonce");
 }
 
 std::string Client::contacts() const { return in_brackets(access_.contact); }
 
-// A JWS over our public key with the secret that the authority gave out of band (7.3.4).
+// A JWS over the account's public key, authenticated by the MAC key of the external account (RFC
+// 8555, 7.3.4).
 std::string Client::external_binding(const std::string& url) const {
   const std::string sealed = base64url("{\"alg\":\"HS256\",\"kid\":" + in_quotes(access_.external->kid) +
                                        ",\"url\":" + in_quotes(url) + "}");
@@ -139,8 +143,9 @@
       parse_problem(response.status, response.body).type == "accountDoesNotExist") {
     return std::nullopt;
   }
-  good(response, "no account");
-  if (response.location.empty()) throw AcmeError(Failure::unreachable, "the authority names no account");
+  good(response, "opening the account failed");
+  if (response.location.empty())
+    throw AcmeError(Failure::unreachable, "the response to newAccount has no Location header");
   const Document account(response);
   if (text_in(account.root(), "status") == "deactivated") {
     throw AcmeError(Failure::refused, "the account is deactivated");
@@ -151,11 +156,11 @@
 }
 
 void Client::change_contact() {
-  good(post(account_url_, "{\"contact\":" + contacts() + "}"), "the contact was not changed");
+  good(post(account_url_, "{\"contact\":" + contacts() + "}"), "changing the contact failed");
 }
 
 void Client::deactivate() {
-  good(post(account_url_, "{\"status\":\"deactivated\"}"), "the account was not deactivated");
+  good(post(account_url_, "{\"status\":\"deactivated\"}"), "deactivating the account failed");
 }
 
 void Client::roll_over(const Key& fresh) {
@@ -163,7 +168,7 @@
   const std::string head = "{\"alg\":\"ES256\",\"jwk\":" + jwk_of(fresh) + ",\"url\":" + in_quotes(url) + "}";
   const std::string inner = signed_by(
       fresh, head, "{\"account\":" + in_quotes(account_url_) + ",\"oldKey\":" + jwk_of(*account_) + "}");
-  good(post(url, inner), "the key was not rolled over");
+  good(post(url, inner), "rolling over the account key failed");
 }
 
 OrderReply Client::read_order(const Response& response, std::string url) {
@@ -172,7 +177,7 @@
   reply.url = std::move(url);
   reply.retry_after = parse_retry_after(response.retry_after, now_());
   const auto status = order_status(document.wanted("status"));
-  if (!status) throw AcmeError(Failure::unreachable, "the authority's order has an unknown status");
+  if (!status) throw AcmeError(Failure::unreachable, "the order has an unknown status");
   reply.view.status = *status;
   reply.view.authorizations = texts_in(document.root(), "authorizations");
   reply.view.finalize = text_in(document.root(), "finalize");
@@ -195,31 +200,32 @@
   }
   const std::string follows = replaces.empty() ? "" : ",\"replaces\":" + in_quotes(replaces);
   Response response = post(resource("newOrder"), "{\"identifiers\":[" + list + "]" + follows + "}");
-  // The authority may not know the certificate, or hold it for replaced already: the order goes without
-  // (9773, 5).
+  // The authority may not know the replaced certificate or have it marked as replaced already: order without
+  // the `replaces` member (RFC 9773, 5).
   if (!replaces.empty() && (response.status == 404 || response.status == 409 || response.status == 400)) {
     response = post(resource("newOrder"), "{\"identifiers\":[" + list + "]}");
   }
-  good(response, "no order");
-  if (response.location.empty()) throw AcmeError(Failure::unreachable, "the authority names no order");
+  good(response, "placing the order failed");
+  if (response.location.empty())
+    throw AcmeError(Failure::unreachable, "the response to newOrder has no Location header");
   return read_order(response, response.location);
 }
 
 OrderReply Client::order(const std::string& url) {
-  return read_order(good(post(url, ""), "no news of the order"), url);
+  return read_order(good(post(url, ""), "fetching the order failed"), url);
 }
 
 std::vector<std::string> Client::orders() {
   if (orders_url_.empty()) return {};
-  const Response response = good(post(orders_url_, ""), "no list of orders");
+  const Response response = good(post(orders_url_, ""), "fetching the list of orders failed");
   std::vector<std::string> urls = texts_in(Document(response).root(), "orders");
-  // The newest are last.
+  // Keeps the end of the list, where the newest orders are.
   if (urls.size() > kMostOrders) urls.erase(urls.begin(), urls.end() - static_cast<long>(kMostOrders));
   return urls;
 }
 
 Authorization Client::authorization(const std::string& url) {
-  const Response response = good(post(url, ""), "no authorization");
+  const Response response = good(post(url, ""), "fetching the authorization failed");
   const Document document(response);
   Authorization authorization;
   authorization.status = document.wanted("status");
@@ -237,16 +243,16 @@
   return authorization;
 }
 
-void Client::answer(const std::string& url) { good(post(url, "{}"), "the challenge was not taken"); }
+void Client::answer(const std::string& url) { good(post(url, "{}"), "responding to the challenge failed"); }
 
 OrderReply Client::finalize(const std::string& order_url, const std::string& url,
                             const std::string& request) {
   return read_order(
-      good(post(url, "{\"csr\":\"" + base64url(request) + "\"}"), "the order was not finalized"), order_url);
+      good(post(url, "{\"csr\":\"" + base64url(request) + "\"}"), "finalizing the order failed"), order_url);
 }
 
 std::string Client::chain(const std::string& url, const std::string& preferred) {
-  const Response first = good(post(url, ""), "no certificate");
+  const Response first = good(post(url, ""), "downloading the certificate failed");
   if (preferred.empty()) return first.body;
   const auto has = [&](const std::string& pem) {
     const auto certificates = certificates_of(pem);
@@ -256,13 +262,13 @@
   for (const std::string& each : first.alternates) {
     if (const Response other = post(each, ""); other.status == 200 && has(other.body)) return other.body;
   }
-  return first.body;  // none of them: the first is as good as any
+  return first.body;  // no chain has the preferred issuer: use the default one
 }
 
 void Client::revoke(const Certificate& certificate, int reason) {
   good(post(resource("revokeCert"), "{\"certificate\":\"" + base64url(der_of(certificate)) +
                                         "\",\"reason\":" + std::to_string(reason) + "}"),
-       "the certificate was not revoked");
+       "revoking the certificate failed");
 }
 
 bool Client::has_renewal_info() { return !resource("renewalInfo").empty(); }
@@ -270,7 +276,7 @@
 std::optional<Client::RenewalInfo> Client::renewal_info(const std::string& id) {
   if (!has_renewal_info() || id.empty()) return std::nullopt;
   const Response response =
-      good(taken(http_.get(resource("renewalInfo") + "/" + id)), "no renewal information");
+      good(taken(http_.get(resource("renewalInfo") + "/" + id)), "fetching the renewal information failed");
   const Document document(response);
   RenewalInfo info;
   info.retry_after = parse_retry_after(response.retry_after, now_());
--- a/src/acme/client.hpp
+++ b/src/acme/client.hpp
@@ -1,5 +1,6 @@
-// RFC 8555 as calls: one authority, one account. Nothing is kept here but nonces and the directory; what must
-// survive a crash is the keeper's. No call waits for anything but the response to its own request.
+// ACME client (RFC 8555) for one authority and one account. It holds the directory, the next nonce and the
+// account's URLs; state that must survive a crash is stored by Accounts and Issuing. A call waits only for
+// the responses to its own requests, never for an order or a challenge to change its status.
 #pragma once
 
 #include <functional>
@@ -15,24 +16,26 @@
 
 namespace quartzarch::acme {
 
-// Why a request came to nothing, and what that means for the schedule.
+// A failed request; `why` and `retry_after` decide when the renewal schedule retries.
 struct AcmeError : std::runtime_error {
   AcmeError(Failure failure, const std::string& what, std::optional<Seconds> retry = std::nullopt)
       : std::runtime_error(what), why(failure), retry_after(retry) {}
   Failure why;
   std::optional<Seconds> retry_after;
-  std::string type{};  // of the problem document, if there was one
-  long status = 0;     // of the response, if there was one
+  std::string type{};  // error type of the problem document; empty without one
+  long status = 0;     // HTTP status of the response; 0 without one
 };
 
-struct ExternalAccount {  // RFC 8555, 7.3.4
+// Credentials for external account binding (RFC 8555, 7.3.4), issued by the authority out of band.
+struct ExternalAccount {
   std::string kid{};
   std::string mac_key{};  // raw bytes
 };
 
+// How to reach an authority and register at it.
 struct AuthorityAccess {
-  std::string directory{};  // URL
-  std::string ca_file{};    // whom to trust as the authority; empty: the system's list
+  std::string directory{};  // URL of the ACME directory
+  std::string ca_file{};    // CA certificates trusted for its HTTPS server; empty: the system's
   std::vector<std::string> contact{};
   std::optional<ExternalAccount> external{};
   std::chrono::milliseconds http_timeout = std::chrono::seconds(30);
@@ -48,6 +51,7 @@
   std::vector<Challenge> challenges{};
 };
 
+// An order resource as the authority returned it.
 struct OrderReply {
   std::string url{};
   OrderView view{};
@@ -57,52 +61,67 @@
 
 class Client {
  public:
-  // `now` is asked for at each response, to read an HTTP date in Retry-After and to tell a wrong clock.
+  // `now` is called at each response, to convert an HTTP date in Retry-After and to measure the clock skew.
+  // `stopped` aborts a request in flight once it returns true.
   Client(AuthorityAccess access, std::function<Instant()> now, std::function<bool()> stopped);
 
-  // The account of later calls. It must live as long.
+  // Sets the key and URL of the account that later calls use. The key must outlive them.
   void use(const Key& account, std::string url);
   const std::string& account_url() const { return account_url_; }
 
-  // Finds the account of the key, or makes it; the URL. Nothing if `only_existing` and there is none.
+  // Finds the account of the key or creates it, and returns its URL. With `only_existing` none is created:
+  // returns nothing if there is no account.
   std::optional<std::string> open_account(bool only_existing = false);
+  // Replaces the account's contacts by those of the AuthorityAccess.
   void change_contact();
   void deactivate();
-  // The account goes over to `fresh`; use() it afterwards.
+  // Replaces the account's key by `fresh` (RFC 8555, 7.3.5). Call use() with the new key afterwards.
   void roll_over(const Key& fresh);
 
+  // Places an order. `replaces`: renewal ID of the certificate that it replaces (RFC 9773); may be empty.
   OrderReply new_order(const std::vector<std::string>& names, const std::string& replaces);
   OrderReply order(const std::string& url);
   // The URLs of the account's orders; empty if the authority does not list them.
   std::vector<std::string> orders();
   Authorization authorization(const std::string& url);
+  // Tells the authority that the challenge can be validated (RFC 8555, 7.5.1).
   void answer(const std::string& challenge_url);
+  // Sends the certificate request `request` (DER) to the finalize resource `url`.
   OrderReply finalize(const std::string& order_url, const std::string& url, const std::string& request);
-  // The chain in PEM; of several the one whose last certificate `preferred_issuer` issued, if there is one.
+  // Downloads the chain in PEM. If the authority offers alternate chains, prefers the one whose last
+  // certificate was issued by `preferred_issuer` (a common name).
   std::string chain(const std::string& url, const std::string& preferred_issuer);
+  // `reason`: a CRL reason code (RFC 5280, 5.3.1).
   void revoke(const Certificate& certificate, int reason);
 
+  // The authority's renewal information (ARI, RFC 9773).
   struct RenewalInfo {
     std::optional<Window> window{};
     std::optional<Seconds> retry_after{};
-    std::string explanation{};  // a page for people; may be empty
+    std::string explanation{};  // URL of a page for the operator; may be empty
   };
-  // Nothing if the authority has no such resource (RFC 9773).
+  // Returns nothing if the authority does not offer renewal information or the ID is empty.
   std::optional<RenewalInfo> renewal_info(const std::string& renewal_id);
   bool has_renewal_info();
 
-  // How far the authority's clock is ahead of ours, by its last response.
+  // How far the authority's clock is ahead of the local one, from the Date header of its last response.
   Seconds clock_ahead() const { return clock_ahead_; }
 
  private:
+  // The URL of a directory entry, empty if the authority does not offer it. Fetches the directory first if
+  // needed.
   const std::string& resource(const std::string& name);
+  // Sends a request signed by the account key, which is identified by its URL or, `with_jwk`, by the public
+  // key itself. Retries with a new nonce after badNonce.
   Response post(const std::string& url, const std::string& payload, bool with_jwk = false);
+  // A JWS in flattened JSON serialization (RFC 7515); `head` is the protected header.
   std::string signed_by(const Key& key, const std::string& head, const std::string& payload) const;
+  // Stores the nonce and the clock skew that a response carries, and returns the response.
   Response taken(Response response);
-  // Throws what a response that is not 2xx means.
+  // Returns a 2xx response; throws an AcmeError for any other. `what` starts its message.
   Response good(Response response, const char* what);
   std::string external_binding(const std::string& url) const;
-  std::string contacts() const;
+  std::string contacts() const;  // as a JSON array
   OrderReply read_order(const Response& response, std::string url);
 
   AuthorityAccess access_;
--- a/src/acme/crypto.cpp
+++ b/src/acme/crypto.cpp
@@ -33,8 +33,9 @@
 using Bio = Owned<BIO, BIO_free_all>;
 using Number = Owned<BIGNUM, BN_free>;
 
-constexpr std::size_t kCoordinate = 32;  // of P-256, and of each half of its signatures
+constexpr std::size_t kCoordinate = 32;  // bytes of a P-256 coordinate, and of r and s in a signature
 
+// Throws a CryptoError with OpenSSL's error if a call failed.
 void check(bool good, const char* what) {
   if (good) return;
   char reason[256] = "";
@@ -57,10 +58,11 @@
   return Bio(BIO_new_mem_buf(bytes.data(), static_cast<int>(bytes.size())));
 }
 
+// Big-endian with leading zeros, as JWK and JWS require.
 std::string padded(const BIGNUM* number) {
   std::string bytes(kCoordinate, '\0');
   check(BN_bn2binpad(number, reinterpret_cast<unsigned char*>(bytes.data()), kCoordinate) >= 0,
-        "a number is too long");
+        "the number is longer than 32 bytes");
   return bytes;
 }
 
@@ -92,7 +94,7 @@
   if (this == &other) return *this;
   wipe();
   text_ = std::move(other.text_);
-  other.wipe();  // a short text is copied, not moved
+  other.wipe();  // moving a short string copies it and leaves the source intact
   return *this;
 }
 
@@ -132,13 +134,14 @@
   unsigned size = 0;
   check(HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), raw(bytes), bytes.size(),
              reinterpret_cast<unsigned char*>(digest.data()), &size) != nullptr,
-        "no HMAC");
+        "HMAC failed");
   return digest;
 }
 
 std::uint64_t random_bits() {
   std::uint64_t bits = 0;
-  check(RAND_bytes(reinterpret_cast<unsigned char*>(&bits), sizeof bits) == 1, "no random numbers");
+  check(RAND_bytes(reinterpret_cast<unsigned char*>(&bits), sizeof bits) == 1,
+        "generating random numbers failed");
   return bits;
 }
 
@@ -170,20 +173,20 @@
   for (const auto& [name, size] : kRsa) {
     if (type == name) key.reset(EVP_RSA_gen(static_cast<unsigned>(size)));
   }
-  check(key != nullptr, "no key could be made");
+  check(key != nullptr, "generating the key failed");
   return key;
 }
 
 Key key_from_pem(std::string_view pem) {
   Key key(PEM_read_bio_PrivateKey(reader(pem).get(), nullptr, nullptr, nullptr));
-  check(key != nullptr, "no private key");
+  check(key != nullptr, "not a private key in PEM");
   return key;
 }
 
 Secret pem_of(const Key& key) {
   const Bio bio(BIO_new(BIO_s_secmem()));
   check(PEM_write_bio_PrivateKey(bio.get(), key.get(), nullptr, nullptr, 0, nullptr, nullptr) == 1,
-        "key not written");
+        "encoding the key failed");
   return Secret(content_of(bio.get()));
 }
 
@@ -199,14 +202,14 @@
   std::size_t size = 0;
   check(EVP_DigestSignInit(context.get(), nullptr, EVP_sha256(), nullptr, key.get()) == 1 &&
             EVP_DigestSign(context.get(), nullptr, &size, raw(bytes), bytes.size()) == 1,
-        "not signed");
+        "signing failed");
   std::string der(size, '\0');
   check(EVP_DigestSign(context.get(), reinterpret_cast<unsigned char*>(der.data()), &size, raw(bytes),
                        bytes.size()) == 1,
-        "not signed");
+        "signing failed");
   const unsigned char* at = raw(der);
   const Owned<ECDSA_SIG, ECDSA_SIG_free> signature(d2i_ECDSA_SIG(nullptr, &at, static_cast<long>(size)));
-  check(signature != nullptr, "not signed");
+  check(signature != nullptr, "signing failed");
   return padded(ECDSA_SIG_get0_r(signature.get())) + padded(ECDSA_SIG_get0_s(signature.get()));
 }
 
@@ -222,10 +225,10 @@
                     X509_REQ_add_extensions(request.get(), extensions) == 1 &&
                     X509_REQ_sign(request.get(), key.get(), EVP_sha256()) > 0;
   sk_X509_EXTENSION_pop_free(extensions, X509_EXTENSION_free);
-  check(good, "no certificate request could be made");
+  check(good, "creating the certificate request failed");
   unsigned char* der = nullptr;
   const int size = i2d_X509_REQ(request.get(), &der);
-  check(size > 0, "no certificate request could be made");
+  check(size > 0, "encoding the certificate request failed");
   const std::string bytes(reinterpret_cast<char*>(der), static_cast<std::size_t>(size));
   OPENSSL_free(der);
   return bytes;
@@ -233,7 +236,7 @@
 
 Certificate first_certificate(std::string_view pem) {
   Certificate certificate(PEM_read_bio_X509(reader(pem).get(), nullptr, nullptr, nullptr));
-  check(certificate != nullptr, "no certificate");
+  check(certificate != nullptr, "not a certificate in PEM");
   return certificate;
 }
 
@@ -248,15 +251,15 @@
 std::string der_of(const Certificate& certificate) {
   unsigned char* der = nullptr;
   const int size = i2d_X509(certificate.get(), &der);
-  check(size > 0, "no certificate");
+  check(size > 0, "encoding the certificate failed");
   const std::string bytes(reinterpret_cast<char*>(der), static_cast<std::size_t>(size));
   OPENSSL_free(der);
   return bytes;
 }
 
 Validity validity_of(const Certificate& certificate) {
-  return {instant_of(X509_get0_notBefore(certificate.get()), "the certificate has no beginning"),
-          instant_of(X509_get0_notAfter(certificate.get()), "the certificate has no end")};
+  return {instant_of(X509_get0_notBefore(certificate.get()), "the certificate has no valid notBefore"),
+          instant_of(X509_get0_notAfter(certificate.get()), "the certificate has no valid notAfter")};
 }
 
 std::vector<std::string> names_of(const Certificate& certificate) {
@@ -279,7 +282,8 @@
 std::string renewal_id(const Certificate& certificate) {
   const ASN1_OCTET_STRING* const issuer = X509_get0_authority_key_id(certificate.get());
   if (!issuer) return {};
-  // The serial's DER content: as it stands in the certificate, with a leading nought where it needs one.
+  // The content octets of the serial's DER encoding, including the leading zero octet of a number whose top
+  // bit is set.
   unsigned char* der = nullptr;
   const int size = i2d_ASN1_INTEGER(X509_get0_serialNumber(certificate.get()), &der);
   check(size > 2, "the certificate has no serial number");
@@ -296,21 +300,21 @@
   if (chain.empty()) return "no certificate in the response";
   const Certificate& leaf = chain.front();
   if (!belongs_to(leaf, key)) return "the certificate is for another key";
-  if (!names_all(leaf, names)) return "the certificate lacks a name";
-  if (X509_check_ca(leaf.get()) == 1) return "the certificate is an issuer's";
+  if (!names_all(leaf, names)) return "the certificate does not cover every name";
+  if (X509_check_ca(leaf.get()) == 1) return "the certificate is a CA certificate";
   const Validity validity = validity_of(leaf);
   if (validity.ends <= now) return "the certificate has expired already";
-  // An authority may back-date, and its clock may be a little ahead.
+  // Authorities usually back-date notBefore, but the authority's clock may be a little ahead.
   if (validity.begins > now + std::chrono::minutes(5)) return "the certificate is not yet valid";
-  if (held && validity.ends < held->ends) return "the certificate ends before the one in use";
-  if (chain.size() < 2) return "the chain has no issuer";
+  if (held && validity.ends < held->ends) return "the certificate expires before the one in use";
+  if (chain.size() < 2) return "the chain has no issuer certificate";
   for (std::size_t i = 0; i + 1 < chain.size(); ++i) {
     const Certificate& issuer = chain[i + 1];
-    if (X509_check_ca(issuer.get()) < 1) return "the chain has an issuer that may not issue";
+    if (X509_check_ca(issuer.get()) < 1) return "an issuer in the chain is not a CA certificate";
     if (X509_check_issued(issuer.get(), chain[i].get()) != X509_V_OK ||
         X509_verify(chain[i].get(), X509_get0_pubkey(issuer.get())) != 1) {
       ERR_clear_error();
-      return "the chain is broken at certificate " + std::to_string(i + 1);
+      return "the next certificate in the chain did not sign certificate " + std::to_string(i + 1);
     }
     if (validity_of(issuer).ends <= now) return "an issuer in the chain has expired";
   }
@@ -330,19 +334,21 @@
   X509_set_issuer_name(made.get(), subject);
   const auto add = [&](X509_EXTENSION* extension) {
     const Owned<X509_EXTENSION, X509_EXTENSION_free> owned(extension);
-    check(owned && X509_add_ext(made.get(), owned.get(), -1) == 1, "no challenge certificate");
+    check(owned && X509_add_ext(made.get(), owned.get(), -1) == 1,
+          "creating the challenge certificate failed");
   };
   add(X509V3_EXT_conf_nid(nullptr, nullptr, NID_subject_alt_name, ("DNS:" + name).c_str()));
-  // id-pe-acmeIdentifier, critical: the digest as an OCTET STRING in the extension's own (RFC 8737, 3).
+  // The critical id-pe-acmeIdentifier extension: its value is the SHA-256 digest of the key authorization as
+  // a DER OCTET STRING (RFC 8737, 3).
   const std::string digest = sha256(key_authorization);
   const std::string inner = std::string("\x04\x20", 2) + digest;
   const Owned<ASN1_OCTET_STRING, ASN1_OCTET_STRING_free> value(ASN1_OCTET_STRING_new());
   ASN1_OCTET_STRING_set(value.get(), raw(inner), static_cast<int>(inner.size()));
   const Owned<ASN1_OBJECT, ASN1_OBJECT_free> oid(OBJ_txt2obj("1.3.6.1.5.5.7.1.31", 1));
   add(X509_EXTENSION_create_by_OBJ(nullptr, oid.get(), 1, value.get()));
-  check(X509_sign(made.get(), key.get(), EVP_sha256()) > 0, "no challenge certificate");
+  check(X509_sign(made.get(), key.get(), EVP_sha256()) > 0, "signing the challenge certificate failed");
   const Bio bio(BIO_new(BIO_s_mem()));
-  check(PEM_write_bio_X509(bio.get(), made.get()) == 1, "no challenge certificate");
+  check(PEM_write_bio_X509(bio.get(), made.get()) == 1, "encoding the challenge certificate failed");
   return Secret(pem_of(key).text() + content_of(bio.get()));
 }
 
--- a/src/acme/crypto.hpp
+++ b/src/acme/crypto.hpp
@@ -1,4 +1,5 @@
-// Keys, signatures, certificate requests and the check of a certificate before use, by OpenSSL.
+// Keys, signatures, certificate requests, and the check of an issued certificate before it is used, with
+// OpenSSL. Functions throw CryptoError if OpenSSL fails or an input cannot be parsed.
 #pragma once
 
 #include <openssl/evp.h>
@@ -26,7 +27,7 @@
 using Key = std::unique_ptr<EVP_PKEY, Free>;
 using Certificate = std::unique_ptr<X509, Free>;
 
-// A text that is wiped from memory when it goes.
+// A text whose memory is overwritten on destruction, for private keys.
 class Secret {
  public:
   Secret() = default;
@@ -43,48 +44,54 @@
 };
 
 std::string base64url(std::string_view bytes);
-// Nothing if it is none.
+// Returns nothing if `text` is not valid base64url. Padding is accepted.
 std::optional<std::string> from_base64url(std::string_view text);
-std::string sha256(std::string_view bytes);
+std::string sha256(std::string_view bytes);  // 32 raw bytes
 std::string hex(std::string_view bytes);
-std::string hmac_sha256(std::string_view key, std::string_view bytes);
+std::string hmac_sha256(std::string_view key, std::string_view bytes);  // 32 raw bytes
 std::uint64_t random_bits();
 
-// "ecdsa-p256", "rsa-2048", "rsa-3072" or "rsa-4096"; throws CryptoError on any other.
+// `type`: "ecdsa-p256", "rsa-2048", "rsa-3072" or "rsa-4096"; any other throws.
 Key new_key(const std::string& type = "ecdsa-p256");
 bool is_key_type(std::string_view type);
 Key key_from_pem(std::string_view pem);
 Secret pem_of(const Key& key);
 
-// The public key of an account as a JWK, its members in the order that a thumbprint wants (RFC 7638).
+// The public key of an account as a JWK, its members in the order that the thumbprint requires (RFC 7638).
 std::string jwk_of(const Key& key);
 std::string thumbprint(const Key& key);
-// ES256 over `bytes`: r and s, 32 bytes each.
+// The ES256 signature of `bytes`: r and s, 32 bytes each (RFC 7518, 3.4).
 std::string sign(const Key& key, std::string_view bytes);
 
-// A certificate request in DER, with every name as a subjectAltName.
+// A certificate request (PKCS #10) in DER, with every name as a subjectAltName.
 std::string certificate_request(const Key& key, const std::vector<std::string>& names);
 
-// The first certificate of a chain; throws CryptoError if it is none.
+// The first certificate of a chain; throws if there is none.
 Certificate first_certificate(std::string_view pem);
+// All certificates of a chain, leaf first; empty if there are none.
 std::vector<Certificate> certificates_of(std::string_view pem);
 std::string der_of(const Certificate& certificate);
 Validity validity_of(const Certificate& certificate);
+// The DNS names in subjectAltName.
 std::vector<std::string> names_of(const Certificate& certificate);
 std::string issuer_of(const Certificate& certificate);  // its common name
 bool belongs_to(const Certificate& certificate, const Key& key);
+// Whether the certificate is valid for every one of `names`.
 bool names_all(const Certificate& certificate, const std::vector<std::string>& names);
-// "aki.serial", as RFC 9773, 4.1 names a certificate; empty if it has no authority key identifier.
+// The ID of a certificate in renewal information, "aki.serial" (RFC 9773, 4.1); empty if the certificate has
+// no authority key identifier.
 std::string renewal_id(const Certificate& certificate);
 std::string fingerprint(const Certificate& certificate);  // SHA-256 in hex
 
-// What is wrong with `chain` for `key` and `names` at `now`, in plain words; empty if it can be used: the
-// key, the names, the times, each certificate signed by the next, and none of them a leaf in an issuer's
-// place. `held`: the certificate in use, which it must not be older than.
+// Checks whether an issued chain can be used; returns an error message, or an empty string if it can. The
+// leaf must be for `key` and `names` and valid at `now`, each certificate must be signed by the next, and
+// every issuer must be a CA certificate that has not expired. `held`: the certificate in use; the new one
+// must not expire before it.
 std::string unsound(std::string_view chain, const Key& key, const std::vector<std::string>& names,
                     Instant now, const std::optional<Validity>& held);
 
-// What answers tls-alpn-01 (RFC 8737, 3): key and certificate, in PEM.
+// Creates the self-signed certificate that answers a tls-alpn-01 challenge (RFC 8737, 3). Returns its key and
+// the certificate in PEM.
 Secret challenge_identity(const std::string& name, const std::string& key_authorization);
 
 }  // namespace quartzarch::acme
--- a/src/acme/environment.hpp
+++ b/src/acme/environment.hpp
@@ -1,4 +1,5 @@
-// What the keeper's work goes through from outside: time, waiting, being told to end, and the turn.
+// The interface of certificate renewal to the outside: clock, waiting, stop requests, and the check of the
+// lease between steps.
 #pragma once
 
 #include <chrono>
@@ -11,33 +12,35 @@
 
 namespace quartzarch::acme {
 
-// What is not the keeper's own: the time, and waiting.
+// Clock and waiting, which tests replace.
 struct Environment {
   std::function<Instant()> now{};
-  // Waits; false if it was told to stop meanwhile.
+  // Waits for the given time; returns false if a stop was requested meanwhile.
   std::function<bool(std::chrono::milliseconds)> pause{};
   std::function<bool()> stopped{};
-  // Called at every step that leaves a trace on disk or at the authority; for tests, which end the process
-  // there.
+  // Called before and after every change on disk or at the authority; tests kill the process there.
   std::function<void(const char*)> step{};
-  // What the random points of the schedules come from; a number of its own if there is none.
+  // Seed for the random points of the renewal schedules; without it each schedule draws its own.
   std::optional<std::uint64_t> seed{};
 
   static Environment real(std::stop_token stop);
 };
 
-// Told to end: thrown where the work is at that moment.
+// Thrown by Steps when a stop is requested, to abandon the pass.
 struct Stopped {};
 
-// The work of one pass, step by step. Throws Stopped and TurnLost.
+// Called between the steps of a pass: each call renews the lease. Throws Stopped if a stop is requested and
+// TurnLost if another instance holds the lease.
 class Steps {
  public:
-  // `piece`: how long is waited at most without keeping the turn up.
+  // `piece`: the longest time to wait without renewing the lease.
   Steps(const Environment& environment, Turn& turn, std::chrono::milliseconds piece)
       : environment_(environment), turn_(turn), piece_(piece) {}
 
   Instant now() const { return environment_.now(); }
+  // `what` names the step for Environment::step.
   void step(const char* what);
+  // Waits for the whole time, renewing the lease meanwhile.
   void wait(std::chrono::milliseconds how_long);
 
  private:
--- a/src/acme/http.cpp
+++ b/src/acme/http.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kLongestBody = 1024 * 1024;
 constexpr std::size_t kMostAlternates = 8;
 
-// What is used of libcurl, found when it is first needed.
+// The libcurl functions in use, looked up with dlsym.
 struct Curl {
   decltype(&::curl_global_init) global_init;
   decltype(&::curl_easy_init) easy_init;
@@ -35,7 +35,7 @@
     if (!library) throw HttpError(std::string("libcurl cannot be loaded: ") + ::dlerror());
     const auto find = [library](auto& function, const char* name) {
       function = reinterpret_cast<std::remove_reference_t<decltype(function)>>(::dlsym(library, name));
-      if (!function) throw HttpError(std::string("libcurl lacks ") + name);
+      if (!function) throw HttpError(std::string("libcurl does not have ") + name);
     };
     find(global_init, "curl_global_init");
     find(easy_init, "curl_easy_init");
@@ -47,16 +47,17 @@
     find(strerror, "curl_easy_strerror");
     find(slist_append, "curl_slist_append");
     find(slist_free_all, "curl_slist_free_all");
-    if (global_init(CURL_GLOBAL_DEFAULT) != CURLE_OK) throw HttpError("libcurl could not be started");
+    if (global_init(CURL_GLOBAL_DEFAULT) != CURLE_OK) throw HttpError("libcurl could not be initialized");
   }
 };
 
-// Kept until the process ends, as the library itself.
+// Loads the library on the first call; it stays loaded until the process ends.
 const Curl& curl() {
   static const Curl loaded;
   return loaded;
 }
 
+// Returning less than the size given makes libcurl abort the request.
 std::size_t take_body(char* data, std::size_t size, std::size_t count, void* to) {
   auto& body = static_cast<Response*>(to)->body;
   if (body.size() + size * count > kLongestBody) return 0;
@@ -64,7 +65,7 @@
   return size * count;
 }
 
-// <https://...>;rel="alternate"
+// Parses a Link header such as <https://...>;rel="alternate".
 void take_link(std::string_view value, Response& response) {
   const auto open = value.find('<'), close = value.find('>');
   if (open == std::string_view::npos || close == std::string_view::npos || close < open) return;
@@ -105,7 +106,7 @@
       timeout_(timeout),
       stopped_(std::move(stopped)),
       curl_(curl().easy_init()) {
-  if (!curl_) throw HttpError("libcurl could not be started");
+  if (!curl_) throw HttpError("libcurl could not be initialized");
 }
 
 Http::~Http() { curl().easy_cleanup(curl_); }
--- a/src/acme/http.hpp
+++ b/src/acme/http.hpp
@@ -1,5 +1,5 @@
-// Requests to the authority, by libcurl. The library is loaded when the first Http is made: a process that
-// keeps no certificates carries nothing of it.
+// HTTP requests to the authority, with libcurl. The library is loaded when the first Http is constructed, so
+// that a process without certificate management does not load it.
 #pragma once
 
 #include <chrono>
@@ -13,6 +13,7 @@
 
 namespace quartzarch::acme {
 
+// libcurl is not usable, or no response was received: connection failure, timeout or abort.
 struct HttpError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -21,19 +22,20 @@
   long status = 0;
   std::string body{}, nonce{}, location{}, retry_after{};
   std::vector<std::string> alternates{};  // URLs of Link headers with rel="alternate" (RFC 8555, 7.4.2)
-  std::optional<Instant> date{};          // the authority's clock
+  std::optional<Instant> date{};          // from the Date header
 };
 
+// A connection to the authority, reused between requests.
 class Http {
  public:
-  // `ca_file`: whom to trust; empty: the system's list. `timeout`: for a whole request. `stopped`: looked at
-  // while a request is under way; once true it is broken off.
+  // `ca_file`: trusted CA certificates; empty: the system's. `timeout`: for a whole request. `stopped`:
+  // polled while a request is in flight, which is aborted once it returns true.
   Http(std::string ca_file, std::chrono::milliseconds timeout, std::function<bool()> stopped = {});
   ~Http();
   Http(const Http&) = delete;
   Http& operator=(const Http&) = delete;
 
-  // Throws HttpError if no response came.
+  // These throw HttpError if no response is received. A response may have any status.
   Response head(const std::string& url);
   Response get(const std::string& url);
   Response post(const std::string& url, const std::string& body);
--- a/src/acme/problem.cpp
+++ b/src/acme/problem.cpp
@@ -13,10 +13,10 @@
 using simdjson::dom::element;
 
 constexpr std::string_view kUrn = "urn:ietf:params:acme:error:";
-constexpr std::size_t kLongestText = 300;  // of one sentence of the authority's in our log
+constexpr std::size_t kLongestText = 300;  // of a text from the authority in a log line
 constexpr std::size_t kMostSubproblems = 20;
 
-// Printable and not endless: it goes into log lines.
+// Replaces control characters and limits the length, so that the text can go into a log line.
 std::string tame(std::string_view text) {
   std::string out(text.substr(0, kLongestText));
   std::replace_if(
@@ -31,30 +31,30 @@
 
 std::string bare(std::string type) { return type.starts_with(kUrn) ? type.substr(kUrn.size()) : type; }
 
-// What the common types mean for those who run the program.
+// An explanation of the common error types for operators.
 std::string_view meaning(std::string_view type) {
   constexpr std::pair<std::string_view, std::string_view> kMeanings[] = {
       {"accountDoesNotExist", "it does not know the account"},
       {"alreadyRevoked", "the certificate is revoked already"},
-      {"badCSR", "it does not take the certificate request"},
+      {"badCSR", "it does not accept the certificate request"},
       {"badNonce", "it refused the nonce"},
-      {"badPublicKey", "it does not take the key"},
-      {"badRevocationReason", "it does not take the reason of the revocation"},
+      {"badPublicKey", "it does not accept the key"},
+      {"badRevocationReason", "it does not accept the reason of the revocation"},
       {"caa", "the CAA record of the name forbids it"},
       {"compound", "several things are wrong"},
-      {"connection", "it could not connect to us for the challenge"},
+      {"connection", "it could not connect to this server to validate the challenge"},
       {"dns", "it could not look up the name"},
-      {"externalAccountRequired", "it wants an external account (eab_kid, eab_key)"},
-      {"incorrectResponse", "our answer to the challenge was not the one it wants"},
-      {"invalidContact", "it does not take the contact"},
+      {"externalAccountRequired", "it requires an external account (eab_kid, eab_key)"},
+      {"incorrectResponse", "the response to the challenge was not the expected one"},
+      {"invalidContact", "it does not accept the contact"},
       {"malformed", "it could not read the request"},
       {"orderNotReady", "the order is not ready"},
       {"rateLimited", "too many requests"},
       {"rejectedIdentifier", "it issues no certificate for the name"},
       {"serverInternal", "it has an internal error"},
       {"tls", "the TLS connection for the challenge failed"},
-      {"unauthorized", "it is not convinced that the name is ours, or the account may not do this"},
-      {"userActionRequired", "somebody must act (terms of service?)"},
+      {"unauthorized", "the name could not be validated, or the account may not do this"},
+      {"userActionRequired", "the operator must act, for instance accept new terms of service"},
   };
   for (const auto& [name, words] : kMeanings) {
     if (name == type) return words;
--- a/src/acme/problem.hpp
+++ b/src/acme/problem.hpp
@@ -1,4 +1,4 @@
-// What an authority says went wrong, in plain words, and when it wants to be asked again. No I/O.
+// Parses the authority's error responses and the time stamps in its responses. No I/O.
 #pragma once
 
 #include <optional>
@@ -13,26 +13,29 @@
 // A problem document (RFC 7807, RFC 8555, 6.7).
 struct Problem {
   long status = 0;
-  std::string type{};  // without "urn:ietf:params:acme:error:"
+  std::string type{};  // without the prefix "urn:ietf:params:acme:error:"
   std::string detail{};
   struct Sub {
     std::string type{}, detail{}, identifier{};
   };
   std::vector<Sub> subproblems{};
 
-  // "the authority refuses (403): CAA forbids it [caa]; for a.example: ..."
+  // One line for the operator: "the authority refuses (status 403): the CAA record of the name forbids it
+  // [caa]; for a.example: ..."
   std::string plain() const;
+  // What the error means for the renewal schedule.
   Failure failure() const;
 };
 
-// Of a body that may be no problem document at all; `status` is the response's.
+// Parses a response body. One that is not a problem document gives a Problem with only `status` set.
 Problem parse_problem(long status, std::string_view body);
 
-// Retry-After (RFC 9110, 10.2.3): seconds or an HTTP date; nothing if it is neither. Never negative.
+// Parses Retry-After (RFC 9110, 10.2.3), seconds or an HTTP date; nothing if it is neither. A date in the
+// past gives zero, and seconds are limited to ten years.
 std::optional<Seconds> parse_retry_after(std::string_view text, Instant now);
-// An HTTP date in any of the three forms (RFC 9110, 5.6.7).
+// Parses an HTTP date in any of its three forms (RFC 9110, 5.6.7).
 std::optional<Instant> parse_http_date(std::string_view text);
-// RFC 3339, as ACME's JSON has it.
+// Parses and formats the RFC 3339 time stamps of ACME's JSON; fractions of a second are dropped.
 std::optional<Instant> parse_timestamp(std::string_view text);
 std::string timestamp(Instant at);
 
--- a/src/acme/store.hpp
+++ b/src/acme/store.hpp
@@ -1,4 +1,5 @@
-// Where certificates, keys, orders and schedules are kept, and whose turn it is to change them.
+// Interfaces of the store for certificates, keys, orders and schedules, and of the lease that allows one
+// instance at a time to change it.
 #pragma once
 
 #include <optional>
@@ -11,36 +12,38 @@
 
 namespace quartzarch::acme {
 
+// The store or the lease cannot be read, written or trusted.
 struct StateError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-// Somebody else may have the turn by now: nothing more may be changed. Not a StateError: whoever goes on
-// after one of those must not go on after this.
+// Another instance may hold the lease by now: nothing more may be changed. Not a StateError, because callers
+// that continue after a StateError must not continue after this.
 struct TurnLost {};
 
-// Everything by name: records (JSON) and PEM. Throws StateError if it cannot be read, written or trusted,
-// TurnLost if a change is refused because the turn is over.
+// A store of named records (JSON) and PEM texts. Throws StateError if an entry cannot be read, written or
+// trusted, TurnLost if a change is rejected because this instance does not hold the lease.
 class Store {
  public:
   virtual ~Store() = default;
 
-  // A record's text; nothing if there is none, or it was put aside.
+  // A record's text; nothing if it does not exist or is damaged, in which case it is put aside.
   virtual std::optional<std::string> read(const std::string& name) const = 0;
   virtual void write(const std::string& name, std::string_view text) = 0;
-  // Keys and chains, as PEM.
+  // Private keys and certificate chains in PEM.
   virtual std::optional<Secret> read_pem(const std::string& name) const = 0;
   virtual void write_pem(const std::string& name, const Secret& pem) = 0;
   virtual void remove(const std::string& name) = 0;
-  // What cannot be used is kept under another name.
+  // Moves an entry that cannot be used to another name, so that it is not overwritten. `why` is logged.
   virtual void put_aside(const std::string& name, const std::string& why) = 0;
+  // The names with this prefix and suffix.
   virtual std::vector<std::string> list(const std::string& prefix, const std::string& suffix) const = 0;
-  // Differs whenever the record may have changed.
+  // A value that changes whenever the entry may have changed.
   virtual std::string stamp(const std::string& name) const = 0;
-  // Takes up what others have changed, as far as it is known.
+  // Applies the changes of other instances received so far.
   virtual void look() {}
 };
 
-// One instance's at a time.
+// The lease on the store: held by one instance at a time, until it is released or expires.
 class Turn {
  public:
   struct Holder {
@@ -49,11 +52,13 @@
   };
 
   virtual ~Turn() = default;
-  // Takes it, or keeps up what is ours; false while another has it. Throws StateError.
+  // Acquires the lease, or renews it if this instance holds it already. Returns false while another instance
+  // holds it. Throws StateError.
   virtual bool take(Instant now) = 0;
-  // Ours still. False: somebody else took over, or it ran out: nothing may be changed.
+  // Renews the lease. Returns false if it expired or another instance acquired it: nothing may be changed.
   virtual bool keep(Instant now) = 0;
   virtual void give_back() = 0;
+  // The current holder; nothing if the lease is free or expired.
   virtual std::optional<Holder> holder(Instant now) const = 0;
 };
 
--- a/src/certificates.cpp
+++ b/src/certificates.cpp
@@ -21,7 +21,8 @@
     throw ConfigError(
         "\"challenges\" has tls-alpn-01 only, which needs a TLS port (\"tls\" in the file of --sip)");
   }
-  // The first one on the caller's thread: what is on disk is served from the first connection on.
+  // The first renewer is created on the caller's thread, so that stored certificates are served from the
+  // first connection on.
   keeper_ = keeper(std::move(settings), round_.get_token());
 }
 
@@ -72,7 +73,8 @@
       keeper_ = keeper(std::move(*fresh), round);
     } catch (const std::exception& error) {
       log_.line("certificates: %s; the old settings go on", error.what());
-      // Its environment ended with the round that it was made for.
+      // The renewer in use was created with the stop token of the finished run, so it needs a replacement
+      // too.
       keeper_ = keeper(keeper_->settings(), round);
     }
   }
