--- a/src/acme/accounts.cpp
+++ b/src/acme/accounts.cpp
@@ -74,7 +74,7 @@
     store_.write_pem(file(authority, ".key.pem"), pem_of(account.key));
     account.url.clear();
   }
-  client.use(account.key, account.url);
+  client.use_account(account.key, account.url);
   finish_roll_over(authority, *session);
   if (account.url.empty()) {
     steps_.step("new account");
@@ -94,24 +94,24 @@
 // An interrupted rollover leaves the new key in the store. If the authority has an account with that key, the
 // rollover took effect there and the key replaces the old one; otherwise the new key is removed.
 void Accounts::finish_roll_over(std::size_t authority, Session& session) {
-  const std::string fresh_file = file(authority, ".next.pem");
-  const auto pem = store_.read_pem(fresh_file);
+  const std::string next_key_file = file(authority, ".next.pem");
+  const auto pem = store_.read_pem(next_key_file);
   if (!pem) return;
-  Key fresh;
+  Key next_key;
   try {
-    fresh = key_from_pem(pem->view());
+    next_key = key_from_pem(pem->view());
   } catch (const CryptoError& error) {
-    return store_.put_aside(fresh_file, error.what());
+    return store_.put_aside(next_key_file, error.what());
   }
-  session.client->use(fresh, {});
+  session.client->use_account(next_key, {});
   if (const auto url = session.client->open_account(true)) {
     store_.write_pem(file(authority, ".key.pem"), *pem);
-    session.account.key = std::move(fresh);
+    session.account.key = std::move(next_key);
     session.account.url = *url;
     save(authority, session.account);
   }
-  session.client->use(session.account.key, session.account.url);
-  store_.remove(fresh_file);
+  session.client->use_account(session.account.key, session.account.url);
+  store_.remove(next_key_file);
 }
 
 void Accounts::forget(std::size_t authority) {
@@ -122,12 +122,12 @@
 
 void Accounts::roll_over(std::size_t authority) {
   const auto session = open(authority);
-  Key fresh = new_key();
-  const Secret pem = pem_of(fresh);
+  Key next_key = new_key();
+  const Secret pem = pem_of(next_key);
   steps_.step("next key");
   store_.write_pem(file(authority, ".next.pem"), pem);
   steps_.step("roll over");
-  session->client->roll_over(fresh);
+  session->client->roll_over(next_key);
   steps_.step("rolled over");
   store_.write_pem(file(authority, ".key.pem"), pem);
   store_.remove(file(authority, ".next.pem"));
--- a/src/acme/client.cpp
+++ b/src/acme/client.cpp
@@ -10,13 +10,13 @@
 
 using simdjson::dom::element;
 
-constexpr int kNonceTries = 5;
-constexpr std::size_t kMostOrders = 200;
+constexpr int kMaxNonceAttempts = 5;
+constexpr std::size_t kMaxOrders = 200;
 
 // Parses the JSON object in a response; its elements are valid as long as this object.
-class Document {
+class ResponseDocument {
  public:
-  explicit Document(const Response& response) {
+  explicit ResponseDocument(const Response& response) {
     if (parser_.parse(response.body).get(root_) != simdjson::SUCCESS || !root_.is_object()) {
       throw AcmeError(Failure::unreachable, "the authority's response is not a JSON object (status " +
                                                 std::to_string(response.status) + ")");
@@ -24,7 +24,7 @@
   }
   element root() const { return root_; }
   // Throws if the text is missing or empty.
-  std::string wanted(std::string_view name) const {
+  std::string required(std::string_view name) const {
     std::string found = text_in(root_, name);
     if (found.empty()) {
       throw AcmeError(Failure::unreachable, "the authority's response lacks \"" + std::string(name) + "\"");
@@ -51,19 +51,19 @@
       now_(std::move(now)),
       http_(access_.ca_file, access_.http_timeout, std::move(stopped)) {}
 
-void Client::use(const Key& account, std::string url) {
+void Client::use_account(const Key& account, std::string url) {
   account_ = &account;
   account_url_ = std::move(url);
   orders_url_.clear();
 }
 
-Response Client::taken(Response response) {
+Response Client::record_headers(Response response) {
   if (!response.nonce.empty()) nonce_ = response.nonce;
   if (response.date) clock_ahead_ = *response.date - now_();
   return response;
 }
 
-Response Client::good(Response response, const char* what) {
+Response Client::require_success(Response response, const char* what) {
   if (response.status >= 200 && response.status < 300) return response;
   const auto retry = parse_retry_after(response.retry_after, now_());
   const Problem problem = parse_problem(response.status, response.body);
@@ -79,10 +79,11 @@
 
 const std::string& Client::resource(const std::string& name) {
   if (directory_.empty()) {
-    const Response response = good(taken(http_.get(access_.directory)), "fetching the directory failed");
-    const Document document(response);
+    const Response response =
+        require_success(record_headers(http_.get(access_.directory)), "fetching the directory failed");
+    const ResponseDocument document(response);
     for (const char* const each : {"newNonce", "newAccount", "newOrder"}) {
-      directory_[each] = document.wanted(each);
+      directory_[each] = document.required(each);
     }
     for (const char* const each : {"revokeCert", "keyChange", "renewalInfo"}) {
       directory_[each] = text_in(document.root(), each);
@@ -91,10 +92,10 @@
   return directory_[name];
 }
 
-std::string Client::signed_by(const Key& key, const std::string& head, const std::string& payload) const {
-  const std::string sealed = base64url(head), content = base64url(payload);
-  return "{\"protected\":\"" + sealed + "\",\"payload\":\"" + content + "\",\"signature\":\"" +
-         base64url(sign(key, sealed + "." + content)) + "\"}";
+std::string Client::sign_jws(const Key& key, const std::string& header, const std::string& payload) const {
+  const std::string protected_header = base64url(header), encoded_payload = base64url(payload);
+  return "{\"protected\":\"" + protected_header + "\",\"payload\":\"" + encoded_payload +
+         "\",\"signature\":\"" + base64url(sign(key, protected_header + "." + encoded_payload)) + "\"}";
 }
 
 // The authority may reject a nonce as expired at any time; its badNonce response carries a new one (RFC 8555,
@@ -102,29 +103,31 @@
 Response Client::post(const std::string& url, const std::string& payload, bool with_jwk) {
   if (url.empty()) throw AcmeError(Failure::refused, "the authority does not offer this resource");
   Response response;
-  for (int i = 0; i < kNonceTries; ++i) {
-    if (nonce_.empty()) taken(http_.head(resource("newNonce")));
+  for (int i = 0; i < kMaxNonceAttempts; ++i) {
+    if (nonce_.empty()) record_headers(http_.head(resource("newNonce")));
     if (nonce_.empty()) throw AcmeError(Failure::unreachable, "the authority sent no nonce");
-    const std::string who = with_jwk ? "\"jwk\":" + jwk_of(*account_) : "\"kid\":" + in_quotes(account_url_);
-    const std::string head = "{\"alg\":\"ES256\"," + who +
-                             ",\"nonce\":" + in_quotes(std::exchange(nonce_, {})) +
-                             ",\"url\":" + in_quotes(url) + "}";
-    response = taken(http_.post(url, signed_by(*account_, head, payload)));
+    const std::string account_member =
+        with_jwk ? "\"jwk\":" + jwk_of(*account_) : "\"kid\":" + in_quotes(account_url_);
+    const std::string header = "{\"alg\":\"ES256\"," + account_member +
+                               ",\"nonce\":" + in_quotes(std::exchange(nonce_, {})) +
+                               ",\"url\":" + in_quotes(url) + "}";
+    response = record_headers(http_.post(url, sign_jws(*account_, header, payload)));
     if (response.status != 400 || parse_problem(400, response.body).type != "badNonce") return response;
   }
   throw AcmeError(Failure::refused, "the authority rejected every nonce");
 }
 
-std::string Client::contacts() const { return in_brackets(access_.contact); }
+std::string Client::contacts_json() const { return in_brackets(access_.contact); }
 
 // A JWS over the account's public key, authenticated by the MAC key of the external account (RFC
 // 8555, 7.3.4).
-std::string Client::external_binding(const std::string& url) const {
-  const std::string sealed = base64url("{\"alg\":\"HS256\",\"kid\":" + in_quotes(access_.external->kid) +
-                                       ",\"url\":" + in_quotes(url) + "}");
-  const std::string content = base64url(jwk_of(*account_));
-  return "{\"protected\":\"" + sealed + "\",\"payload\":\"" + content + "\",\"signature\":\"" +
-         base64url(hmac_sha256(access_.external->mac_key, sealed + "." + content)) + "\"}";
+std::string Client::external_account_binding(const std::string& url) const {
+  const std::string protected_header = base64url(
+      "{\"alg\":\"HS256\",\"kid\":" + in_quotes(access_.external->kid) + ",\"url\":" + in_quotes(url) + "}");
+  const std::string encoded_payload = base64url(jwk_of(*account_));
+  return "{\"protected\":\"" + protected_header + "\",\"payload\":\"" + encoded_payload +
+         "\",\"signature\":\"" +
+         base64url(hmac_sha256(access_.external->mac_key, protected_header + "." + encoded_payload)) + "\"}";
 }
 
 std::optional<std::string> Client::open_account(bool only_existing) {
@@ -134,8 +137,8 @@
     payload = "{\"onlyReturnExisting\":true}";
   } else {
     payload = "{\"termsOfServiceAgreed\":true";
-    if (!access_.contact.empty()) payload += ",\"contact\":" + contacts();
-    if (access_.external) payload += ",\"externalAccountBinding\":" + external_binding(url);
+    if (!access_.contact.empty()) payload += ",\"contact\":" + contacts_json();
+    if (access_.external) payload += ",\"externalAccountBinding\":" + external_account_binding(url);
     payload += "}";
   }
   const Response response = post(url, payload, true);
@@ -143,10 +146,10 @@
       parse_problem(response.status, response.body).type == "accountDoesNotExist") {
     return std::nullopt;
   }
-  good(response, "opening the account failed");
+  require_success(response, "opening the account failed");
   if (response.location.empty())
     throw AcmeError(Failure::unreachable, "the response to newAccount has no Location header");
-  const Document account(response);
+  const ResponseDocument account(response);
   if (text_in(account.root(), "status") == "deactivated") {
     throw AcmeError(Failure::refused, "the account is deactivated");
   }
@@ -156,27 +159,28 @@
 }
 
 void Client::change_contact() {
-  good(post(account_url_, "{\"contact\":" + contacts() + "}"), "changing the contact failed");
+  require_success(post(account_url_, "{\"contact\":" + contacts_json() + "}"), "changing the contact failed");
 }
 
 void Client::deactivate() {
-  good(post(account_url_, "{\"status\":\"deactivated\"}"), "deactivating the account failed");
+  require_success(post(account_url_, "{\"status\":\"deactivated\"}"), "deactivating the account failed");
 }
 
-void Client::roll_over(const Key& fresh) {
+void Client::roll_over(const Key& next_key) {
   const std::string url = resource("keyChange");
-  const std::string head = "{\"alg\":\"ES256\",\"jwk\":" + jwk_of(fresh) + ",\"url\":" + in_quotes(url) + "}";
-  const std::string inner = signed_by(
-      fresh, head, "{\"account\":" + in_quotes(account_url_) + ",\"oldKey\":" + jwk_of(*account_) + "}");
-  good(post(url, inner), "rolling over the account key failed");
+  const std::string header =
+      "{\"alg\":\"ES256\",\"jwk\":" + jwk_of(next_key) + ",\"url\":" + in_quotes(url) + "}";
+  const std::string inner = sign_jws(
+      next_key, header, "{\"account\":" + in_quotes(account_url_) + ",\"oldKey\":" + jwk_of(*account_) + "}");
+  require_success(post(url, inner), "rolling over the account key failed");
 }
 
 OrderReply Client::read_order(const Response& response, std::string url) {
-  const Document document(response);
+  const ResponseDocument document(response);
   OrderReply reply;
   reply.url = std::move(url);
   reply.retry_after = parse_retry_after(response.retry_after, now_());
-  const auto status = order_status(document.wanted("status"));
+  const auto status = order_status(document.required("status"));
   if (!status) throw AcmeError(Failure::unreachable, "the order has an unknown status");
   reply.view.status = *status;
   reply.view.authorizations = texts_in(document.root(), "authorizations");
@@ -198,37 +202,37 @@
   for (const std::string& name : names) {
     list += (list.empty() ? "" : ",") + std::string("{\"type\":\"dns\",\"value\":") + in_quotes(name) + "}";
   }
-  const std::string follows = replaces.empty() ? "" : ",\"replaces\":" + in_quotes(replaces);
-  Response response = post(resource("newOrder"), "{\"identifiers\":[" + list + "]" + follows + "}");
+  const std::string replaces_member = replaces.empty() ? "" : ",\"replaces\":" + in_quotes(replaces);
+  Response response = post(resource("newOrder"), "{\"identifiers\":[" + list + "]" + replaces_member + "}");
   // The authority may not know the replaced certificate or have it marked as replaced already: order without
   // the `replaces` member (RFC 9773, 5).
   if (!replaces.empty() && (response.status == 404 || response.status == 409 || response.status == 400)) {
     response = post(resource("newOrder"), "{\"identifiers\":[" + list + "]}");
   }
-  good(response, "placing the order failed");
+  require_success(response, "placing the order failed");
   if (response.location.empty())
     throw AcmeError(Failure::unreachable, "the response to newOrder has no Location header");
   return read_order(response, response.location);
 }
 
 OrderReply Client::order(const std::string& url) {
-  return read_order(good(post(url, ""), "fetching the order failed"), url);
+  return read_order(require_success(post(url, ""), "fetching the order failed"), url);
 }
 
 std::vector<std::string> Client::orders() {
   if (orders_url_.empty()) return {};
-  const Response response = good(post(orders_url_, ""), "fetching the list of orders failed");
-  std::vector<std::string> urls = texts_in(Document(response).root(), "orders");
+  const Response response = require_success(post(orders_url_, ""), "fetching the list of orders failed");
+  std::vector<std::string> urls = texts_in(ResponseDocument(response).root(), "orders");
   // Keeps the end of the list, where the newest orders are.
-  if (urls.size() > kMostOrders) urls.erase(urls.begin(), urls.end() - static_cast<long>(kMostOrders));
+  if (urls.size() > kMaxOrders) urls.erase(urls.begin(), urls.end() - static_cast<long>(kMaxOrders));
   return urls;
 }
 
 Authorization Client::authorization(const std::string& url) {
-  const Response response = good(post(url, ""), "fetching the authorization failed");
-  const Document document(response);
+  const Response response = require_success(post(url, ""), "fetching the authorization failed");
+  const ResponseDocument document(response);
   Authorization authorization;
-  authorization.status = document.wanted("status");
+  authorization.status = document.required("status");
   element identifier;
   if (document.root()["identifier"].get(identifier) == simdjson::SUCCESS && identifier.is_object()) {
     authorization.name = text_in(identifier, "value");
@@ -243,41 +247,45 @@
   return authorization;
 }
 
-void Client::answer(const std::string& url) { good(post(url, "{}"), "responding to the challenge failed"); }
+void Client::respond_to_challenge(const std::string& url) {
+  require_success(post(url, "{}"), "responding to the challenge failed");
+}
 
 OrderReply Client::finalize(const std::string& order_url, const std::string& url,
                             const std::string& request) {
   return read_order(
-      good(post(url, "{\"csr\":\"" + base64url(request) + "\"}"), "finalizing the order failed"), order_url);
+      require_success(post(url, "{\"csr\":\"" + base64url(request) + "\"}"), "finalizing the order failed"),
+      order_url);
 }
 
 std::string Client::chain(const std::string& url, const std::string& preferred) {
-  const Response first = good(post(url, ""), "downloading the certificate failed");
+  const Response first = require_success(post(url, ""), "downloading the certificate failed");
   if (preferred.empty()) return first.body;
-  const auto has = [&](const std::string& pem) {
+  const auto is_preferred = [&](const std::string& pem) {
     const auto certificates = certificates_of(pem);
     return !certificates.empty() && issuer_of(certificates.back()) == preferred;
   };
-  if (has(first.body)) return first.body;
+  if (is_preferred(first.body)) return first.body;
   for (const std::string& each : first.alternates) {
-    if (const Response other = post(each, ""); other.status == 200 && has(other.body)) return other.body;
+    if (const Response other = post(each, ""); other.status == 200 && is_preferred(other.body))
+      return other.body;
   }
   return first.body;  // no chain has the preferred issuer: use the default one
 }
 
 void Client::revoke(const Certificate& certificate, int reason) {
-  good(post(resource("revokeCert"), "{\"certificate\":\"" + base64url(der_of(certificate)) +
-                                        "\",\"reason\":" + std::to_string(reason) + "}"),
-       "revoking the certificate failed");
+  require_success(post(resource("revokeCert"), "{\"certificate\":\"" + base64url(der_of(certificate)) +
+                                                   "\",\"reason\":" + std::to_string(reason) + "}"),
+                  "revoking the certificate failed");
 }
 
 bool Client::has_renewal_info() { return !resource("renewalInfo").empty(); }
 
 std::optional<Client::RenewalInfo> Client::renewal_info(const std::string& id) {
   if (!has_renewal_info() || id.empty()) return std::nullopt;
-  const Response response =
-      good(taken(http_.get(resource("renewalInfo") + "/" + id)), "fetching the renewal information failed");
-  const Document document(response);
+  const Response response = require_success(record_headers(http_.get(resource("renewalInfo") + "/" + id)),
+                                            "fetching the renewal information failed");
+  const ResponseDocument document(response);
   RenewalInfo info;
   info.retry_after = parse_retry_after(response.retry_after, now_());
   info.explanation = text_in(document.root(), "explanationURL");
--- a/src/acme/client.hpp
+++ b/src/acme/client.hpp
@@ -66,7 +66,7 @@
   Client(AuthorityAccess access, std::function<Instant()> now, std::function<bool()> stopped);
 
   // Sets the key and URL of the account that later calls use. The key must outlive them.
-  void use(const Key& account, std::string url);
+  void use_account(const Key& account, std::string url);
   const std::string& account_url() const { return account_url_; }
 
   // Finds the account of the key or creates it, and returns its URL. With `only_existing` none is created:
@@ -75,8 +75,9 @@
   // Replaces the account's contacts by those of the AuthorityAccess.
   void change_contact();
   void deactivate();
-  // Replaces the account's key by `fresh` (RFC 8555, 7.3.5). Call use() with the new key afterwards.
-  void roll_over(const Key& fresh);
+  // Replaces the account's key by `next_key` (RFC 8555, 7.3.5). Call use_account() with the new key
+  // afterwards.
+  void roll_over(const Key& next_key);
 
   // Places an order. `replaces`: renewal ID of the certificate that it replaces (RFC 9773); may be empty.
   OrderReply new_order(const std::vector<std::string>& names, const std::string& replaces);
@@ -85,7 +86,7 @@
   std::vector<std::string> orders();
   Authorization authorization(const std::string& url);
   // Tells the authority that the challenge can be validated (RFC 8555, 7.5.1).
-  void answer(const std::string& challenge_url);
+  void respond_to_challenge(const std::string& challenge_url);
   // Sends the certificate request `request` (DER) to the finalize resource `url`.
   OrderReply finalize(const std::string& order_url, const std::string& url, const std::string& request);
   // Downloads the chain in PEM. If the authority offers alternate chains, prefers the one whose last
@@ -114,14 +115,14 @@
   // Sends a request signed by the account key, which is identified by its URL or, `with_jwk`, by the public
   // key itself. Retries with a new nonce after badNonce.
   Response post(const std::string& url, const std::string& payload, bool with_jwk = false);
-  // A JWS in flattened JSON serialization (RFC 7515); `head` is the protected header.
-  std::string signed_by(const Key& key, const std::string& head, const std::string& payload) const;
+  // A JWS in flattened JSON serialization (RFC 7515); `header` is the protected header.
+  std::string sign_jws(const Key& key, const std::string& header, const std::string& payload) const;
   // Stores the nonce and the clock skew that a response carries, and returns the response.
-  Response taken(Response response);
+  Response record_headers(Response response);
   // Returns a 2xx response; throws an AcmeError for any other. `what` starts its message.
-  Response good(Response response, const char* what);
-  std::string external_binding(const std::string& url) const;
-  std::string contacts() const;  // as a JSON array
+  Response require_success(Response response, const char* what);
+  std::string external_account_binding(const std::string& url) const;
+  std::string contacts_json() const;  // as a JSON array
   OrderReply read_order(const Response& response, std::string url);
 
   AuthorityAccess access_;
--- a/src/acme/issuing.cpp
+++ b/src/acme/issuing.cpp
@@ -246,7 +246,7 @@
   const WithdrawOnExit withdraw_on_exit{*this, name};
   steps_.wait(settings_.publish_delay);
   steps_.step("challenge put up");
-  if (chosen->status != "processing") client.answer(chosen->url);
+  if (chosen->status != "processing") client.respond_to_challenge(chosen->url);
   steps_.step("challenge asked for");
   for (milliseconds waited{0};;) {
     authorization = client.authorization(url);
