--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -66,7 +66,7 @@
 // ---- The pass
 
 std::optional<Validity> CertificateRenewer::usable_validity(const Managed& managed) const {
-  if (!managed.leaf || !names_all(managed.leaf, managed.settings.names)) return std::nullopt;
+  if (!managed.leaf || !covers_names(managed.leaf, managed.settings.names)) return std::nullopt;
   return managed.held;
 }
 
@@ -167,7 +167,7 @@
       try {
         Certificate leaf = first_certificate(pem->view());
         const Validity validity = validity_of(leaf);
-        if (!belongs_to(leaf, key_from_pem(pem->view())))
+        if (!matches_key(leaf, key_from_pem(pem->view())))
           throw CryptoError("the private key does not match the certificate");
         if (registry_) registry_->put(managed.settings.id, pem->view());
         managed.leaf = std::move(leaf);
--- a/src/acme/challenges.cpp
+++ b/src/acme/challenges.cpp
@@ -63,8 +63,8 @@
     }
     if (challenge->type == "tls-alpn-01") {
       if (registry_) {
-        registry_->answer_challenge(challenge->name,
-                                    challenge_identity(challenge->name, challenge->authorization).view());
+        registry_->answer_challenge(
+            challenge->name, create_challenge_certificate(challenge->name, challenge->authorization).view());
       }
     } else if (settings_.http01) {
       try {
--- a/src/acme/crypto.hpp
+++ b/src/acme/crypto.hpp
@@ -20,12 +20,12 @@
   using std::runtime_error::runtime_error;
 };
 
-struct Free {
+struct OpenSslDeleter {
   void operator()(EVP_PKEY* key) const { EVP_PKEY_free(key); }
   void operator()(X509* certificate) const { X509_free(certificate); }
 };
-using Key = std::unique_ptr<EVP_PKEY, Free>;
-using Certificate = std::unique_ptr<X509, Free>;
+using Key = std::unique_ptr<EVP_PKEY, OpenSslDeleter>;
+using Certificate = std::unique_ptr<X509, OpenSslDeleter>;
 
 // A text whose memory is overwritten on destruction, for private keys.
 class Secret {
@@ -53,7 +53,7 @@
 
 // `type`: "ecdsa-p256", "rsa-2048", "rsa-3072" or "rsa-4096"; any other throws.
 Key new_key(const std::string& type = "ecdsa-p256");
-bool is_key_type(std::string_view type);
+bool is_supported_key_type(std::string_view type);
 Key key_from_pem(std::string_view pem);
 Secret pem_of(const Key& key);
 
@@ -75,9 +75,9 @@
 // The DNS names in subjectAltName.
 std::vector<std::string> names_of(const Certificate& certificate);
 std::string issuer_of(const Certificate& certificate);  // its common name
-bool belongs_to(const Certificate& certificate, const Key& key);
+bool matches_key(const Certificate& certificate, const Key& key);
 // Whether the certificate is valid for every one of `names`.
-bool names_all(const Certificate& certificate, const std::vector<std::string>& names);
+bool covers_names(const Certificate& certificate, const std::vector<std::string>& names);
 // The ID of a certificate in renewal information, "aki.serial" (RFC 9773, 4.1); empty if the certificate has
 // no authority key identifier.
 std::string renewal_id(const Certificate& certificate);
@@ -85,13 +85,13 @@
 
 // Checks whether an issued chain can be used; returns an error message, or an empty string if it can. The
 // leaf must be for `key` and `names` and valid at `now`, each certificate must be signed by the next, and
-// every issuer must be a CA certificate that has not expired. `held`: the certificate in use; the new one
+// every issuer must be a CA certificate that has not expired. `current`: the certificate in use; the new one
 // must not expire before it.
-std::string unsound(std::string_view chain, const Key& key, const std::vector<std::string>& names,
-                    Instant now, const std::optional<Validity>& held);
+std::string chain_defect(std::string_view chain, const Key& key, const std::vector<std::string>& names,
+                         Instant now, const std::optional<Validity>& current);
 
 // Creates the self-signed certificate that answers a tls-alpn-01 challenge (RFC 8737, 3). Returns its key and
 // the certificate in PEM.
-Secret challenge_identity(const std::string& name, const std::string& key_authorization);
+Secret create_challenge_certificate(const std::string& name, const std::string& key_authorization);
 
 }  // namespace quartzarch::acme
--- a/src/acme/issuing.cpp
+++ b/src/acme/issuing.cpp
@@ -58,7 +58,7 @@
     // before removing the order.
     const auto pem = store_.read_pem(record->key_file);
     if (pem && pem->view().find("PRIVATE KEY") != std::string_view::npos &&
-        belongs_to(request.leaf, key_from_pem(pem->view()))) {
+        matches_key(request.leaf, key_from_pem(pem->view()))) {
       return {*record, {}, {}};
     }
   }
@@ -266,7 +266,7 @@
   std::string chain =
       session.client->chain(view.certificate, settings_.authorities[record.authority].preferred_issuer);
   steps_.step("fetched");
-  const std::string defect = unsound(chain, key, record.names, steps_.now(), request.held);
+  const std::string defect = chain_defect(chain, key, record.names, steps_.now(), request.held);
   if (!defect.empty()) {
     // The chain may have been truncated in transit; if it is unusable again, the order is abandoned.
     if (++record.fetches >= kMaxChainFetches) {
--- a/src/acme/settings.cpp
+++ b/src/acme/settings.cpp
@@ -160,7 +160,7 @@
       fail(*section.find("names"), "certificate.names", "contains an invalid host name: " + name);
   }
   settings.key_type = section.text("key", settings.key_type);
-  if (!is_key_type(settings.key_type)) {
+  if (!is_supported_key_type(settings.key_type)) {
     fail(*section.find("key"), "certificate.key", "is none of ecdsa-p256, rsa-2048, rsa-3072, rsa-4096");
   }
   section.end();
--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -96,7 +96,7 @@
   const acme::Key key = acme::key_from_pem(text);
   const auto names = acme::names_of(leaf);
   const auto now = std::chrono::floor<acme::Seconds>(std::chrono::system_clock::now());
-  const std::string wrong = acme::unsound(text, key, names, now, std::nullopt);
+  const std::string wrong = acme::chain_defect(text, key, names, now, std::nullopt);
   if (json) {
     std::printf("{\"file\":%s,\"sound\":%s,\"wrong\":%s,\"names\":%s,\"ends\":\"%s\"}\n",
                 in_quotes(path).c_str(), wrong.empty() ? "true" : "false", in_quotes(wrong).c_str(),
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -206,7 +206,7 @@
   EXPECT_LE(worst, Alarm::due);
   EXPECT_EQ(there.counts().accounts, 1);
   const std::string last = kept("sip.current.pem");
-  EXPECT_FALSE(acme::belongs_to(acme::first_certificate(last), acme::key_from_pem(first)))
+  EXPECT_FALSE(acme::matches_key(acme::first_certificate(last), acme::key_from_pem(first)))
       << "the key was kept";
   EXPECT_EQ(files_with(".key-"), 0u) << "the key of a finished order lies about";
   EXPECT_EQ(said().find("PRIVATE"), std::string::npos);
@@ -223,7 +223,7 @@
   EXPECT_EQ(there.counts().challenges, 2) << "a valid authorization was done again";
   const std::string pem = kept("rsa.current.pem");
   EXPECT_EQ(acme::issuer_of(acme::certificates_of(pem).back()), "Stand-in Root X2");
-  EXPECT_TRUE(acme::names_all(acme::first_certificate(pem), settings.certificates[0].names));
+  EXPECT_TRUE(acme::covers_names(acme::first_certificate(pem), settings.certificates[0].names));
   EXPECT_EQ(EVP_PKEY_get_base_id(acme::key_from_pem(pem).get()), EVP_PKEY_RSA);
 }
 
@@ -535,9 +535,9 @@
     EXPECT_EQ(there.counts().certificates - before.certificates, 1) << "step " << step;
     EXPECT_LE(there.counts().accounts - before.accounts, 1) << "step " << step;
     const std::string current = kept("sip.current.pem");
-    EXPECT_TRUE(acme::belongs_to(acme::first_certificate(current), acme::key_from_pem(current)));
+    EXPECT_TRUE(acme::matches_key(acme::first_certificate(current), acme::key_from_pem(current)));
     if (!key.empty()) {
-      EXPECT_TRUE(acme::belongs_to(acme::first_certificate(current), acme::key_from_pem(key)))
+      EXPECT_TRUE(acme::matches_key(acme::first_certificate(current), acme::key_from_pem(key)))
           << "another key after step " << step;
     }
     EXPECT_EQ(files_with(".order.json") + files_with(".key-") + files_with("aside"), 0u) << "step " << step;
@@ -623,7 +623,8 @@
     EXPECT_FALSE(handshake(registry.server(), "a.example", "", expired.session, version).resumed);
     EXPECT_THROW(registry.put("a", "nonsense"), tls::TlsError);
     EXPECT_EQ(handshake(registry.server(), "a.example", "", {}, version).certificate, spent);
-    registry.answer_challenge("a.example", acme::challenge_identity("a.example", "token.print").view());
+    registry.answer_challenge("a.example",
+                              acme::create_challenge_certificate("a.example", "token.print").view());
     EXPECT_EQ(handshake(registry.server(), "a.example", "acme-tls/1", {}, version).protocol, "acme-tls/1");
     EXPECT_EQ(handshake(registry.server(), "a.example", "sip", {}, version).certificate, spent);
     registry.end_challenge("a.example");
