--- a/src/acme/client.cpp
+++ b/src/acme/client.cpp
@@ -71,7 +71,7 @@
   // A 5xx response without a problem document comes from a proxy in front of the authority or from a failing
   // server, so it says nothing about the request.
   if (why == Failure::refused && problem.type.empty() && response.status >= 500) why = Failure::unreachable;
-  AcmeError error(why, std::string(what) + ": " + problem.plain(), retry);
+  AcmeError error(why, std::string(what) + ": " + problem.to_line(), retry);
   error.type = problem.type;
   error.status = response.status;
   throw error;
--- a/src/acme/http.cpp
+++ b/src/acme/http.cpp
@@ -14,11 +14,11 @@
 namespace quartzarch::acme {
 namespace {
 
-constexpr std::size_t kLongestBody = 1024 * 1024;
-constexpr std::size_t kMostAlternates = 8;
+constexpr std::size_t kMaxBodySize = 1024 * 1024;
+constexpr std::size_t kMaxAlternates = 8;
 
 // The libcurl functions in use, looked up with dlsym.
-struct Curl {
+struct CurlFunctions {
   decltype(&::curl_global_init) global_init;
   decltype(&::curl_easy_init) easy_init;
   decltype(&::curl_easy_cleanup) easy_cleanup;
@@ -30,54 +30,54 @@
   decltype(&::curl_slist_append) slist_append;
   decltype(&::curl_slist_free_all) slist_free_all;
 
-  Curl() {
+  CurlFunctions() {
     void* const library = ::dlopen("libcurl.so.4", RTLD_NOW | RTLD_LOCAL);
     if (!library) throw HttpError(std::string("libcurl cannot be loaded: ") + ::dlerror());
-    const auto find = [library](auto& function, const char* name) {
+    const auto load_function = [library](auto& function, const char* name) {
       function = reinterpret_cast<std::remove_reference_t<decltype(function)>>(::dlsym(library, name));
       if (!function) throw HttpError(std::string("libcurl does not have ") + name);
     };
-    find(global_init, "curl_global_init");
-    find(easy_init, "curl_easy_init");
-    find(easy_cleanup, "curl_easy_cleanup");
-    find(easy_reset, "curl_easy_reset");
-    find(setopt, "curl_easy_setopt");
-    find(getinfo, "curl_easy_getinfo");
-    find(perform, "curl_easy_perform");
-    find(strerror, "curl_easy_strerror");
-    find(slist_append, "curl_slist_append");
-    find(slist_free_all, "curl_slist_free_all");
+    load_function(global_init, "curl_global_init");
+    load_function(easy_init, "curl_easy_init");
+    load_function(easy_cleanup, "curl_easy_cleanup");
+    load_function(easy_reset, "curl_easy_reset");
+    load_function(setopt, "curl_easy_setopt");
+    load_function(getinfo, "curl_easy_getinfo");
+    load_function(perform, "curl_easy_perform");
+    load_function(strerror, "curl_easy_strerror");
+    load_function(slist_append, "curl_slist_append");
+    load_function(slist_free_all, "curl_slist_free_all");
     if (global_init(CURL_GLOBAL_DEFAULT) != CURLE_OK) throw HttpError("libcurl could not be initialized");
   }
 };
 
 // Loads the library on the first call; it stays loaded until the process ends.
-const Curl& curl() {
-  static const Curl loaded;
+const CurlFunctions& curl() {
+  static const CurlFunctions loaded;
   return loaded;
 }
 
 // Returning less than the size given makes libcurl abort the request.
-std::size_t take_body(char* data, std::size_t size, std::size_t count, void* to) {
+std::size_t append_body(char* data, std::size_t size, std::size_t count, void* to) {
   auto& body = static_cast<Response*>(to)->body;
-  if (body.size() + size * count > kLongestBody) return 0;
+  if (body.size() + size * count > kMaxBodySize) return 0;
   body.append(data, size * count);
   return size * count;
 }
 
 // Parses a Link header such as <https://...>;rel="alternate".
-void take_link(std::string_view value, Response& response) {
+void parse_link(std::string_view value, Response& response) {
   const auto open = value.find('<'), close = value.find('>');
   if (open == std::string_view::npos || close == std::string_view::npos || close < open) return;
   const std::string_view rest = value.substr(close);
   const bool alternate = rest.find("rel=\"alternate\"") != std::string_view::npos ||
                          rest.find("rel=alternate") != std::string_view::npos;
-  if (alternate && response.alternates.size() < kMostAlternates) {
+  if (alternate && response.alternates.size() < kMaxAlternates) {
     response.alternates.emplace_back(value.substr(open + 1, close - open - 1));
   }
 }
 
-std::size_t take_header(char* data, std::size_t size, std::size_t count, void* to) {
+std::size_t parse_header(char* data, std::size_t size, std::size_t count, void* to) {
   auto& response = *static_cast<Response*>(to);
   const std::string_view line(data, size * count);
   const auto colon = line.find(':');
@@ -91,11 +91,11 @@
   if (name == "location") response.location = value;
   if (name == "retry-after") response.retry_after = value;
   if (name == "date") response.date = parse_http_date(value);
-  if (name == "link") take_link(value, response);
+  if (name == "link") parse_link(value, response);
   return size * count;
 }
 
-int look_for_stop(void* stopped, curl_off_t, curl_off_t, curl_off_t, curl_off_t) {
+int abort_if_stopped(void* stopped, curl_off_t, curl_off_t, curl_off_t, curl_off_t) {
   return (*static_cast<std::function<bool()>*>(stopped))() ? 1 : 0;
 }
 
@@ -112,28 +112,28 @@
 Http::~Http() { curl().easy_cleanup(curl_); }
 
 Response Http::perform(const std::string& url) {
-  const Curl& c = curl();
+  const CurlFunctions& functions = curl();
   Response response;
-  c.setopt(curl_, CURLOPT_URL, url.c_str());
-  c.setopt(curl_, CURLOPT_USERAGENT, "quartzarch/0.2");
-  c.setopt(curl_, CURLOPT_NOSIGNAL, 1L);
-  c.setopt(curl_, CURLOPT_TIMEOUT_MS, static_cast<long>(timeout_.count()));
-  c.setopt(curl_, CURLOPT_PROTOCOLS_STR, "http,https");
-  c.setopt(curl_, CURLOPT_NOPROXY, "*");
-  if (!ca_file_.empty()) c.setopt(curl_, CURLOPT_CAINFO, ca_file_.c_str());
-  c.setopt(curl_, CURLOPT_WRITEFUNCTION, take_body);
-  c.setopt(curl_, CURLOPT_WRITEDATA, &response);
-  c.setopt(curl_, CURLOPT_HEADERFUNCTION, take_header);
-  c.setopt(curl_, CURLOPT_HEADERDATA, &response);
+  functions.setopt(curl_, CURLOPT_URL, url.c_str());
+  functions.setopt(curl_, CURLOPT_USERAGENT, "quartzarch/0.2");
+  functions.setopt(curl_, CURLOPT_NOSIGNAL, 1L);
+  functions.setopt(curl_, CURLOPT_TIMEOUT_MS, static_cast<long>(timeout_.count()));
+  functions.setopt(curl_, CURLOPT_PROTOCOLS_STR, "http,https");
+  functions.setopt(curl_, CURLOPT_NOPROXY, "*");
+  if (!ca_file_.empty()) functions.setopt(curl_, CURLOPT_CAINFO, ca_file_.c_str());
+  functions.setopt(curl_, CURLOPT_WRITEFUNCTION, append_body);
+  functions.setopt(curl_, CURLOPT_WRITEDATA, &response);
+  functions.setopt(curl_, CURLOPT_HEADERFUNCTION, parse_header);
+  functions.setopt(curl_, CURLOPT_HEADERDATA, &response);
   if (stopped_) {
-    c.setopt(curl_, CURLOPT_NOPROGRESS, 0L);
-    c.setopt(curl_, CURLOPT_XFERINFOFUNCTION, look_for_stop);
-    c.setopt(curl_, CURLOPT_XFERINFODATA, &stopped_);
+    functions.setopt(curl_, CURLOPT_NOPROGRESS, 0L);
+    functions.setopt(curl_, CURLOPT_XFERINFOFUNCTION, abort_if_stopped);
+    functions.setopt(curl_, CURLOPT_XFERINFODATA, &stopped_);
   }
-  const CURLcode code = c.perform(curl_);
-  c.getinfo(curl_, CURLINFO_RESPONSE_CODE, &response.status);
-  c.easy_reset(curl_);
-  if (code != CURLE_OK) throw HttpError(url + ": " + c.strerror(code));
+  const CURLcode code = functions.perform(curl_);
+  functions.getinfo(curl_, CURLINFO_RESPONSE_CODE, &response.status);
+  functions.easy_reset(curl_);
+  if (code != CURLE_OK) throw HttpError(url + ": " + functions.strerror(code));
   return response;
 }
 
@@ -145,13 +145,13 @@
 Response Http::get(const std::string& url) { return perform(url); }
 
 Response Http::post(const std::string& url, const std::string& body) {
-  const Curl& c = curl();
-  const std::unique_ptr<curl_slist, decltype(c.slist_free_all)> headers(
-      c.slist_append(nullptr, "Content-Type: application/jose+json"), c.slist_free_all);
-  c.setopt(curl_, CURLOPT_HTTPHEADER, headers.get());
-  c.setopt(curl_, CURLOPT_POST, 1L);
-  c.setopt(curl_, CURLOPT_POSTFIELDSIZE, static_cast<long>(body.size()));
-  c.setopt(curl_, CURLOPT_COPYPOSTFIELDS, body.c_str());
+  const CurlFunctions& functions = curl();
+  const std::unique_ptr<curl_slist, decltype(functions.slist_free_all)> headers(
+      functions.slist_append(nullptr, "Content-Type: application/jose+json"), functions.slist_free_all);
+  functions.setopt(curl_, CURLOPT_HTTPHEADER, headers.get());
+  functions.setopt(curl_, CURLOPT_POST, 1L);
+  functions.setopt(curl_, CURLOPT_POSTFIELDSIZE, static_cast<long>(body.size()));
+  functions.setopt(curl_, CURLOPT_COPYPOSTFIELDS, body.c_str());
   return perform(url);
 }
 
--- a/src/acme/issuing.cpp
+++ b/src/acme/issuing.cpp
@@ -135,7 +135,7 @@
         // The order of an earlier attempt has failed meanwhile; this attempt starts over with a new one.
         if (resumed && !authorized && !record->finalized) return issue(request, authority);
         throw AcmeError(reply.error ? reply.error->failure() : Failure::rejected,
-                        "the order failed" + (reply.error ? ": " + reply.error->plain() : std::string()));
+                        "the order failed" + (reply.error ? ": " + reply.error->to_line() : std::string()));
     }
   }
 }
@@ -208,7 +208,7 @@
   const auto rejected = [&] {
     std::string why;
     for (const Challenge& each : authorization.challenges) {
-      if (each.error) why += ": " + each.type + ": " + each.error->plain();
+      if (each.error) why += ": " + each.type + ": " + each.error->to_line();
     }
     return AcmeError(Failure::rejected,
                      "the authorization of " + authorization.name + " is " + authorization.status + why);
--- a/src/acme/problem.cpp
+++ b/src/acme/problem.cpp
@@ -12,28 +12,30 @@
 
 using simdjson::dom::element;
 
-constexpr std::string_view kUrn = "urn:ietf:params:acme:error:";
-constexpr std::size_t kLongestText = 300;  // of a text from the authority in a log line
-constexpr std::size_t kMostSubproblems = 20;
+constexpr std::string_view kUrnPrefix = "urn:ietf:params:acme:error:";
+constexpr std::size_t kMaxTextLength = 300;  // of a text from the authority in a log line
+constexpr std::size_t kMaxSubproblems = 20;
 
 // Replaces control characters and limits the length, so that the text can go into a log line.
-std::string tame(std::string_view text) {
-  std::string out(text.substr(0, kLongestText));
+std::string printable(std::string_view text) {
+  std::string out(text.substr(0, kMaxTextLength));
   std::replace_if(
       out.begin(), out.end(), [](unsigned char c) { return c < ' ' || c == 127; }, ' ');
   return out;
 }
 
-std::string text_of(element from, std::string_view name) {
+std::string printable_member(element from, std::string_view name) {
   std::string_view found;
-  return from[name].get(found) == simdjson::SUCCESS ? tame(found) : std::string();
+  return from[name].get(found) == simdjson::SUCCESS ? printable(found) : std::string();
 }
 
-std::string bare(std::string type) { return type.starts_with(kUrn) ? type.substr(kUrn.size()) : type; }
+std::string without_urn_prefix(std::string type) {
+  return type.starts_with(kUrnPrefix) ? type.substr(kUrnPrefix.size()) : type;
+}
 
 // An explanation of the common error types for operators.
-std::string_view meaning(std::string_view type) {
-  constexpr std::pair<std::string_view, std::string_view> kMeanings[] = {
+std::string_view explanation(std::string_view type) {
+  constexpr std::pair<std::string_view, std::string_view> kExplanations[] = {
       {"accountDoesNotExist", "it does not know the account"},
       {"alreadyRevoked", "the certificate is revoked already"},
       {"badCSR", "it does not accept the certificate request"},
@@ -56,14 +58,14 @@
       {"unauthorized", "the name could not be validated, or the account may not do this"},
       {"userActionRequired", "the operator must act, for instance accept new terms of service"},
   };
-  for (const auto& [name, words] : kMeanings) {
-    if (name == type) return words;
+  for (const auto& [name, text] : kExplanations) {
+    if (name == type) return text;
   }
   return {};
 }
 
-std::string sentence(const std::string& type, const std::string& detail) {
-  std::string out(meaning(type));
+std::string describe(const std::string& type, const std::string& detail) {
+  std::string out(explanation(type));
   if (!detail.empty()) out += (out.empty() ? "" : ": ") + detail;
   if (!type.empty()) out += (out.empty() ? "[" : " [") + type + "]";
   return out;
@@ -71,12 +73,12 @@
 
 }  // namespace
 
-std::string Problem::plain() const {
+std::string Problem::to_line() const {
   std::string out = "the authority refuses (status " + std::to_string(status) + ")";
-  if (const std::string what = sentence(type, detail); !what.empty()) out += ": " + what;
+  if (const std::string description = describe(type, detail); !description.empty()) out += ": " + description;
   for (const Sub& sub : subproblems) {
     out += "; " + (sub.identifier.empty() ? "further" : "for " + sub.identifier) + ": " +
-           sentence(sub.type, sub.detail);
+           describe(sub.type, sub.detail);
   }
   return out;
 }
@@ -98,16 +100,18 @@
   if (parser.parse(body.data(), body.size()).get(root) != simdjson::SUCCESS || !root.is_object()) {
     return problem;
   }
-  problem.type = bare(text_of(root, "type"));
-  problem.detail = text_of(root, "detail");
+  problem.type = without_urn_prefix(printable_member(root, "type"));
+  problem.detail = printable_member(root, "detail");
   simdjson::dom::array subs;
   if (root["subproblems"].get(subs) != simdjson::SUCCESS) return problem;
   for (const element sub : subs) {
-    if (!sub.is_object() || problem.subproblems.size() >= kMostSubproblems) continue;
+    if (!sub.is_object() || problem.subproblems.size() >= kMaxSubproblems) continue;
     element identifier;
-    const bool named = sub["identifier"].get(identifier) == simdjson::SUCCESS && identifier.is_object();
-    problem.subproblems.push_back({bare(text_of(sub, "type")), text_of(sub, "detail"),
-                                   named ? text_of(identifier, "value") : std::string()});
+    const bool has_identifier =
+        sub["identifier"].get(identifier) == simdjson::SUCCESS && identifier.is_object();
+    problem.subproblems.push_back({without_urn_prefix(printable_member(sub, "type")),
+                                   printable_member(sub, "detail"),
+                                   has_identifier ? printable_member(identifier, "value") : std::string()});
   }
   return problem;
 }
@@ -126,10 +130,10 @@
 std::optional<Seconds> parse_retry_after(std::string_view text, Instant now) {
   if (text.empty()) return std::nullopt;
   if (std::all_of(text.begin(), text.end(), [](unsigned char c) { return std::isdigit(c) != 0; })) {
-    constexpr std::int64_t kMost = 10LL * 365 * 86400;
+    constexpr std::int64_t kMaxSeconds = 10LL * 365 * 86400;
     std::int64_t seconds = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seconds);
-    return Seconds(error != std::errc{} ? kMost : std::min(seconds, kMost));
+    return Seconds(error != std::errc{} ? kMaxSeconds : std::min(seconds, kMaxSeconds));
   }
   const auto date = parse_http_date(text);
   if (!date) return std::nullopt;
--- a/src/acme/problem.hpp
+++ b/src/acme/problem.hpp
@@ -22,7 +22,7 @@
 
   // One line for the operator: "the authority refuses (status 403): the CAA record of the name forbids it
   // [caa]; for a.example: ..."
-  std::string plain() const;
+  std::string to_line() const;
   // What the error means for the renewal schedule.
   Failure failure() const;
 };
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -162,11 +162,11 @@
       403,
       R"({"type":"urn:ietf:params:acme:error:compound","detail":"two things\nare wrong","subproblems":[)"
       R"({"type":"urn:ietf:params:acme:error:caa","detail":"not by us","identifier":{"type":"dns","value":"a.b"}}]})");
-  EXPECT_EQ(problem.plain(),
+  EXPECT_EQ(problem.to_line(),
             "the authority refuses (status 403): several things are wrong: two things are wrong [compound]; "
             "for a.b: "
             "the CAA record of the name forbids it: not by us [caa]");
-  EXPECT_EQ(acme::parse_problem(502, "<html>").plain(), "the authority refuses (status 502)");
+  EXPECT_EQ(acme::parse_problem(502, "<html>").to_line(), "the authority refuses (status 502)");
   EXPECT_EQ(acme::parse_problem(429, "{}").failure(), Failure::rate_limited);
   const Instant now = *acme::parse_timestamp("2026-12-01T10:00:00Z");
   EXPECT_EQ(acme::parse_retry_after("120", now), Seconds(120));
@@ -176,7 +176,7 @@
   EXPECT_FALSE(acme::parse_retry_after("soon", now));
   EXPECT_EQ(acme::parse_timestamp("2026-12-01T12:00:00.25+02:00"), now);
   EXPECT_TRUE(rc::check("hostile texts", [](const std::string& text) {
-    acme::parse_problem(400, text).plain();
+    acme::parse_problem(400, text).to_line();
     acme::parse_retry_after(text, kStart);
     acme::parse_timestamp(text);
   }));
