--- a/bench/duty.cpp
+++ b/bench/duty.cpp
@@ -513,7 +513,7 @@
     const auto now = [] { return std::chrono::floor<acme::Seconds>(std::chrono::system_clock::now()); };
     bool ours = false;
     for (;;) {
-      const auto look = [&] { ours = ours ? lease.keep(now()) : lease.take(now()); };
+      const auto look = [&] { ours = ours ? lease.renew(now()) : lease.acquire(now()); };
       if (believes) look();
       std::this_thread::sleep_for(milliseconds(2));  // the work
       if (!believes) look();
--- a/src/acme/accounts.cpp
+++ b/src/acme/accounts.cpp
@@ -31,7 +31,7 @@
     try {
       account.key = key_from_pem(pem->view());
     } catch (const CryptoError& error) {
-      store_.put_aside(key_file, error.what());
+      store_.quarantine(key_file, error.what());
     }
   }
   const auto text = store_.read(file(authority, ".json"));
@@ -101,7 +101,7 @@
   try {
     next_key = key_from_pem(pem->view());
   } catch (const CryptoError& error) {
-    return store_.put_aside(next_key_file, error.what());
+    return store_.quarantine(next_key_file, error.what());
   }
   session.client->use_account(next_key, {});
   if (const auto url = session.client->open_account(true)) {
@@ -136,7 +136,7 @@
 void Accounts::deactivate(std::size_t authority) {
   open(authority)->client->deactivate();
   // The key cannot be used any more: the next order creates a new account with a new key.
-  store_.put_aside(file(authority, ".key.pem"), "the account is deactivated");
+  store_.quarantine(file(authority, ".key.pem"), "the account is deactivated");
   store_.remove(file(authority, ".key.pem"));
   store_.remove(file(authority, ".json"));
 }
--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -89,7 +89,7 @@
       const bool query_due = managed.held && managed.renewal->window_query_due(now) &&
                              managed.renewal->state().failures == 0 && now < managed.held->ends;
       if (decision.action == Decision::Action::renew || query_due) {
-        if (!have_lease) have_lease = lease_->take(now);
+        if (!have_lease) have_lease = lease_->acquire(now);
         if (!have_lease) {
           next = std::min(next, now + std::min(settings_.lease / 4 + Seconds(1), Seconds(30)));
           continue;
@@ -117,7 +117,7 @@
     next = begun + kRetryAfterError;
   } catch (const Stopped&) {
     next = begun;
-  } catch (const TurnLost&) {
+  } catch (const LeaseLost&) {
     log_.line("certificates: the lease went to another instance");
     next = begun + settings_.lease / 4;
     have_lease = false;
@@ -126,7 +126,7 @@
     next = begun + kRetryAfterError;
   }
   try {
-    if (have_lease) lease_->give_back();
+    if (have_lease) lease_->release();
   } catch (const StateError& error) {
     log_.line("certificates: %s", error.what());
   }
@@ -150,7 +150,7 @@
 }
 
 void CertificateRenewer::sync() {
-  store_->look();
+  store_->apply_updates();
   challenges_.sync(environment_.now());
   const Instant now = environment_.now();
   for (Managed& managed : managed_) {
@@ -174,7 +174,7 @@
         managed.held = validity;
       } catch (const std::runtime_error& error) {
         // The certificate loaded before stays in use; the bad file is kept aside for inspection.
-        store_->put_aside(name, error.what());
+        store_->quarantine(name, error.what());
         managed.current_stamp.clear();
       }
     }
@@ -342,7 +342,7 @@
 
 std::string CertificateRenewer::with_lease(const std::function<void()>& action) {
   try {
-    for (int tries = 0; !lease_->take(environment_.now()); ++tries) {
+    for (int tries = 0; !lease_->acquire(environment_.now()); ++tries) {
       const auto holder = lease_->holder(environment_.now());
       if (tries >= kMaxLeaseAttempts || !environment_.pause(milliseconds(1000))) {
         return "another instance holds the lease (" + (holder ? holder->name : std::string("unknown")) + ")";
@@ -353,12 +353,12 @@
       action();
     } catch (const Stopped&) {
       failure = "stopped";
-    } catch (const TurnLost&) {
+    } catch (const LeaseLost&) {
       failure = "the lease went to another instance";
     } catch (const std::runtime_error& error) {
       failure = error.what();
     }
-    lease_->give_back();
+    lease_->release();
     return failure;
   } catch (const StateError& error) {
     return error.what();
--- a/src/acme/certificate_renewer.hpp
+++ b/src/acme/certificate_renewer.hpp
@@ -33,7 +33,7 @@
 // last because it must be destroyed before the store.
 struct SharedState {
   std::unique_ptr<Store> store{};
-  std::unique_ptr<Turn> lease{};
+  std::unique_ptr<Lease> lease{};
 };
 // Opens the state directory of the settings with a file lease in it. Throws StateError if the directory's
 // owner or mode is unsafe.
@@ -112,7 +112,7 @@
   std::shared_ptr<tls::Registry> registry_;
   Environment environment_;
   std::unique_ptr<Store> store_;
-  std::unique_ptr<Turn> lease_;
+  std::unique_ptr<Lease> lease_;
   Steps steps_;
   Accounts accounts_;
   Challenges challenges_;
--- a/src/acme/challenges.cpp
+++ b/src/acme/challenges.cpp
@@ -57,7 +57,7 @@
       // Left behind by an instance that crashed. Without the lease it cannot be removed here.
       try {
         store_.remove(each);
-      } catch (const TurnLost&) {
+      } catch (const LeaseLost&) {
       }
       continue;
     }
--- a/src/acme/environment.cpp
+++ b/src/acme/environment.cpp
@@ -25,14 +25,14 @@
 void Steps::step(const char* what) {
   if (environment_.step) environment_.step(what);
   if (environment_.stopped && environment_.stopped()) throw Stopped{};
-  if (!turn_.keep(environment_.now())) throw TurnLost{};
+  if (!lease_.renew(environment_.now())) throw LeaseLost{};
 }
 
 void Steps::wait(milliseconds how_long) {
   while (how_long.count() > 0) {
     const milliseconds piece = std::min(how_long, piece_);
     if (!environment_.pause(piece)) throw Stopped{};
-    if (!turn_.keep(environment_.now())) throw TurnLost{};
+    if (!lease_.renew(environment_.now())) throw LeaseLost{};
     how_long -= piece;
   }
 }
--- a/src/acme/environment.hpp
+++ b/src/acme/environment.hpp
@@ -30,12 +30,12 @@
 struct Stopped {};
 
 // Called between the steps of a pass: each call renews the lease. Throws Stopped if a stop is requested and
-// TurnLost if another instance holds the lease.
+// LeaseLost if another instance holds the lease.
 class Steps {
  public:
   // `piece`: the longest time to wait without renewing the lease.
-  Steps(const Environment& environment, Turn& turn, std::chrono::milliseconds piece)
-      : environment_(environment), turn_(turn), piece_(piece) {}
+  Steps(const Environment& environment, Lease& lease, std::chrono::milliseconds piece)
+      : environment_(environment), lease_(lease), piece_(piece) {}
 
   Instant now() const { return environment_.now(); }
   // `what` names the step for Environment::step.
@@ -45,7 +45,7 @@
 
  private:
   const Environment& environment_;
-  Turn& turn_;
+  Lease& lease_;
   std::chrono::milliseconds piece_;
 };
 
--- a/src/acme/issuing.cpp
+++ b/src/acme/issuing.cpp
@@ -29,7 +29,7 @@
   const auto text = store_.read(record_of(id));
   if (!text) return std::nullopt;
   auto record = parse_order(*text);
-  if (!record) store_.put_aside(record_of(id), "not an order record");
+  if (!record) store_.quarantine(record_of(id), "not an order record");
   return record;
 }
 
@@ -145,7 +145,7 @@
     try {
       return key_from_pem(pem->view());
     } catch (const CryptoError& error) {
-      store_.put_aside(record.key_file, error.what());
+      store_.quarantine(record.key_file, error.what());
     }
   }
   if (record.finalized) {
@@ -234,7 +234,7 @@
         issuing.challenges_.withdraw(issuing.steps_.now(), name);
       } catch (const StateError& error) {
         issuing.log_.line("certificates: %s", error.what());
-      } catch (const TurnLost&) {
+      } catch (const LeaseLost&) {
         // The instance that holds the lease now finds the challenge, which also expires.
       }
     }
--- a/src/acme/issuing.hpp
+++ b/src/acme/issuing.hpp
@@ -38,7 +38,7 @@
         challenges_(challenges) {}
 
   // Starts or resumes the order of a certificate and carries it through. Throws AcmeError, HttpError,
-  // CryptoError, StateError, Stopped and TurnLost.
+  // CryptoError, StateError, Stopped and LeaseLost.
   Issued issue(const IssueRequest& request, std::size_t authority);
   // The stored open order of a certificate, if there is one.
   std::optional<OrderRecord> load(const std::string& id);
--- a/src/acme/state.cpp
+++ b/src/acme/state.cpp
@@ -223,7 +223,7 @@
                                    ",\"until\":" + std::to_string(until.time_since_epoch().count()) + "}");
 }
 
-bool FileLease::take(Instant now) {
+bool FileLease::acquire(Instant now) {
   const Fd lock = lock_file();
   const auto held = read();
   if (held && held->name != holder_ && in_force(*held, now)) return false;
@@ -231,17 +231,17 @@
   return true;
 }
 
-bool FileLease::keep(Instant now) {
+bool FileLease::renew(Instant now) {
   const Fd lock = lock_file();
   const auto held = read();
   if (!held || held->name != holder_ || !in_force(*held, now)) return false;
-  // keep() is called at every step of an order, so the file is rewritten only after a quarter of the
+  // renew() is called at every step of an order, so the file is rewritten only after a quarter of the
   // duration.
   if (held->until - now < duration_ * 3 / 4) write(now + duration_);
   return true;
 }
 
-void FileLease::give_back() {
+void FileLease::release() {
   const Fd lock = lock_file();
   const auto held = read();
   if (held && held->name == holder_) directory_.remove(kLeaseFile);
--- a/src/acme/state.hpp
+++ b/src/acme/state.hpp
@@ -35,7 +35,7 @@
   std::optional<Secret> read_pem(const std::string& name) const override;
   void write_pem(const std::string& name, const Secret& pem) override;
   void remove(const std::string& name) override;
-  void put_aside(const std::string& name, const std::string& why) override { set_aside(name, why); }
+  void quarantine(const std::string& name, const std::string& why) override { set_aside(name, why); }
   std::vector<std::string> list(const std::string& prefix, const std::string& suffix) const override;
   // For "": the stamp of the directory, which changes when files are added, replaced or removed.
   std::string stamp(const std::string& name) const override;
@@ -52,16 +52,16 @@
 
 // A lease stored in a file: one holder at a time, until it gives the lease back or the lease expires. It is
 // changed under a lock on a second file, so two instances that find it expired cannot both take it.
-class FileLease : public Turn {
+class FileLease : public Lease {
  public:
   // `duration`: time to expiry unless the lease is renewed.
   FileLease(StateDirectory& directory, std::string holder, Seconds duration)
       : directory_(directory), holder_(std::move(holder)), duration_(duration) {}
 
-  bool take(Instant now) override;
+  bool acquire(Instant now) override;
   // Renews the lease. Returns false if this instance does not hold it any more.
-  bool keep(Instant now) override;
-  void give_back() override;
+  bool renew(Instant now) override;
+  void release() override;
   std::optional<Holder> holder(Instant now) const override;
 
  private:
--- a/src/fleet/certificate_store.cpp
+++ b/src/fleet/certificate_store.cpp
@@ -45,14 +45,14 @@
 bool CertificateStore::wait_for_contents(Duration timeout) {
   for (const Time until = steady_time() + timeout; !received_all_ && steady_time() < until && !stopped_();) {
     std::this_thread::sleep_for(kPollInterval);
-    look();
+    apply_updates();
   }
   return received_all_;
 }
 
 // ---- Changes by other controllers
 
-void CertificateStore::look() {
+void CertificateStore::apply_updates() {
   duty_handle_.report_progress();
   std::vector<WatchUpdate> updates;
   {
@@ -117,7 +117,7 @@
     if (transient) {
       copy_.remove(name);
     } else {
-      copy_.put_aside(name, "is not in the fleet's register");
+      copy_.quarantine(name, "is not in the fleet's register");
     }
   }
 }
@@ -191,7 +191,7 @@
 
 void CertificateStore::change(reg::Command command) {
   const auto token = duty_handle_.holds();
-  if (!token || *token != token_) throw acme::TurnLost{};
+  if (!token || *token != token_) throw acme::LeaseLost{};
   if (!consistent_) throw acme::StateError("the fleet's register has to be reloaded first");
   Known& known = known_[name_of(command.name)];
   command.expected = known.value_revision;
@@ -204,7 +204,7 @@
     throw acme::StateError("the fleet's register " + what);
   };
   if (!reply) {
-    if (duty_handle_.holds() != token) throw acme::TurnLost{};
+    if (duty_handle_.holds() != token) throw acme::LeaseLost{};
     return inconsistent("does not answer");  // it may or may not have been applied
   }
   switch (reply->code) {
@@ -213,7 +213,7 @@
       known = {reply->revision, put ? reply->revision : 0};
       return;
     case reg::Code::fenced:
-      throw acme::TurnLost{};
+      throw acme::LeaseLost{};
     case reg::Code::changed:
       // The change may have been applied by an earlier attempt whose reply was lost; otherwise the record is
       // not as expected.
@@ -258,9 +258,9 @@
 }
 
 // Affects this controller's copy only. The register's record is copied again unless it is the same.
-void CertificateStore::put_aside(const std::string& name, const std::string& why) {
+void CertificateStore::quarantine(const std::string& name, const std::string& why) {
   const auto content = copy_of(name);
-  copy_.put_aside(name, why);
+  copy_.quarantine(name, why);
   rejected_digests_[name] = acme::sha256(content ? content->view() : std::string_view{});
   copy_incomplete_ = true;
   consistent_ = false;
@@ -268,7 +268,7 @@
 
 // ---- Turns
 
-bool DutyTurn::take(acme::Instant) {
+bool DutyTurn::acquire(acme::Instant) {
   const auto token = duty_handle_.holds();
   if (!token) return false;
   duty_handle_.busy(true);
@@ -277,13 +277,13 @@
   return false;
 }
 
-bool DutyTurn::keep(acme::Instant) {
+bool DutyTurn::renew(acme::Instant) {
   duty_handle_.report_progress();
   const auto token = duty_handle_.holds();
   return token && *token == store_.token();
 }
 
-std::optional<acme::Turn::Holder> DutyTurn::holder(acme::Instant now) const {
+std::optional<acme::Lease::Holder> DutyTurn::holder(acme::Instant now) const {
   return Holder{"whoever holds the fleet's duty \"" + duty_handle_.name() + "\"", now};
 }
 
--- a/src/fleet/certificate_store.hpp
+++ b/src/fleet/certificate_store.hpp
@@ -44,12 +44,12 @@
   }
   void write_pem(const std::string& name, const acme::Secret& pem) override;
   void remove(const std::string& name) override;
-  void put_aside(const std::string& name, const std::string& why) override;
+  void quarantine(const std::string& name, const std::string& why) override;
   std::vector<std::string> list(const std::string& prefix, const std::string& suffix) const override {
     return copy_.list(prefix, suffix);
   }
   std::string stamp(const std::string& name) const override { return copy_.stamp(name); }
-  void look() override;
+  void apply_updates() override;
 
  private:
   struct WatchUpdate {
@@ -68,7 +68,7 @@
   };
 
   void watch();
-  // Applies a change to the register. Throws StateError, TurnLost.
+  // Applies a change to the register. Throws StateError, LeaseLost.
   void change(reg::Command command);
   void put(const std::string& name, std::string_view text);
   std::vector<std::string> copied_names() const;  // names
@@ -99,14 +99,14 @@
 };
 
 // The turn to change the certificates, which is the duty's holder's.
-class DutyTurn : public acme::Turn {
+class DutyTurn : public acme::Lease {
  public:
   DutyTurn(DutyHandle& duty_handle, CertificateStore& store) : duty_handle_(duty_handle), store_(store) {}
   ~DutyTurn() override { duty_handle_.busy(false); }
 
-  bool take(acme::Instant now) override;
-  bool keep(acme::Instant now) override;
-  void give_back() override { duty_handle_.busy(false); }
+  bool acquire(acme::Instant now) override;
+  bool renew(acme::Instant now) override;
+  void release() override { duty_handle_.busy(false); }
   std::optional<Holder> holder(acme::Instant now) const override;
 
  private:
