--- a/src/acme/store.hpp
+++ b/src/acme/store.hpp
@@ -26,7 +26,7 @@
  public:
   virtual ~Store() = default;
 
-  // A record's text; nothing if it does not exist or is damaged, in which case it is put aside.
+  // A record's text; nothing if it does not exist or is damaged, in which case it is quarantined.
   virtual std::optional<std::string> read(const std::string& name) const = 0;
   virtual void write(const std::string& name, std::string_view text) = 0;
   // Private keys and certificate chains in PEM.
