--- a/src/acme/accounts.cpp
+++ b/src/acme/accounts.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 // A larger difference to the authority's clock means that the local clock is wrong.
-constexpr Seconds kWrongClock = std::chrono::hours(1);
+constexpr Seconds kMaxClockDifference = std::chrono::hours(1);
 
 }  // namespace
 
-std::string span_text(Seconds seconds) {
+std::string duration_text(Seconds seconds) {
   const auto count = seconds.count();
   if (count >= 2 * 86400) return std::to_string(count / 86400) + " d";
   if (count >= 2 * 3600) return std::to_string(count / 3600) + " h";
@@ -62,9 +62,9 @@
   session->client = std::make_unique<Client>(settings.access, environment_.now, environment_.stopped);
   Client& client = *session->client;
   client.has_renewal_info();  // fetches the directory, whose response has the authority's time
-  if (const Seconds ahead = client.clock_ahead(); std::chrono::abs(ahead) > kWrongClock) {
+  if (const Seconds difference = client.clock_ahead(); std::chrono::abs(difference) > kMaxClockDifference) {
     throw AcmeError(Failure::local, "the local clock and the authority's differ by " +
-                                        span_text(std::chrono::abs(ahead)) +
+                                        duration_text(std::chrono::abs(difference)) +
                                         ": no certificate is ordered with a wrong clock");
   }
   if (!account.key) {
@@ -114,7 +114,7 @@
   store_.remove(next_key_file);
 }
 
-void Accounts::forget(std::size_t authority) {
+void Accounts::clear_url(std::size_t authority) {
   Account account = load(authority);
   account.url.clear();
   save(authority, account);
--- a/src/acme/accounts.hpp
+++ b/src/acme/accounts.hpp
@@ -12,7 +12,7 @@
 namespace quartzarch::acme {
 
 // A duration for log lines, in its largest unit of which it has at least two: "3 h".
-std::string span_text(Seconds seconds);
+std::string duration_text(Seconds seconds);
 
 struct Account {
   Key key{};          // null: none yet
@@ -42,7 +42,7 @@
   std::unique_ptr<Session> open(std::size_t authority);
   // Clears the account's URL after the authority answered that the account does not exist; the next open()
   // registers it again with the same key.
-  void forget(std::size_t authority);
+  void clear_url(std::size_t authority);
   // Replaces the account's key. The new key is stored before it is sent, so that a crash cannot lose it.
   void roll_over(std::size_t authority);
   // Deactivates the account and removes it from the store; a copy of its key is retained.
--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -216,7 +216,8 @@
               because.c_str());
   } else {
     log_.line("%scertificate %s: %s, ends %s, in %s%s", serious ? "ALARM " : "", id, name_of(alarm),
-              date(managed.held->ends).c_str(), span_text(managed.held->ends - now).c_str(), because.c_str());
+              date(managed.held->ends).c_str(), duration_text(managed.held->ends - now).c_str(),
+              because.c_str());
   }
 }
 
@@ -281,7 +282,7 @@
     return {};
   } catch (const AcmeError& error) {
     why = error.why, retry = error.retry_after, what = error.what();
-    if (error.type == "accountDoesNotExist") accounts_.forget(authority);
+    if (error.type == "accountDoesNotExist") accounts_.clear_url(authority);
   } catch (const HttpError& error) {
     why = Failure::unreachable, what = error.what();
   } catch (const CryptoError& error) {
@@ -296,7 +297,7 @@
   const Instant next = managed.renewal->state().next.value_or(now);
   log_.line("certificate %s: not renewed by %s (%s): %s; next attempt in %s", managed.settings.id.c_str(),
             settings_.authorities[authority].name.c_str(), name_of(why), what.c_str(),
-            span_text(next - now).c_str());
+            duration_text(next - now).c_str());
   save_schedule(managed);
   return what;
 }
--- a/src/acme/environment.cpp
+++ b/src/acme/environment.cpp
@@ -12,11 +12,11 @@
   Environment environment;
   environment.now = [] { return std::chrono::floor<Seconds>(std::chrono::system_clock::now()); };
   environment.stopped = [stop] { return stop.stop_requested(); };
-  environment.pause = [stop](milliseconds how_long) {
+  environment.pause = [stop](milliseconds duration) {
     std::mutex mutex;
-    std::condition_variable_any woken;
+    std::condition_variable_any condition;
     std::unique_lock lock(mutex);
-    woken.wait_for(lock, stop, how_long, [] { return false; });
+    condition.wait_for(lock, stop, duration, [] { return false; });
     return !stop.stop_requested();
   };
   return environment;
@@ -28,12 +28,12 @@
   if (!lease_.renew(environment_.now())) throw LeaseLost{};
 }
 
-void Steps::wait(milliseconds how_long) {
-  while (how_long.count() > 0) {
-    const milliseconds piece = std::min(how_long, piece_);
-    if (!environment_.pause(piece)) throw Stopped{};
+void Steps::wait(milliseconds duration) {
+  while (duration.count() > 0) {
+    const milliseconds interval = std::min(duration, max_interval_);
+    if (!environment_.pause(interval)) throw Stopped{};
     if (!lease_.renew(environment_.now())) throw LeaseLost{};
-    how_long -= piece;
+    duration -= interval;
   }
 }
 
--- a/src/acme/environment.hpp
+++ b/src/acme/environment.hpp
@@ -33,20 +33,20 @@
 // LeaseLost if another instance holds the lease.
 class Steps {
  public:
-  // `piece`: the longest time to wait without renewing the lease.
-  Steps(const Environment& environment, Lease& lease, std::chrono::milliseconds piece)
-      : environment_(environment), lease_(lease), piece_(piece) {}
+  // `max_interval`: the longest time to wait without renewing the lease.
+  Steps(const Environment& environment, Lease& lease, std::chrono::milliseconds max_interval)
+      : environment_(environment), lease_(lease), max_interval_(max_interval) {}
 
   Instant now() const { return environment_.now(); }
   // `what` names the step for Environment::step.
   void step(const char* what);
   // Waits for the whole time, renewing the lease meanwhile.
-  void wait(std::chrono::milliseconds how_long);
+  void wait(std::chrono::milliseconds duration);
 
  private:
   const Environment& environment_;
   Lease& lease_;
-  std::chrono::milliseconds piece_;
+  std::chrono::milliseconds max_interval_;
 };
 
 }  // namespace quartzarch::acme
