--- a/src/certificates.cpp
+++ b/src/certificates.cpp
@@ -13,25 +13,27 @@
   }
 }
 
-Certificates::Certificates(Logger& log, const std::string& path, bool tls_port, KeepIn keep_in)
-    : log_(log), path_(path), keep_in_(std::move(keep_in)) {
+Certificates::Certificates(Logger& log, const std::string& path, bool tls_port, OpenState open_state)
+    : log_(log), path_(path), open_state_(std::move(open_state)) {
   acme::Settings settings = read(path);
-  const auto& ways = settings.challenges;
-  if (!tls_port && std::find(ways.begin(), ways.end(), "http-01") == ways.end()) {
+  const auto& challenge_types = settings.challenges;
+  if (!tls_port &&
+      std::find(challenge_types.begin(), challenge_types.end(), "http-01") == challenge_types.end()) {
     throw ConfigError(
         "\"challenges\" has tls-alpn-01 only, which needs a TLS port (\"tls\" in the file of --sip)");
   }
   // The first renewer is created on the caller's thread, so that stored certificates are served from the
   // first connection on.
-  keeper_ = keeper(std::move(settings), round_.get_token());
+  renewer_ = make_renewer(std::move(settings), run_stop_.get_token());
 }
 
-std::unique_ptr<acme::CertificateRenewer> Certificates::keeper(acme::Settings settings,
-                                                               std::stop_token round) const {
-  acme::SharedState kept = keep_in_ ? keep_in_(settings, [round] { return round.stop_requested(); })
-                                    : acme::open_state_on_disk(settings, log_);
+std::unique_ptr<acme::CertificateRenewer> Certificates::make_renewer(acme::Settings settings,
+                                                                     std::stop_token run_token) const {
+  acme::SharedState shared = open_state_
+                                 ? open_state_(settings, [run_token] { return run_token.stop_requested(); })
+                                 : acme::open_state_on_disk(settings, log_);
   return std::make_unique<acme::CertificateRenewer>(
-      std::move(settings), log_, registry_, acme::Environment::real(std::move(round)), std::move(kept));
+      std::move(settings), log_, registry_, acme::Environment::real(std::move(run_token)), std::move(shared));
 }
 
 void Certificates::start() {
@@ -39,43 +41,43 @@
 }
 
 std::function<void()> Certificates::reload() {
-  return [this, fresh = read(path_)] { take(fresh); };
+  return [this, new_settings = read(path_)] { replace_settings(new_settings); };
 }
 
-void Certificates::take(acme::Settings settings) {
+void Certificates::replace_settings(acme::Settings settings) {
   const std::lock_guard lock(mutex_);
-  fresh_ = std::move(settings);
-  round_.request_stop();
+  pending_settings_ = std::move(settings);
+  run_stop_.request_stop();
 }
 
 void Certificates::run(const std::stop_token& stop) {
-  const std::stop_callback told(stop, [this] {
+  const std::stop_callback on_stop(stop, [this] {
     const std::lock_guard lock(mutex_);
-    round_.request_stop();
+    run_stop_.request_stop();
   });
   for (;;) {
-    std::stop_token round;
+    std::stop_token run_token;
     {
       const std::lock_guard lock(mutex_);
-      round = round_.get_token();
+      run_token = run_stop_.get_token();
     }
-    keeper_->run(round);
-    std::optional<acme::Settings> fresh;
+    renewer_->run(run_token);
+    std::optional<acme::Settings> new_settings;
     {
       const std::lock_guard lock(mutex_);
       if (stop.stop_requested()) return;
-      fresh = std::exchange(fresh_, std::nullopt);
-      round_ = std::stop_source();
-      round = round_.get_token();
+      new_settings = std::exchange(pending_settings_, std::nullopt);
+      run_stop_ = std::stop_source();
+      run_token = run_stop_.get_token();
     }
-    if (!fresh) continue;
+    if (!new_settings) continue;
     try {
-      keeper_ = keeper(std::move(*fresh), round);
+      renewer_ = make_renewer(std::move(*new_settings), run_token);
     } catch (const std::exception& error) {
       log_.line("certificates: %s; the old settings go on", error.what());
       // The renewer in use was created with the stop token of the finished run, so it needs a replacement
       // too.
-      keeper_ = keeper(keeper_->settings(), round);
+      renewer_ = make_renewer(renewer_->settings(), run_token);
     }
   }
 }
--- a/src/certificates.hpp
+++ b/src/certificates.hpp
@@ -17,13 +17,13 @@
 class Certificates : public CertificateManager {
  public:
   // Opens the shared state of a renewer; called for each new renewer. `stopped` ends the waits inside it.
-  using KeepIn =
+  using OpenState =
       std::function<acme::SharedState(const acme::Settings& settings, std::function<bool()> stopped)>;
 
   // Throws ConfigError if the settings file is invalid, std::runtime_error if the stored state cannot be
   // trusted. `tls_port`: whether the process has a TLS port, on which it can answer tls-alpn-01 challenges.
-  // `keep_in`: empty for the state directory of the settings.
-  Certificates(Logger& log, const std::string& path, bool tls_port, KeepIn keep_in = {});
+  // `open_state`: empty for the state directory of the settings.
+  Certificates(Logger& log, const std::string& path, bool tls_port, OpenState open_state = {});
   ~Certificates() override { stop(); }
 
   // Reads a settings file. Throws ConfigError.
@@ -37,18 +37,19 @@
   void stop() override { thread_.request_stop(); }
 
  private:
-  std::unique_ptr<acme::CertificateRenewer> keeper(acme::Settings settings, std::stop_token round) const;
-  void take(acme::Settings settings);
+  std::unique_ptr<acme::CertificateRenewer> make_renewer(acme::Settings settings,
+                                                         std::stop_token run_token) const;
+  void replace_settings(acme::Settings settings);
   void run(const std::stop_token& stop);
 
   Logger& log_;
   std::string path_;
-  KeepIn keep_in_;
+  OpenState open_state_;
   std::shared_ptr<tls::Registry> registry_ = std::make_shared<tls::Registry>();
   std::mutex mutex_;
-  std::optional<acme::Settings> fresh_{};
-  std::stop_source round_{};  // ends the renewer's run when new settings arrive or the thread must stop
-  std::unique_ptr<acme::CertificateRenewer> keeper_{};
+  std::optional<acme::Settings> pending_settings_{};
+  std::stop_source run_stop_{};  // ends the renewer's run when new settings arrive or the thread must stop
+  std::unique_ptr<acme::CertificateRenewer> renewer_{};
   std::jthread thread_{};  // last member: joined before the members that it uses are destroyed
 };
 
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -99,14 +99,14 @@
     return made;
   };
   serve_options.make_certificates = [&](Logger& to, const std::string& path, bool tls_port) {
-    Certificates::KeepIn keep_in;
+    Certificates::OpenState open_state;
     if (member) {
-      keep_in = [&](const acme::Settings& settings, std::function<bool()> stopped) {
+      open_state = [&](const acme::Settings& settings, std::function<bool()> stopped) {
         return fleet::open_fleet_store(settings, to, *member, *seal, fleet_settings.start_wait,
                                        std::move(stopped));
       };
     }
-    return std::make_unique<Certificates>(to, path, tls_port, std::move(keep_in));
+    return std::make_unique<Certificates>(to, path, tls_port, std::move(open_state));
   };
   serve_options.make_operation = [&](Loop& loop, Logger& to, Planner& planner, const std::string& path,
                                      std::uint64_t seed) {
