--- a/src/certificates.hpp
+++ b/src/certificates.hpp
@@ -39,7 +39,9 @@
  private:
   std::unique_ptr<acme::CertificateRenewer> make_renewer(acme::Settings settings,
                                                          std::stop_token run_token) const;
+  // Ends the run of the renewer in use; run() then replaces it by one with these settings.
   void replace_settings(acme::Settings settings);
+  // Runs renewers one after the other until `stop` is requested.
   void run(const std::stop_token& stop);
 
   Logger& log_;
@@ -47,7 +49,7 @@
   OpenState open_state_;
   std::shared_ptr<tls::Registry> registry_ = std::make_shared<tls::Registry>();
   std::mutex mutex_;
-  std::optional<acme::Settings> pending_settings_{};
+  std::optional<acme::Settings> pending_settings_{};  // reloaded settings that are not in use yet
   std::stop_source run_stop_{};  // ends the renewer's run when new settings arrive or the thread must stop
   std::unique_ptr<acme::CertificateRenewer> renewer_{};
   std::jthread thread_{};  // last member: joined before the members that it uses are destroyed
