--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -1,4 +1,5 @@
-// Certificates: the decisions, the client and the keeper against the stand-in authority, and what goes wrong.
+// Tests of certificate management: the renewal decisions, the ACME client and the certificate renewer against
+// the stand-in authority, their faults, and the program as a process.
 #include <rapidcheck.h>
 #include <sys/resource.h>
 #include <sys/stat.h>
@@ -23,9 +24,10 @@
 
 constexpr Instant kStart{Seconds(1800000000)};
 
+// Budgets of two accounts that never run out in a test.
 std::vector<Budget> roomy() { return {Budget(1000, kHour), Budget(1000, kHour)}; }
 
-// ---- The decisions
+// ---- Renewal decisions
 
 TEST(Renewal, IsDueAtARandomPointBeforeAThirdIsLeftAndTheAlarmsFollowTheLifetime) {
   for (const Seconds lifetime : {6 * kDay, 90 * kDay}) {
@@ -36,12 +38,12 @@
       const Instant due = renewal.due_at(held);
       EXPECT_LE(due, held.ends - lifetime / 3);
       EXPECT_GE(due, held.ends - lifetime / 3 - lifetime / 10);
-      EXPECT_EQ(due, renewal.due_at(held)) << "it moves from one look to the next";
+      EXPECT_EQ(due, renewal.due_at(held)) << "it changes between calls";
       EXPECT_EQ(renewal.decide(due - Seconds(1), held, {}, roomy()).at, due);
       EXPECT_EQ(renewal.decide(due, held, {}, roomy()).action, Decision::Action::renew);
       points.insert(due);
     }
-    EXPECT_GT(points.size(), 90u) << "installations renew in step";
+    EXPECT_GT(points.size(), 90u) << "installations renew at the same time";
     const RenewalSchedule renewal({}, 1, 1);
     const auto at = [&](double left) {
       return renewal.alarm(
@@ -68,7 +70,7 @@
   EXPECT_EQ(renewal.decide(kStart, held, {}, roomy()).action, Decision::Action::renew);
   renewal.set_window(kStart, acme::Window{held.ends - kDay, held.ends}, {});
   EXPECT_LE(renewal.due_at(held), held.ends - held.lifetime() / 4)
-      << "a window at the very end was waited for";
+      << "it waits for a window just before the expiry";
 }
 
 TEST(Renewal, WaitsGrowToHoursHonourRetryAfterAndKeepToTheLimits) {
@@ -90,9 +92,9 @@
   EXPECT_EQ(renewal.decide(now + 8 * kHour, held, {}, roomy()).at, now + 9 * kHour);
   renewal.failed(now, 0, Failure::rate_limited, 1000 * kDay, held);
   EXPECT_EQ(renewal.decide(now + kDay, held, {}, roomy()).action, Decision::Action::renew)
-      << "put off without bound";
+      << "a Retry-After without limit was followed";
 
-  // Rejections: no more within the hour, however short the waits.
+  // The limit of rejections per hour holds even with a backoff of one second.
   policy.longest_wait = policy.first_wait = Seconds(1);
   RenewalSchedule hasty(policy, 3, 1);
   int attempts = 0;
@@ -102,7 +104,7 @@
     hasty.failed(at, 0, Failure::rejected, {}, {});
   }
   EXPECT_EQ(attempts, 4);
-  // An account that has placed its orders holds all of its certificates back, but not an open order.
+  // An account whose order budget is used up delays new orders, but an open order is resumed.
   std::vector<Budget> spent{Budget(1, kHour)};
   spent[0].spend(kStart);
   const RenewalSchedule fresh({}, 1, 1);
@@ -126,12 +128,12 @@
   }
   EXPECT_EQ(asked[1], 0);
   EXPECT_GT(late[1], late[0]);
-  EXPECT_GT(late[0], 0) << "the first is forgotten";
+  EXPECT_GT(late[0], 0) << "the first authority is not tried any more";
   renewal.succeeded(now, 1);
   EXPECT_EQ(renewal.decide(now, {}, {}, roomy()).authority, 0u);
 }
 
-// Whatever the clock does, and whatever was kept: no wait is endless, no limit is passed.
+// Forward and backward clock jumps of any size between decisions: waits are bounded and rate limits hold.
 TEST(Renewal, ClockJumpsDoNoHarm) {
   EXPECT_TRUE(rc::check("clock jumps", [] {
     acme::Policy policy;
@@ -175,14 +177,14 @@
   EXPECT_GT(acme::parse_retry_after("99999999999999999999", now), kDay);
   EXPECT_FALSE(acme::parse_retry_after("soon", now));
   EXPECT_EQ(acme::parse_timestamp("2026-12-01T12:00:00.25+02:00"), now);
-  EXPECT_TRUE(rc::check("hostile texts", [](const std::string& text) {
+  EXPECT_TRUE(rc::check("malformed texts", [](const std::string& text) {
     acme::parse_problem(400, text).to_line();
     acme::parse_retry_after(text, kStart);
     acme::parse_timestamp(text);
   }));
 }
 
-// ---- From nothing to a renewed certificate
+// ---- First certificate and renewal
 
 TEST_F(Installation, ACertificateComesIsKeptAndIsRenewedWithANewKeyInTime) {
   Authority& there = authority();
@@ -200,15 +202,15 @@
   EXPECT_EQ(there.counts().orders, 1) << "ordered before it was due";
   Alarm worst = Alarm::good;
   run(*keeper, begun + 360 * kDay, [&] { worst = std::max(worst, keeper->statuses()[0].alarm); });
-  // At the earliest after 54 days, at the latest after 60.
+  // A renewal is due between 54 and 60 days into the lifetime of 90 days.
   EXPECT_GE(there.counts().certificates, 6) << said();
   EXPECT_LE(there.counts().certificates, 7) << said();
   EXPECT_LE(worst, Alarm::due);
   EXPECT_EQ(there.counts().accounts, 1);
   const std::string last = kept("sip.current.pem");
   EXPECT_FALSE(acme::matches_key(acme::first_certificate(last), acme::key_from_pem(first)))
-      << "the key was kept";
-  EXPECT_EQ(files_with(".key-"), 0u) << "the key of a finished order lies about";
+      << "the key was reused";
+  EXPECT_EQ(files_with(".key-"), 0u) << "the key file of a finished order was not removed";
   EXPECT_EQ(said().find("PRIVATE"), std::string::npos);
 }
 
@@ -220,7 +222,7 @@
   const auto keeper = this->keeper();
   run(*keeper, now() + kHour);
   EXPECT_EQ(there.counts().certificates, 2) << said();
-  EXPECT_EQ(there.counts().challenges, 2) << "a valid authorization was done again";
+  EXPECT_EQ(there.counts().challenges, 2) << "a valid authorization was not reused";
   const std::string pem = kept("rsa.current.pem");
   EXPECT_EQ(acme::issuer_of(acme::certificates_of(pem).back()), "Stand-in Root X2");
   EXPECT_TRUE(acme::covers_names(acme::first_certificate(pem), settings.certificates[0].names));
@@ -249,14 +251,14 @@
   EXPECT_EQ(keeper->roll_over(0), "");
   EXPECT_NE(kept(account), before);
   EXPECT_EQ(keeper->renew_now("sip"), "");
-  // Its record is lost: the account is found again by its key.
+  // Without its record the account is found again by its key.
   for (const std::string& each : files()) {
     if (each.starts_with("account-") && each.ends_with(".json"))
       std::filesystem::remove(settings.directory + "/" + each);
   }
   EXPECT_EQ(keeper->renew_now("sip"), "");
   EXPECT_EQ(there.counts().accounts, 1);
-  // A rollover that died after the authority had taken it: the fresh key is found to be the one.
+  // A rollover interrupted after the authority accepted it: the new key is found to be the valid one.
   on_step = [](const char* what) {
     if (std::string(what) == "rolled over") throw std::runtime_error("killed");
   };
@@ -285,9 +287,9 @@
   EXPECT_EQ(there.counts().certificates, 2);
 }
 
-// ---- Refusals
+// ---- Errors of the authority
 
-// Each fault, then none: a certificate comes in the end, and while it does not the old one is served.
+// After each fault of the authority has ended, a certificate is issued; until then the old one is served.
 class EachFault : public Installation, public ::testing::WithParamInterface<const char*> {};
 
 INSTANTIATE_TEST_SUITE_P(
@@ -336,7 +338,7 @@
 
 TEST_F(Installation, ADayOfRefusalsAndThenSuccess) {
   standin::Options options;
-  options.lifetime = 5 * kDay;  // a third of it less a day: a quarter is passed, an eighth is not
+  options.lifetime = 5 * kDay;  // a day after it is due less than a quarter and more than an eighth is left
   Authority& there = authority(options);
   const auto keeper = this->keeper();
   run(*keeper, now() + kHour);
@@ -373,7 +375,7 @@
   EXPECT_GE(seen[3].second, 11 * kDay);
   EXPECT_LE(seen[4].second, Seconds(0));
   EXPECT_NE(said().find("ALARM certificate sip: expired"), std::string::npos);
-  // What is left is still served: a client may choose to take it.
+  // An expired certificate is still served; a client may accept it.
   EXPECT_FALSE(handshake(registry->server(), "").certificate.empty());
 }
 
@@ -391,7 +393,7 @@
   run(*keeper, now() + kDay);
   EXPECT_EQ(second.counts().certificates, 1) << said();
   EXPECT_EQ(first.counts().certificates, 0);
-  EXPECT_EQ(said().find("rate limited"), std::string::npos) << "an authority's limit was run into\n"
+  EXPECT_EQ(said().find("rate limited"), std::string::npos) << "a rate limit of the authority was exceeded\n"
                                                             << said();
 }
 
@@ -417,10 +419,10 @@
   EXPECT_EQ(kept("sip.current.pem"), first);
   offset = 0;
   run(wrong, begun + 80 * kDay);
-  EXPECT_EQ(there.counts().orders, 2) << "the wrong clock left something behind\n" << said();
+  EXPECT_EQ(there.counts().orders, 2) << "the wrong clock left state behind that delays renewal\n" << said();
 }
 
-// ---- What is on disk
+// ---- Files on disk
 
 TEST_F(Installation, TornAndForeignFilesAreNamedAndPutAside) {
   Authority& there = authority();
@@ -446,7 +448,7 @@
   ::chmod(current.c_str(), 0644);
   try {
     keeper();
-    FAIL() << "a key that others may read was taken";
+    FAIL() << "a key that others may read was accepted";
   } catch (const acme::StateError& error) {
     EXPECT_NE(std::string(error.what()).find("mode 0644"), std::string::npos);
   }
@@ -464,7 +466,7 @@
   EXPECT_THROW(keeper(), acme::StateError);
 }
 
-// Nothing can be written: no order is placed whose answer could not be kept, and the attempt that can
+// On a full disk no order is placed, because its URL could not be stored; the first attempt with free space
 // succeeds.
 TEST_F(Installation, AFullDiskStopsBeforeTheOrderAndLeavesTheOldFiles) {
   Authority& there = authority();
@@ -486,18 +488,18 @@
   ::setrlimit(RLIMIT_FSIZE, &old);
   EXPECT_EQ(there.counts().orders, 1);
   EXPECT_EQ(kept("sip.current.pem"), before);
-  EXPECT_EQ(files_with(".new."), 0u) << "half a file was left";
+  EXPECT_EQ(files_with(".new."), 0u) << "a temporary file was left";
   run(starved, now() + kDay);
   EXPECT_EQ(there.counts().orders, 2);
   EXPECT_NE(kept("sip.current.pem"), before);
   std::fclose(nowhere);
 }
 
-// A process of its own is killed with SIGKILL at step N of a renewal; the next one takes up the same order
-// and key.
+// A child process is killed with SIGKILL at each step of a renewal in turn; the next process resumes the same
+// order with the same key.
 TEST_F(Installation, KilledAtAnyStepNoOrderIsLostOrDoubled) {
   standin::Options options;
-  options.looks = 1000;  // it looks again while nobody answers (RFC 8555, 8.2)
+  options.looks = 1000;  // it retries while the challenge is not answered (RFC 8555, 8.2)
   Authority& there = authority(options);
   const auto spawn = [&](int die_at) {
     const pid_t pid = ::fork();
@@ -524,11 +526,11 @@
       break;
     }
     ASSERT_EQ(WTERMSIG(status), SIGKILL);
-    std::string key;  // of the open order, if it came so far
+    std::string key;  // of the open order, if there is one already
     for (const std::string& each : files()) {
       if (each.find(".key-") != std::string::npos) key = kept(each);
     }
-    time += 60;  // the lease of the dead runs out
+    time += 60;  // the lease of the killed process expires
     const int second = spawn(0);
     ASSERT_TRUE(WIFEXITED(second) && WEXITSTATUS(second) == 0) << "step " << step;
     EXPECT_EQ(there.counts().orders - before.orders, 1) << "step " << step;
@@ -563,8 +565,8 @@
   EXPECT_EQ(handshake(other_registry->server(), "sip.lab.example").certificate, served);
 }
 
-// The holder of the lease stops in the middle, another takes over; what the first does when it wakes up is
-// fenced.
+// The lease expires in the middle of a pass and another instance acquires it; when the first instance goes
+// on, it must not change anything.
 TEST_F(Installation, AHolderThatWakesUpLateChangesNothing) {
   Authority& there = authority();
   const auto other_registry = std::make_shared<tls::Registry>();
@@ -614,7 +616,7 @@
     EXPECT_TRUE(handshake(registry.server(), "a.example", "", one.session, version).resumed);
     registry.put("a", identity("a.example", kDay, &fresh));
     const auto after = handshake(registry.server(), "a.example", "", one.session, version);
-    EXPECT_FALSE(after.resumed) << "a ticket kept the old certificate alive";
+    EXPECT_FALSE(after.resumed) << "a session ticket outlived the old certificate";
     EXPECT_EQ(after.certificate, fresh);
     EXPECT_TRUE(handshake(registry.server(), "x.b.example", "", two.session, version).resumed);
     registry.put("a", identity("a.example", Seconds(-60), &spent));
@@ -632,10 +634,10 @@
   }
 }
 
-// Calls by SIP over TLS, on connections that stay and on new ones, while certificates are renewed by
-// tls-alpn-01 on the same port again and again: none fails, and the new certificates are seen.
+// SIP over TLS calls on a persistent connection and on new connections, while certificates are renewed
+// repeatedly by tls-alpn-01 on the same port: no call fails, and new connections get the new certificates.
 TEST_F(Installation, RenewalOnTheTlsPortUnderSteadyCallsFailsNone) {
-  // The program's loop, the keeper and the gateways are on threads of their own.
+  // The node's loop and each gateway run on threads of their own; renewals run on this thread.
   standin::SetupServer::Options server_options;
   server_options.listen = any_port();
   standin::SetupServer server(server_options);
@@ -723,14 +725,14 @@
   };
   for (const auto& [text, about] : bad)
     EXPECT_NE(complaint(text).find(about), std::string::npos) << complaint(text);
-  EXPECT_TRUE(rc::check("hostile settings", [&](const std::string& text) { complaint(good + text); }));
+  EXPECT_TRUE(rc::check("malformed settings", [&](const std::string& text) { complaint(good + text); }));
 }
 
 // ---- The program as a process
 
 class CertsProcess : public Process {
  protected:
-  // What `certs ...` prints; its exit code goes to `code`.
+  // Runs `certs ...` and returns its output; its exit code goes to `code`.
   std::string certs(std::vector<std::string> arguments, int* code) {
     arguments.insert(arguments.begin(), "certs");
     *code = exit_code_of(spawn(arguments, "certs-output"));
@@ -738,8 +740,9 @@
   }
 };
 
-// Off, it costs nothing: no thread, no library. On, it obtains by tls-alpn-01 on its own port, takes a good
-// file up by SIGHUP and keeps the old one after a bad one.
+// Without certificate management the program has one thread and does not load libcurl. With it, the program
+// obtains a certificate by tls-alpn-01 on its own port, applies a valid settings file on SIGHUP and keeps the
+// old settings after an invalid one.
 TEST_F(CertsProcess, KeepsItsCertificateInServiceAndTheCommandsTell) {
   const sockaddr_in tls_port = free_address();
   Authority::Setup setup;
@@ -778,7 +781,7 @@
   EXPECT_EQ(code, 0);
   EXPECT_NE(status.find("\"alarm\":\"good\""), std::string::npos) << status;
   EXPECT_NE(status.find(first), std::string::npos) << status;
-  // Renewed by hand: the running process answers the challenge and serves the new one.
+  // Renewal on the command line: the running process answers the challenge and serves the new certificate.
   certs({"renew", "sip", "--file", file}, &code);
   EXPECT_EQ(code, 0) << read_file(directory + "/certs-output") << log();
   wait_until([&] { return gateway.connect() && gateway.certificate() != first; }, "the new certificate");
@@ -814,7 +817,7 @@
   EXPECT_NE(log().find("certs.toml: line 1: "), std::string::npos) << log();
 }
 
-// Renews in a process of its own that is killed at step `die_at`; 0: at none.
+// The child process of the kill test: renews and kills itself at step `die_at`; 0: never.
 int renew_and_die(char** arguments) {
   acme::Settings settings;
   settings.directory = arguments[0];
@@ -847,7 +850,7 @@
 int main(int argc, char** argv) {
   if (argc == 8 && std::string_view(argv[1]) == "--renew-and-die")
     return quartzarch::test::renew_and_die(argv + 2);
-  ::setenv("RC_PARAMS", "seed=20261201", 1);  // the same cases each time
+  ::setenv("RC_PARAMS", "seed=20261201", 1);  // reproducible cases
   ::testing::InitGoogleTest(&argc, argv);
   return RUN_ALL_TESTS();
 }
--- a/tests/installation.hpp
+++ b/tests/installation.hpp
@@ -1,5 +1,5 @@
-// The shared helper of the certificate tests: a state directory, the stand-in authority and a clock that the
-// test sets. Nothing waits for real time but for the authority's own looks on loopback.
+// The fixture of the certificate tests: a state directory, stand-in authorities and a clock set by the test.
+// Real time passes only while an authority validates challenges over loopback.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -25,6 +25,7 @@
 
 constexpr Seconds kHour = std::chrono::hours(1), kDay = std::chrono::hours(24);
 
+// A temporary directory, removed with its contents on destruction.
 class Folder {
  public:
   Folder() {
@@ -47,6 +48,7 @@
     settings.authorities.resize(1);
     settings.certificates = {{"sip", {"sip.lab.example"}, "ecdsa-p256"}};
   }
+  // Starts a stand-in authority and enters it in the settings.
   Authority& authority(standin::Options options = {}) {
     Authority::Setup setup;
     setup.options = std::move(options);
@@ -64,6 +66,7 @@
     std::ofstream(access.access.ca_file) << made.root();
     return made;
   }
+  // An environment with the test's clock, where waiting advances the clock.
   acme::Environment environment() {
     acme::Environment made;
     made.now = [this] { return now(); };
@@ -71,7 +74,7 @@
     made.seed = 42;
     made.pause = [this](milliseconds how_long) {
       time += std::chrono::ceil<Seconds>(how_long).count();
-      std::this_thread::sleep_for(milliseconds(2));  // the authority's look goes on meanwhile
+      std::this_thread::sleep_for(milliseconds(2));  // lets the authority validate meanwhile
       return true;
     };
     made.step = [this](const char* what) {
@@ -82,7 +85,7 @@
   std::unique_ptr<acme::CertificateRenewer> keeper() {
     return std::make_unique<acme::CertificateRenewer>(settings, log, registry, environment());
   }
-  // Passes of the keeper, each when it asked to be called, until `end`.
+  // Runs passes, each at the time that the previous one returned, until `end`; calls `each` after each pass.
   void run(acme::CertificateRenewer& keeper, Instant end, const std::function<void()>& each = {}) {
     while (now() < end) {
       const Instant next = keeper.run_pass();
@@ -92,10 +95,12 @@
   }
   Instant now() const { return Instant(Seconds(time.load())); }
   void set(Instant to) { time = to.time_since_epoch().count(); }
+  // The log so far.
   std::string said() const {
     std::fflush(log_file);
     return read_file(folder.file("log"));
   }
+  // The contents of a file in the state directory.
   std::string kept(const std::string& name) const { return read_file(settings.directory + "/" + name); }
   std::vector<std::string> files() const {
     std::vector<std::string> names;
@@ -104,6 +109,7 @@
     }
     return names;
   }
+  // The number of files whose name contains `part`.
   std::size_t files_with(const std::string& part) const {
     const auto all = files();
     return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const std::string& each) {
