--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -29,7 +29,7 @@
 
 // ---- Renewal decisions
 
-TEST(Renewal, IsDueAtARandomPointBeforeAThirdIsLeftAndTheAlarmsFollowTheLifetime) {
+TEST(Renewal, IsDueAtARandomPointBeforeAThirdIsLeftAndAlarmsScaleWithTheLifetime) {
   for (const Seconds lifetime : {6 * kDay, 90 * kDay}) {
     const Validity held{kStart, kStart + lifetime};
     std::set<Instant> points;
@@ -58,7 +58,7 @@
   }
 }
 
-TEST(Renewal, AWindowOfTheAuthorityGoesBeforeAndARetiredCertificateIsRenewedAtOnce) {
+TEST(Renewal, TheAuthoritysWindowTakesPrecedenceAndAPastWindowMeansRenewAtOnce) {
   const Validity held{kStart, kStart + 90 * kDay};
   RenewalSchedule renewal({}, 7, 1);
   renewal.set_window(kStart, acme::Window{kStart + 10 * kDay, kStart + 12 * kDay}, kHour);
@@ -73,7 +73,7 @@
       << "it waits for a window just before the expiry";
 }
 
-TEST(Renewal, WaitsGrowToHoursHonourRetryAfterAndKeepToTheLimits) {
+TEST(Renewal, BackoffGrowsToHoursAndHonoursRetryAfterAndRateLimits) {
   acme::Policy policy;
   const Validity held{kStart, kStart + 90 * kDay};
   Instant now = held.ends - 30 * kDay;
@@ -112,7 +112,7 @@
   EXPECT_EQ(fresh.decide(kStart, {}, 0, spent).action, Decision::Action::renew);
 }
 
-TEST(Renewal, AfterAStatedTimeTheSecondAuthorityTakesItsTurn) {
+TEST(Renewal, FallsBackToTheSecondAuthorityAfterTheConfiguredTime) {
   acme::Policy policy;
   RenewalSchedule renewal(policy, 5, 2);
   std::map<std::size_t, int> asked, late;
@@ -134,7 +134,7 @@
 }
 
 // Forward and backward clock jumps of any size between decisions: waits are bounded and rate limits hold.
-TEST(Renewal, ClockJumpsDoNoHarm) {
+TEST(Renewal, ClockJumpsCauseNoEndlessWaitAndExceedNoRateLimit) {
   EXPECT_TRUE(rc::check("clock jumps", [] {
     acme::Policy policy;
     RenewalSchedule renewal(policy, *rc::gen::arbitrary<std::uint64_t>(), 2);
@@ -159,7 +159,7 @@
   }));
 }
 
-TEST(Problem, IsSaidInPlainWordsAndRetryAfterIsReadInBothForms) {
+TEST(Problem, IsExplainedInOneLineAndRetryAfterIsParsedInBothForms) {
   const auto problem = acme::parse_problem(
       403,
       R"({"type":"urn:ietf:params:acme:error:compound","detail":"two things\nare wrong","subproblems":[)"
@@ -186,7 +186,7 @@
 
 // ---- First certificate and renewal
 
-TEST_F(Installation, ACertificateComesIsKeptAndIsRenewedWithANewKeyInTime) {
+TEST_F(Installation, ACertificateIsIssuedStoredAndRenewedInTimeWithANewKey) {
   Authority& there = authority();
   const auto keeper = this->keeper();
   const Instant begun = now();
@@ -214,7 +214,7 @@
   EXPECT_EQ(said().find("PRIVATE"), std::string::npos);
 }
 
-TEST_F(Installation, SeveralNamesRsaAndAnAlternateChainAndValidAuthorizationsAreNotDoneAgain) {
+TEST_F(Installation, SeveralNamesRsaAndAlternateChainsWorkAndValidAuthorizationsAreReused) {
   Authority& there = authority();
   settings.certificates = {{"rsa", {"a.lab.example", "b.lab.example"}, "rsa-2048"},
                            {"ec", {"a.lab.example"}, "ecdsa-p256"}};
@@ -229,7 +229,7 @@
   EXPECT_EQ(EVP_PKEY_get_base_id(acme::key_from_pem(pem).get()), EVP_PKEY_RSA);
 }
 
-TEST_F(Installation, AccountsAreBoundFoundAgainRolledOverAndDeactivated) {
+TEST_F(Installation, AccountsAreBoundRecoveredRolledOverAndDeactivated) {
   standin::Options options;
   options.external_keys = {{"kid-1", "0123456789abcdef"}};
   settings.policy.duplicates.most = 100;
@@ -309,7 +309,7 @@
       return name;
     });
 
-TEST_P(EachFault, IsSurvivedAndTheOldCertificateServesMeanwhile) {
+TEST_P(EachFault, IsRecoveredFromWhileTheOldCertificateIsServed) {
   Authority& there = authority();
   settings.authorities[0].access.http_timeout = milliseconds(2000);
   settings.order_timeout = 3 * kHour;
@@ -336,7 +336,7 @@
   EXPECT_EQ(files_with("aside"), 0u);
 }
 
-TEST_F(Installation, ADayOfRefusalsAndThenSuccess) {
+TEST_F(Installation, ADayOfErrorsRaisesTheLateAlarmAndThenRenewalSucceeds) {
   standin::Options options;
   options.lifetime = 5 * kDay;  // a day after it is due less than a quarter and more than an eighth is left
   Authority& there = authority(options);
@@ -358,7 +358,7 @@
   EXPECT_EQ(keeper->statuses()[0].alarm, Alarm::good);
 }
 
-TEST_F(Installation, RefusedUntilTheEndTheAlarmsComeInOrderAndLongBefore) {
+TEST_F(Installation, PermanentErrorsRaiseTheAlarmsInOrderLongBeforeExpiry) {
   Authority& there = authority();
   const auto keeper = this->keeper();
   run(*keeper, now() + kHour);
@@ -379,7 +379,7 @@
   EXPECT_FALSE(handshake(registry->server(), "").certificate.empty());
 }
 
-TEST_F(Installation, ASecondAuthorityHelpsOutAndLimitsOfTheFirstAreKept) {
+TEST_F(Installation, FallsBackToTheSecondAuthorityWithinTheRateLimitsOfTheFirst) {
   settings.authorities.resize(2);
   standin::Options options;
   settings.policy.orders.most = 4;
@@ -397,7 +397,7 @@
                                                             << said();
 }
 
-TEST_F(Installation, AWrongClockOrdersNothing) {
+TEST_F(Installation, NothingIsOrderedWithAWrongClock) {
   Authority& there = authority();
   const auto keeper = this->keeper();
   run(*keeper, now() + kHour);
@@ -424,7 +424,7 @@
 
 // ---- Files on disk
 
-TEST_F(Installation, TornAndForeignFilesAreNamedAndPutAside) {
+TEST_F(Installation, TornAndForeignFilesAreLoggedAndQuarantined) {
   Authority& there = authority();
   ASSERT_EQ(keeper()->renew_now("sip"), "");
   const std::string schedule = settings.directory + "/sip.schedule.json",
@@ -441,7 +441,7 @@
   EXPECT_EQ(there.counts().certificates, 2);
 }
 
-TEST_F(Installation, FilesOfAnotherModeOwnerOrKindAreNotTrusted) {
+TEST_F(Installation, FilesWithUnsafeModeOwnerOrTypeAreRejected) {
   authority();
   ASSERT_EQ(keeper()->renew_now("sip"), "");
   const std::string current = settings.directory + "/sip.current.pem";
@@ -468,7 +468,7 @@
 
 // On a full disk no order is placed, because its URL could not be stored; the first attempt with free space
 // succeeds.
-TEST_F(Installation, AFullDiskStopsBeforeTheOrderAndLeavesTheOldFiles) {
+TEST_F(Installation, AFullDiskPreventsTheOrderAndKeepsTheOldFiles) {
   Authority& there = authority();
   const auto keeper = this->keeper();
   ASSERT_EQ(keeper->renew_now("sip"), "");
@@ -497,7 +497,7 @@
 
 // A child process is killed with SIGKILL at each step of a renewal in turn; the next process resumes the same
 // order with the same key.
-TEST_F(Installation, KilledAtAnyStepNoOrderIsLostOrDoubled) {
+TEST_F(Installation, AProcessKilledAtAnyStepLosesOrDuplicatesNoOrder) {
   standin::Options options;
   options.looks = 1000;  // it retries while the challenge is not answered (RFC 8555, 8.2)
   Authority& there = authority(options);
@@ -549,7 +549,7 @@
 
 // ---- Several instances
 
-TEST_F(Installation, OfTwoThatWakeTogetherOneRenewsAndBothServeIt) {
+TEST_F(Installation, OfTwoConcurrentInstancesOneRenewsAndBothServeTheCertificate) {
   Authority& there = authority();
   const auto other_registry = std::make_shared<tls::Registry>();
   acme::CertificateRenewer a(settings, log, registry, environment()),
@@ -567,7 +567,7 @@
 
 // The lease expires in the middle of a pass and another instance acquires it; when the first instance goes
 // on, it must not change anything.
-TEST_F(Installation, AHolderThatWakesUpLateChangesNothing) {
+TEST_F(Installation, AnInstanceWhoseLeaseExpiredChangesNothing) {
   Authority& there = authority();
   const auto other_registry = std::make_shared<tls::Registry>();
   acme::Environment plain = environment();
@@ -593,7 +593,7 @@
 
 // ---- On the SIP TLS port
 
-TEST(Registry, ServesByNameSwapsForNewHandshakesAndTicketsDoNotOutliveACertificate) {
+TEST(Registry, SelectsByServerNameAndSessionTicketsDoNotOutliveACertificate) {
   standin::Ca ca(std::chrono::floor<Seconds>(std::chrono::system_clock::now()));
   const Instant now = std::chrono::floor<Seconds>(std::chrono::system_clock::now());
   const auto identity = [&](const std::string& name, Seconds left, std::string* print) {
@@ -636,7 +636,7 @@
 
 // SIP over TLS calls on a persistent connection and on new connections, while certificates are renewed
 // repeatedly by tls-alpn-01 on the same port: no call fails, and new connections get the new certificates.
-TEST_F(Installation, RenewalOnTheTlsPortUnderSteadyCallsFailsNone) {
+TEST_F(Installation, RenewalOnTheTlsPortFailsNoCall) {
   // The node's loop and each gateway run on threads of their own; renewals run on this thread.
   standin::SetupServer::Options server_options;
   server_options.listen = any_port();
@@ -690,7 +690,7 @@
 
 // ---- Settings
 
-TEST(AcmeSettings, AreCheckedWithLineAndKey) {
+TEST(AcmeSettings, ErrorsNameTheLineAndTheKey) {
   const std::string good =
       "directory = \"certs\"\n[[authority]]\ndirectory = \"https://ca.example/d\"\n"
       "[[certificate]]\nid = \"sip\"\nnames = [\"sip.lab.example\"]\n";
@@ -743,7 +743,7 @@
 // Without certificate management the program has one thread and does not load libcurl. With it, the program
 // obtains a certificate by tls-alpn-01 on its own port, applies a valid settings file on SIGHUP and keeps the
 // old settings after an invalid one.
-TEST_F(CertsProcess, KeepsItsCertificateInServiceAndTheCommandsTell) {
+TEST_F(CertsProcess, ManagesItsCertificateAndTheCommandsReportIt) {
   const sockaddr_in tls_port = free_address();
   Authority::Setup setup;
   setup.listen = any_port();
