--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -25,7 +25,7 @@
 constexpr Instant kStart{Seconds(1800000000)};
 
 // Budgets of two accounts that never run out in a test.
-std::vector<Budget> roomy() { return {Budget(1000, kHour), Budget(1000, kHour)}; }
+std::vector<Budget> ample_budgets() { return {Budget(1000, kHour), Budget(1000, kHour)}; }
 
 // ---- Renewal decisions
 
@@ -39,8 +39,8 @@
       EXPECT_LE(due, held.ends - lifetime / 3);
       EXPECT_GE(due, held.ends - lifetime / 3 - lifetime / 10);
       EXPECT_EQ(due, renewal.due_at(held)) << "it changes between calls";
-      EXPECT_EQ(renewal.decide(due - Seconds(1), held, {}, roomy()).at, due);
-      EXPECT_EQ(renewal.decide(due, held, {}, roomy()).action, Decision::Action::renew);
+      EXPECT_EQ(renewal.decide(due - Seconds(1), held, {}, ample_budgets()).at, due);
+      EXPECT_EQ(renewal.decide(due, held, {}, ample_budgets()).action, Decision::Action::renew);
       points.insert(due);
     }
     EXPECT_GT(points.size(), 90u) << "installations renew at the same time";
@@ -67,7 +67,7 @@
   EXPECT_FALSE(renewal.window_query_due(kStart + kHour - Seconds(1)));
   EXPECT_TRUE(renewal.window_query_due(kStart + kHour));
   renewal.set_window(kStart, acme::Window{kStart - 2 * kDay, kStart - kDay}, {});
-  EXPECT_EQ(renewal.decide(kStart, held, {}, roomy()).action, Decision::Action::renew);
+  EXPECT_EQ(renewal.decide(kStart, held, {}, ample_budgets()).action, Decision::Action::renew);
   renewal.set_window(kStart, acme::Window{held.ends - kDay, held.ends}, {});
   EXPECT_LE(renewal.due_at(held), held.ends - held.lifetime() / 4)
       << "it waits for a window just before the expiry";
@@ -81,7 +81,7 @@
   Seconds last{0};
   for (int i = 0; i < 12; ++i) {
     renewal.failed(now, 0, Failure::refused, {}, held);
-    const Decision decision = renewal.decide(now, held, {}, roomy());
+    const Decision decision = renewal.decide(now, held, {}, ample_budgets());
     ASSERT_EQ(decision.action, Decision::Action::wait);
     last = decision.at - now;
     EXPECT_LE(last, policy.longest_wait);
@@ -89,19 +89,19 @@
   }
   EXPECT_GE(last, policy.longest_wait / 2);
   renewal.failed(now, 0, Failure::rate_limited, 9 * kHour, held);
-  EXPECT_EQ(renewal.decide(now + 8 * kHour, held, {}, roomy()).at, now + 9 * kHour);
+  EXPECT_EQ(renewal.decide(now + 8 * kHour, held, {}, ample_budgets()).at, now + 9 * kHour);
   renewal.failed(now, 0, Failure::rate_limited, 1000 * kDay, held);
-  EXPECT_EQ(renewal.decide(now + kDay, held, {}, roomy()).action, Decision::Action::renew)
+  EXPECT_EQ(renewal.decide(now + kDay, held, {}, ample_budgets()).action, Decision::Action::renew)
       << "a Retry-After without limit was followed";
 
   // The limit of rejections per hour holds even with a backoff of one second.
   policy.longest_wait = policy.first_wait = Seconds(1);
-  RenewalSchedule hasty(policy, 3, 1);
+  RenewalSchedule impatient(policy, 3, 1);
   int attempts = 0;
   for (Instant at = kStart; at < kStart + kHour; at += Seconds(10)) {
-    if (hasty.decide(at, {}, {}, roomy()).action != Decision::Action::renew) continue;
+    if (impatient.decide(at, {}, {}, ample_budgets()).action != Decision::Action::renew) continue;
     ++attempts;
-    hasty.failed(at, 0, Failure::rejected, {}, {});
+    impatient.failed(at, 0, Failure::rejected, {}, {});
   }
   EXPECT_EQ(attempts, 4);
   // An account whose order budget is used up delays new orders, but an open order is resumed.
@@ -115,22 +115,22 @@
 TEST(Renewal, FallsBackToTheSecondAuthorityAfterTheConfiguredTime) {
   acme::Policy policy;
   RenewalSchedule renewal(policy, 5, 2);
-  std::map<std::size_t, int> asked, late;
+  std::map<std::size_t, int> before_fallback, after_fallback;
   Instant now = kStart;
   for (int i = 0; i < 40; ++i) {
-    const Decision decision = renewal.decide(now, {}, {}, roomy());
+    const Decision decision = renewal.decide(now, {}, {}, ample_budgets());
     if (decision.action == Decision::Action::wait) {
       now = decision.at;
       continue;
     }
-    ++(now - kStart >= policy.fallback_after ? late : asked)[decision.authority];
+    ++(now - kStart >= policy.fallback_after ? after_fallback : before_fallback)[decision.authority];
     renewal.failed(now, decision.authority, Failure::unreachable, {}, {});
   }
-  EXPECT_EQ(asked[1], 0);
-  EXPECT_GT(late[1], late[0]);
-  EXPECT_GT(late[0], 0) << "the first authority is not tried any more";
+  EXPECT_EQ(before_fallback[1], 0);
+  EXPECT_GT(after_fallback[1], after_fallback[0]);
+  EXPECT_GT(after_fallback[0], 0) << "the first authority is not tried any more";
   renewal.succeeded(now, 1);
-  EXPECT_EQ(renewal.decide(now, {}, {}, roomy()).authority, 0u);
+  EXPECT_EQ(renewal.decide(now, {}, {}, ample_budgets()).authority, 0u);
 }
 
 // Forward and backward clock jumps of any size between decisions: waits are bounded and rate limits hold.
@@ -187,43 +187,43 @@
 // ---- First certificate and renewal
 
 TEST_F(Installation, ACertificateIsIssuedStoredAndRenewedInTimeWithANewKey) {
-  Authority& there = authority();
-  const auto keeper = this->keeper();
-  const Instant begun = now();
-  run(*keeper, begun + kHour);
-  EXPECT_EQ(there.counts().certificates, 1);
-  const std::string first = kept("sip.current.pem");
+  Authority& ca = start_authority();
+  const auto renewer = this->make_renewer();
+  const Instant start_time = now();
+  run(*renewer, start_time + kHour);
+  EXPECT_EQ(ca.counts().certificates, 1);
+  const std::string first = stored_file("sip.current.pem");
   EXPECT_EQ(handshake(registry->server(), "sip.lab.example").certificate,
             acme::fingerprint(acme::first_certificate(first)));
   struct stat info {};
   ASSERT_EQ(::stat((settings.directory + "/sip.current.pem").c_str(), &info), 0);
   EXPECT_EQ(info.st_mode & 0777, 0600u) << "others may read the private key";
-  run(*keeper, begun + 50 * kDay);
-  EXPECT_EQ(there.counts().orders, 1) << "ordered before it was due";
+  run(*renewer, start_time + 50 * kDay);
+  EXPECT_EQ(ca.counts().orders, 1) << "ordered before it was due";
   Alarm worst = Alarm::good;
-  run(*keeper, begun + 360 * kDay, [&] { worst = std::max(worst, keeper->statuses()[0].alarm); });
+  run(*renewer, start_time + 360 * kDay, [&] { worst = std::max(worst, renewer->statuses()[0].alarm); });
   // A renewal is due between 54 and 60 days into the lifetime of 90 days.
-  EXPECT_GE(there.counts().certificates, 6) << said();
-  EXPECT_LE(there.counts().certificates, 7) << said();
+  EXPECT_GE(ca.counts().certificates, 6) << log_text();
+  EXPECT_LE(ca.counts().certificates, 7) << log_text();
   EXPECT_LE(worst, Alarm::due);
-  EXPECT_EQ(there.counts().accounts, 1);
-  const std::string last = kept("sip.current.pem");
+  EXPECT_EQ(ca.counts().accounts, 1);
+  const std::string last = stored_file("sip.current.pem");
   EXPECT_FALSE(acme::matches_key(acme::first_certificate(last), acme::key_from_pem(first)))
       << "the key was reused";
-  EXPECT_EQ(files_with(".key-"), 0u) << "the key file of a finished order was not removed";
-  EXPECT_EQ(said().find("PRIVATE"), std::string::npos);
+  EXPECT_EQ(count_files_with(".key-"), 0u) << "the key file of a finished order was not removed";
+  EXPECT_EQ(log_text().find("PRIVATE"), std::string::npos);
 }
 
 TEST_F(Installation, SeveralNamesRsaAndAlternateChainsWorkAndValidAuthorizationsAreReused) {
-  Authority& there = authority();
+  Authority& ca = start_authority();
   settings.certificates = {{"rsa", {"a.lab.example", "b.lab.example"}, "rsa-2048"},
                            {"ec", {"a.lab.example"}, "ecdsa-p256"}};
   settings.authorities[0].preferred_issuer = "Stand-in Root X2";
-  const auto keeper = this->keeper();
-  run(*keeper, now() + kHour);
-  EXPECT_EQ(there.counts().certificates, 2) << said();
-  EXPECT_EQ(there.counts().challenges, 2) << "a valid authorization was not reused";
-  const std::string pem = kept("rsa.current.pem");
+  const auto renewer = this->make_renewer();
+  run(*renewer, now() + kHour);
+  EXPECT_EQ(ca.counts().certificates, 2) << log_text();
+  EXPECT_EQ(ca.counts().challenges, 2) << "a valid authorization was not reused";
+  const std::string pem = stored_file("rsa.current.pem");
   EXPECT_EQ(acme::issuer_of(acme::certificates_of(pem).back()), "Stand-in Root X2");
   EXPECT_TRUE(acme::covers_names(acme::first_certificate(pem), settings.certificates[0].names));
   EXPECT_EQ(EVP_PKEY_get_base_id(acme::key_from_pem(pem).get()), EVP_PKEY_RSA);
@@ -233,58 +233,58 @@
   standin::Options options;
   options.external_keys = {{"kid-1", "0123456789abcdef"}};
   settings.policy.duplicates.most = 100;
-  Authority& there = authority(options);
+  Authority& ca = start_authority(options);
   {
-    const auto keeper = this->keeper();
-    EXPECT_NE(keeper->renew_now("sip").find("external account"), std::string::npos);
+    const auto renewer = this->make_renewer();
+    EXPECT_NE(renewer->renew_now("sip").find("external account"), std::string::npos);
   }
   settings.authorities[0].access.external = acme::ExternalAccount{"kid-1", {}};
   settings.authorities[0].eab_key_file = folder.file("eab");
   acme::replace_file(folder.file("eab"), acme::base64url("0123456789abcdef") + "\n");
-  const auto keeper = this->keeper();
-  EXPECT_EQ(keeper->renew_now("sip"), "");
+  const auto renewer = this->make_renewer();
+  EXPECT_EQ(renewer->renew_now("sip"), "");
   std::string account;
   for (const std::string& each : files()) {
     if (each.starts_with("account-") && each.ends_with(".key.pem")) account = each;
   }
-  const std::string before = kept(account);
-  EXPECT_EQ(keeper->roll_over(0), "");
-  EXPECT_NE(kept(account), before);
-  EXPECT_EQ(keeper->renew_now("sip"), "");
+  const std::string before = stored_file(account);
+  EXPECT_EQ(renewer->roll_over(0), "");
+  EXPECT_NE(stored_file(account), before);
+  EXPECT_EQ(renewer->renew_now("sip"), "");
   // Without its record the account is found again by its key.
   for (const std::string& each : files()) {
     if (each.starts_with("account-") && each.ends_with(".json"))
       std::filesystem::remove(settings.directory + "/" + each);
   }
-  EXPECT_EQ(keeper->renew_now("sip"), "");
-  EXPECT_EQ(there.counts().accounts, 1);
+  EXPECT_EQ(renewer->renew_now("sip"), "");
+  EXPECT_EQ(ca.counts().accounts, 1);
   // A rollover interrupted after the authority accepted it: the new key is found to be the valid one.
   on_step = [](const char* what) {
     if (std::string(what) == "rolled over") throw std::runtime_error("killed");
   };
-  EXPECT_EQ(keeper->roll_over(0), "killed");
+  EXPECT_EQ(renewer->roll_over(0), "killed");
   on_step = {};
-  EXPECT_EQ(keeper->renew_now("sip"), "") << said();
-  EXPECT_EQ(keeper->revoke("sip", 4), "");
-  EXPECT_NE(keeper->revoke("sip", 4).find("revoked already"), std::string::npos);
+  EXPECT_EQ(renewer->renew_now("sip"), "") << log_text();
+  EXPECT_EQ(renewer->revoke("sip", 4), "");
+  EXPECT_NE(renewer->revoke("sip", 4).find("revoked already"), std::string::npos);
   settings.authorities[0].access.contact = {"mailto:oncall@lab.example"};
-  EXPECT_EQ(this->keeper()->change_contact(0), "");
-  EXPECT_EQ(keeper->deactivate(0), "");
-  EXPECT_EQ(keeper->renew_now("sip"), "");
-  EXPECT_EQ(there.counts().accounts, 2) << "a deactivated account was used again";
+  EXPECT_EQ(this->make_renewer()->change_contact(0), "");
+  EXPECT_EQ(renewer->deactivate(0), "");
+  EXPECT_EQ(renewer->renew_now("sip"), "");
+  EXPECT_EQ(ca.counts().accounts, 2) << "a deactivated account was used again";
 }
 
 TEST_F(Installation, TheAuthoritysWindowMovesTheRenewalForward) {
   standin::Options options;
-  Authority& there = authority(options);
-  const auto keeper = this->keeper();
-  const Instant begun = now();
-  run(*keeper, begun + kHour);
-  const auto due = keeper->statuses()[0].due;
+  Authority& ca = start_authority(options);
+  const auto renewer = this->make_renewer();
+  const Instant start_time = now();
+  run(*renewer, start_time + kHour);
+  const auto due = renewer->statuses()[0].due;
   ASSERT_TRUE(due);
-  EXPECT_GE(*due, begun + 50 * kDay);
-  run(*keeper, begun + 62 * kDay);
-  EXPECT_EQ(there.counts().certificates, 2);
+  EXPECT_GE(*due, start_time + 50 * kDay);
+  run(*renewer, start_time + 62 * kDay);
+  EXPECT_EQ(ca.counts().certificates, 2);
 }
 
 // ---- Errors of the authority
@@ -310,63 +310,63 @@
     });
 
 TEST_P(EachFault, IsRecoveredFromWhileTheOldCertificateIsServed) {
-  Authority& there = authority();
+  Authority& ca = start_authority();
   settings.authorities[0].access.http_timeout = milliseconds(2000);
   settings.order_timeout = 3 * kHour;
-  const auto keeper = this->keeper();
-  ASSERT_EQ(keeper->renew_now("sip"), "") << said();
+  const auto renewer = this->make_renewer();
+  ASSERT_EQ(renewer->renew_now("sip"), "") << log_text();
   const std::string old = handshake(registry->server(), "").certificate;
-  const Instant begun = now() + 60 * kDay;
-  set(begun);
-  there.add(standin::parse_rule(GetParam(), begun));
+  const Instant start_time = now() + 60 * kDay;
+  set_time(start_time);
+  ca.add(standin::parse_rule(GetParam(), start_time));
   bool served = true;
   int orders = 0;
-  run(*keeper, begun + kDay, [&] {
+  run(*renewer, start_time + kDay, [&] {
     served = served && !handshake(registry->server(), "").certificate.empty();
-    orders = there.counts().orders - 1;
+    orders = ca.counts().orders - 1;
   });
   EXPECT_TRUE(served);
-  EXPECT_NE(handshake(registry->server(), "").certificate, old) << said();
+  EXPECT_NE(handshake(registry->server(), "").certificate, old) << log_text();
   const std::string fault = GetParam();
-  const bool lost_for_good = fault.find("stuck") == 0 || fault.find("invalid") == 0 ||
-                             fault.find("other") == 0 || fault.find("expired") == 0 ||
-                             fault.find("short") == 0 || fault.find("reject") == 0;
-  EXPECT_EQ(orders, lost_for_good ? 2 : 1) << "needless orders\n" << said();
-  EXPECT_EQ(keeper->statuses()[0].failures, 0u);
-  EXPECT_EQ(files_with("aside"), 0u);
+  const bool needs_new_order = fault.find("stuck") == 0 || fault.find("invalid") == 0 ||
+                               fault.find("other") == 0 || fault.find("expired") == 0 ||
+                               fault.find("short") == 0 || fault.find("reject") == 0;
+  EXPECT_EQ(orders, needs_new_order ? 2 : 1) << "needless orders\n" << log_text();
+  EXPECT_EQ(renewer->statuses()[0].failures, 0u);
+  EXPECT_EQ(count_files_with("aside"), 0u);
 }
 
 TEST_F(Installation, ADayOfErrorsRaisesTheLateAlarmAndThenRenewalSucceeds) {
   standin::Options options;
   options.lifetime = 5 * kDay;  // a day after it is due less than a quarter and more than an eighth is left
-  Authority& there = authority(options);
-  const auto keeper = this->keeper();
-  run(*keeper, now() + kHour);
-  const std::string first = kept("sip.current.pem");
-  Instant due = *keeper->statuses()[0].due;
-  run(*keeper, due - Seconds(1));
-  there.add({Fault::unavailable, "", -1, due - Seconds(1), due + kDay});
-  const int before = there.counts().orders;
+  Authority& ca = start_authority(options);
+  const auto renewer = this->make_renewer();
+  run(*renewer, now() + kHour);
+  const std::string first = stored_file("sip.current.pem");
+  Instant due = *renewer->statuses()[0].due;
+  run(*renewer, due - Seconds(1));
+  ca.add({Fault::unavailable, "", -1, due - Seconds(1), due + kDay});
+  const int before = ca.counts().orders;
   Alarm worst = Alarm::good;
-  run(*keeper, due + kDay, [&] { worst = std::max(worst, keeper->statuses()[0].alarm); });
-  EXPECT_EQ(kept("sip.current.pem"), first);
+  run(*renewer, due + kDay, [&] { worst = std::max(worst, renewer->statuses()[0].alarm); });
+  EXPECT_EQ(stored_file("sip.current.pem"), first);
   EXPECT_EQ(worst, Alarm::late);
-  EXPECT_NE(said().find("ALARM certificate sip: late"), std::string::npos);
-  run(*keeper, due + kDay + 7 * kHour);
-  EXPECT_NE(kept("sip.current.pem"), first) << said();
-  EXPECT_EQ(there.counts().orders, before + 1);
-  EXPECT_EQ(keeper->statuses()[0].alarm, Alarm::good);
+  EXPECT_NE(log_text().find("ALARM certificate sip: late"), std::string::npos);
+  run(*renewer, due + kDay + 7 * kHour);
+  EXPECT_NE(stored_file("sip.current.pem"), first) << log_text();
+  EXPECT_EQ(ca.counts().orders, before + 1);
+  EXPECT_EQ(renewer->statuses()[0].alarm, Alarm::good);
 }
 
 TEST_F(Installation, PermanentErrorsRaiseTheAlarmsInOrderLongBeforeExpiry) {
-  Authority& there = authority();
-  const auto keeper = this->keeper();
-  run(*keeper, now() + kHour);
-  const Validity held = *keeper->statuses()[0].validity;
-  there.add({Fault::unavailable, "", -1, now(), Instant::max()});
+  Authority& ca = start_authority();
+  const auto renewer = this->make_renewer();
+  run(*renewer, now() + kHour);
+  const Validity held = *renewer->statuses()[0].validity;
+  ca.add({Fault::unavailable, "", -1, now(), Instant::max()});
   std::vector<std::pair<Alarm, Seconds>> seen;
-  run(*keeper, held.ends + kDay, [&] {
-    const Alarm alarm = keeper->statuses()[0].alarm;
+  run(*renewer, held.ends + kDay, [&] {
+    const Alarm alarm = renewer->statuses()[0].alarm;
     if (seen.empty() || seen.back().first != alarm) seen.emplace_back(alarm, held.ends - now());
   });
   ASSERT_EQ(seen.size(), 5u);
@@ -374,7 +374,7 @@
   EXPECT_GE(seen[2].second, 22 * kDay);
   EXPECT_GE(seen[3].second, 11 * kDay);
   EXPECT_LE(seen[4].second, Seconds(0));
-  EXPECT_NE(said().find("ALARM certificate sip: expired"), std::string::npos);
+  EXPECT_NE(log_text().find("ALARM certificate sip: expired"), std::string::npos);
   // An expired certificate is still served; a client may accept it.
   EXPECT_FALSE(handshake(registry->server(), "").certificate.empty());
 }
@@ -386,68 +386,69 @@
   options.new_orders = {5, 3 * kHour};
   options.rejections = {5, kHour};
   options.duplicates = {5, 7 * kDay};
-  Authority& first = authority(options);
-  Authority& second = authority();
+  Authority& first = start_authority(options);
+  Authority& second = start_authority();
   first.add({Fault::reject_challenge, "", -1, Instant::min(), Instant::max()});
-  const auto keeper = this->keeper();
-  run(*keeper, now() + kDay);
-  EXPECT_EQ(second.counts().certificates, 1) << said();
+  const auto renewer = this->make_renewer();
+  run(*renewer, now() + kDay);
+  EXPECT_EQ(second.counts().certificates, 1) << log_text();
   EXPECT_EQ(first.counts().certificates, 0);
-  EXPECT_EQ(said().find("rate limited"), std::string::npos) << "a rate limit of the authority was exceeded\n"
-                                                            << said();
+  EXPECT_EQ(log_text().find("rate limited"), std::string::npos)
+      << "a rate limit of the authority was exceeded\n"
+      << log_text();
 }
 
 TEST_F(Installation, NothingIsOrderedWithAWrongClock) {
-  Authority& there = authority();
-  const auto keeper = this->keeper();
-  run(*keeper, now() + kHour);
-  const std::string first = kept("sip.current.pem");
-  const Instant begun = now();
+  Authority& ca = start_authority();
+  const auto renewer = this->make_renewer();
+  run(*renewer, now() + kHour);
+  const std::string first = stored_file("sip.current.pem");
+  const Instant start_time = now();
   std::int64_t offset = 0;
   settings.directory = folder.file("certs");
   acme::Environment skewed = environment();
   skewed.now = [&] { return Instant(Seconds(time.load() + offset)); };
-  acme::CertificateRenewer wrong(settings, log, registry, skewed);
+  acme::CertificateRenewer skewed_renewer(settings, log, registry, skewed);
   for (const std::int64_t each : {365 * 86400L, -86400L}) {
     offset = each;
     for (int i = 0; i < 20; ++i) {
-      const Instant next = wrong.run_pass();
+      const Instant next = skewed_renewer.run_pass();
       time += std::min<std::int64_t>(std::max<std::int64_t>((next - skewed.now()).count(), 1), 3600);
     }
   }
-  EXPECT_EQ(there.counts().orders, 1) << said();
-  EXPECT_EQ(kept("sip.current.pem"), first);
+  EXPECT_EQ(ca.counts().orders, 1) << log_text();
+  EXPECT_EQ(stored_file("sip.current.pem"), first);
   offset = 0;
-  run(wrong, begun + 80 * kDay);
-  EXPECT_EQ(there.counts().orders, 2) << "the wrong clock left state behind that delays renewal\n" << said();
+  run(skewed_renewer, start_time + 80 * kDay);
+  EXPECT_EQ(ca.counts().orders, 2) << "the wrong clock left state behind that delays renewal\n" << log_text();
 }
 
 // ---- Files on disk
 
 TEST_F(Installation, TornAndForeignFilesAreLoggedAndQuarantined) {
-  Authority& there = authority();
-  ASSERT_EQ(keeper()->renew_now("sip"), "");
+  Authority& ca = start_authority();
+  ASSERT_EQ(make_renewer()->renew_now("sip"), "");
   const std::string schedule = settings.directory + "/sip.schedule.json",
                     current = settings.directory + "/sip.current.pem";
   const std::string whole = read_file(schedule);
   acme::replace_file(schedule, whole.substr(0, whole.size() / 2));
   acme::replace_file(settings.directory + "/sip.order.json", "{\"url\":\"https://somewhere.example/\"}");
   acme::replace_file(current, read_file(current).substr(0, 400));
-  const auto keeper = this->keeper();
-  EXPECT_EQ(keeper->renew_now("sip"), "") << said();
-  EXPECT_EQ(files_with("aside-1"), 3u);
-  EXPECT_NE(said().find("sip.schedule.json: torn"), std::string::npos);
-  EXPECT_NE(said().find("sip.order.json: not a record of this program"), std::string::npos);
-  EXPECT_EQ(there.counts().certificates, 2);
+  const auto renewer = this->make_renewer();
+  EXPECT_EQ(renewer->renew_now("sip"), "") << log_text();
+  EXPECT_EQ(count_files_with("aside-1"), 3u);
+  EXPECT_NE(log_text().find("sip.schedule.json: torn"), std::string::npos);
+  EXPECT_NE(log_text().find("sip.order.json: not a record of this program"), std::string::npos);
+  EXPECT_EQ(ca.counts().certificates, 2);
 }
 
 TEST_F(Installation, FilesWithUnsafeModeOwnerOrTypeAreRejected) {
-  authority();
-  ASSERT_EQ(keeper()->renew_now("sip"), "");
+  start_authority();
+  ASSERT_EQ(make_renewer()->renew_now("sip"), "");
   const std::string current = settings.directory + "/sip.current.pem";
   ::chmod(current.c_str(), 0644);
   try {
-    keeper();
+    make_renewer();
     FAIL() << "a key that others may read was accepted";
   } catch (const acme::StateError& error) {
     EXPECT_NE(std::string(error.what()).find("mode 0644"), std::string::npos);
@@ -455,25 +456,25 @@
   ::chmod(current.c_str(), 0600);
   std::filesystem::rename(current, current + ".real");
   std::filesystem::create_symlink(current + ".real", current);
-  EXPECT_THROW(keeper(), acme::StateError);
+  EXPECT_THROW(make_renewer(), acme::StateError);
   std::filesystem::rename(current + ".real", current);
   if (::geteuid() == 0) {
     ASSERT_EQ(::chown(current.c_str(), 65534, 65534), 0);
-    EXPECT_THROW(keeper(), acme::StateError);
+    EXPECT_THROW(make_renewer(), acme::StateError);
     ASSERT_EQ(::chown(current.c_str(), 0, 0), 0);
   }
   ::chmod(settings.directory.c_str(), 0755);
-  EXPECT_THROW(keeper(), acme::StateError);
+  EXPECT_THROW(make_renewer(), acme::StateError);
 }
 
 // On a full disk no order is placed, because its URL could not be stored; the first attempt with free space
 // succeeds.
 TEST_F(Installation, AFullDiskPreventsTheOrderAndKeepsTheOldFiles) {
-  Authority& there = authority();
-  const auto keeper = this->keeper();
-  ASSERT_EQ(keeper->renew_now("sip"), "");
-  const std::string before = kept("sip.current.pem");
-  set(now() + 70 * kDay);
+  Authority& ca = start_authority();
+  const auto renewer = this->make_renewer();
+  ASSERT_EQ(renewer->renew_now("sip"), "");
+  const std::string before = stored_file("sip.current.pem");
+  set_time(now() + 70 * kDay);
   rlimit old{};
   ::getrlimit(RLIMIT_FSIZE, &old);
   ::signal(SIGXFSZ, SIG_IGN);
@@ -482,16 +483,16 @@
   std::fflush(log_file);
   std::FILE* const nowhere = std::fopen("/dev/null", "w");
   Logger quiet(nowhere);
-  acme::CertificateRenewer starved(settings, quiet, registry, environment());
+  acme::CertificateRenewer limited(settings, quiet, registry, environment());
   ::setrlimit(RLIMIT_FSIZE, &none);
-  for (int i = 0; i < 5; ++i) set(starved.run_pass());
+  for (int i = 0; i < 5; ++i) set_time(limited.run_pass());
   ::setrlimit(RLIMIT_FSIZE, &old);
-  EXPECT_EQ(there.counts().orders, 1);
-  EXPECT_EQ(kept("sip.current.pem"), before);
-  EXPECT_EQ(files_with(".new."), 0u) << "a temporary file was left";
-  run(starved, now() + kDay);
-  EXPECT_EQ(there.counts().orders, 2);
-  EXPECT_NE(kept("sip.current.pem"), before);
+  EXPECT_EQ(ca.counts().orders, 1);
+  EXPECT_EQ(stored_file("sip.current.pem"), before);
+  EXPECT_EQ(count_files_with(".new."), 0u) << "a temporary file was left";
+  run(limited, now() + kDay);
+  EXPECT_EQ(ca.counts().orders, 2);
+  EXPECT_NE(stored_file("sip.current.pem"), before);
   std::fclose(nowhere);
 }
 
@@ -500,11 +501,11 @@
 TEST_F(Installation, AProcessKilledAtAnyStepLosesOrDuplicatesNoOrder) {
   standin::Options options;
   options.looks = 1000;  // it retries while the challenge is not answered (RFC 8555, 8.2)
-  Authority& there = authority(options);
-  const auto spawn = [&](int die_at) {
+  Authority& ca = start_authority(options);
+  const auto spawn = [&](int kill_at) {
     const pid_t pid = ::fork();
     if (pid == 0) {
-      const std::string at = std::to_string(die_at), clock = std::to_string(time.load());
+      const std::string at = std::to_string(kill_at), clock = std::to_string(time.load());
       ::execl("/proc/self/exe", "acme", "--renew-and-die", settings.directory.c_str(),
               settings.authorities[0].access.directory.c_str(),
               settings.authorities[0].access.ca_file.c_str(), address_text(*settings.http01).c_str(),
@@ -518,7 +519,7 @@
   int step = 1;
   for (;; ++step) {
     settings.directory = folder.file("certs-" + std::to_string(step));
-    const auto before = there.counts();
+    const auto before = ca.counts();
     time += 60;
     const int status = spawn(step);
     if (WIFEXITED(status)) {
@@ -528,21 +529,22 @@
     ASSERT_EQ(WTERMSIG(status), SIGKILL);
     std::string key;  // of the open order, if there is one already
     for (const std::string& each : files()) {
-      if (each.find(".key-") != std::string::npos) key = kept(each);
+      if (each.find(".key-") != std::string::npos) key = stored_file(each);
     }
     time += 60;  // the lease of the killed process expires
     const int second = spawn(0);
     ASSERT_TRUE(WIFEXITED(second) && WEXITSTATUS(second) == 0) << "step " << step;
-    EXPECT_EQ(there.counts().orders - before.orders, 1) << "step " << step;
-    EXPECT_EQ(there.counts().certificates - before.certificates, 1) << "step " << step;
-    EXPECT_LE(there.counts().accounts - before.accounts, 1) << "step " << step;
-    const std::string current = kept("sip.current.pem");
+    EXPECT_EQ(ca.counts().orders - before.orders, 1) << "step " << step;
+    EXPECT_EQ(ca.counts().certificates - before.certificates, 1) << "step " << step;
+    EXPECT_LE(ca.counts().accounts - before.accounts, 1) << "step " << step;
+    const std::string current = stored_file("sip.current.pem");
     EXPECT_TRUE(acme::matches_key(acme::first_certificate(current), acme::key_from_pem(current)));
     if (!key.empty()) {
       EXPECT_TRUE(acme::matches_key(acme::first_certificate(current), acme::key_from_pem(key)))
           << "another key after step " << step;
     }
-    EXPECT_EQ(files_with(".order.json") + files_with(".key-") + files_with("aside"), 0u) << "step " << step;
+    EXPECT_EQ(count_files_with(".order.json") + count_files_with(".key-") + count_files_with("aside"), 0u)
+        << "step " << step;
   }
   EXPECT_GT(step, 15);
 }
@@ -550,7 +552,7 @@
 // ---- Several instances
 
 TEST_F(Installation, OfTwoConcurrentInstancesOneRenewsAndBothServeTheCertificate) {
-  Authority& there = authority();
+  Authority& ca = start_authority();
   const auto other_registry = std::make_shared<tls::Registry>();
   acme::CertificateRenewer a(settings, log, registry, environment()),
       b(settings, log, other_registry, environment());
@@ -559,7 +561,7 @@
   second.join();
   a.sync();
   b.sync();
-  EXPECT_EQ(there.counts().orders, 1) << said();
+  EXPECT_EQ(ca.counts().orders, 1) << log_text();
   const std::string served = handshake(registry->server(), "sip.lab.example").certificate;
   EXPECT_FALSE(served.empty());
   EXPECT_EQ(handshake(other_registry->server(), "sip.lab.example").certificate, served);
@@ -568,27 +570,27 @@
 // The lease expires in the middle of a pass and another instance acquires it; when the first instance goes
 // on, it must not change anything.
 TEST_F(Installation, AnInstanceWhoseLeaseExpiredChangesNothing) {
-  Authority& there = authority();
+  Authority& ca = start_authority();
   const auto other_registry = std::make_shared<tls::Registry>();
-  acme::Environment plain = environment();
-  plain.step = {};
-  acme::CertificateRenewer b(settings, log, other_registry, plain);
+  acme::Environment without_hook = environment();
+  without_hook.step = {};
+  acme::CertificateRenewer b(settings, log, other_registry, without_hook);
   bool once = false;
   on_step = [&](const char* what) {
     if (std::string(what) != "fetched" || std::exchange(once, true)) return;
     EXPECT_GT(b.run_pass(), now() + Seconds(1)) << "two held the lease";
-    set(now() + settings.lease + Seconds(1));
+    set_time(now() + settings.lease + Seconds(1));
     b.run_pass();
   };
   acme::CertificateRenewer a(settings, log, registry, environment());
   a.run_pass();
-  EXPECT_NE(said().find("the lease went to another instance"), std::string::npos);
-  EXPECT_EQ(there.counts().orders, 1) << said();
-  EXPECT_EQ(there.counts().certificates, 1);
+  EXPECT_NE(log_text().find("the lease went to another instance"), std::string::npos);
+  EXPECT_EQ(ca.counts().orders, 1) << log_text();
+  EXPECT_EQ(ca.counts().certificates, 1);
   a.sync();
   EXPECT_EQ(handshake(registry->server(), "").certificate,
             handshake(other_registry->server(), "").certificate);
-  EXPECT_EQ(files_with(".order.json") + files_with(".key-"), 0u);
+  EXPECT_EQ(count_files_with(".order.json") + count_files_with(".key-"), 0u);
 }
 
 // ---- On the SIP TLS port
@@ -596,39 +598,39 @@
 TEST(Registry, SelectsByServerNameAndSessionTicketsDoNotOutliveACertificate) {
   standin::Ca ca(std::chrono::floor<Seconds>(std::chrono::system_clock::now()));
   const Instant now = std::chrono::floor<Seconds>(std::chrono::system_clock::now());
-  const auto identity = [&](const std::string& name, Seconds left, std::string* print) {
+  const auto make_identity = [&](const std::string& name, Seconds left, std::string* fingerprint) {
     const acme::Key key = acme::new_key();
     const auto issued = ca.issue(key, {name}, {now - kDay, now + left});
-    *print = acme::fingerprint(issued.leaf);
+    *fingerprint = acme::fingerprint(issued.leaf);
     return acme::pem_of(key).text() + issued.chains[0];
   };
-  std::string a, b, fresh, spent;
+  std::string a, b, renewed, expired_print;  // fingerprints
   for (const int version : {TLS1_2_VERSION, TLS1_3_VERSION}) {
     tls::Registry registry;
     EXPECT_FALSE(handshake(registry.server(), "a.example", "", {}, version).done);
-    registry.put("a", identity("a.example", kDay, &a));
-    registry.put("b", identity("*.b.example", kDay, &b));
+    registry.put("a", make_identity("a.example", kDay, &a));
+    registry.put("b", make_identity("*.b.example", kDay, &b));
     EXPECT_EQ(handshake(registry.server(), "A.example", "", {}, version).certificate, a);
     EXPECT_EQ(handshake(registry.server(), "x.b.example", "", {}, version).certificate, b);
     EXPECT_EQ(handshake(registry.server(), "", "", {}, version).certificate, a);
     const auto one = handshake(registry.server(), "a.example", "", {}, version);
     const auto two = handshake(registry.server(), "x.b.example", "", {}, version);
     EXPECT_TRUE(handshake(registry.server(), "a.example", "", one.session, version).resumed);
-    registry.put("a", identity("a.example", kDay, &fresh));
+    registry.put("a", make_identity("a.example", kDay, &renewed));
     const auto after = handshake(registry.server(), "a.example", "", one.session, version);
     EXPECT_FALSE(after.resumed) << "a session ticket outlived the old certificate";
-    EXPECT_EQ(after.certificate, fresh);
+    EXPECT_EQ(after.certificate, renewed);
     EXPECT_TRUE(handshake(registry.server(), "x.b.example", "", two.session, version).resumed);
-    registry.put("a", identity("a.example", Seconds(-60), &spent));
+    registry.put("a", make_identity("a.example", Seconds(-60), &expired_print));
     const auto expired = handshake(registry.server(), "a.example", "", {}, version);
-    EXPECT_EQ(expired.certificate, spent);
+    EXPECT_EQ(expired.certificate, expired_print);
     EXPECT_FALSE(handshake(registry.server(), "a.example", "", expired.session, version).resumed);
     EXPECT_THROW(registry.put("a", "nonsense"), tls::TlsError);
-    EXPECT_EQ(handshake(registry.server(), "a.example", "", {}, version).certificate, spent);
+    EXPECT_EQ(handshake(registry.server(), "a.example", "", {}, version).certificate, expired_print);
     registry.answer_challenge("a.example",
                               acme::create_challenge_certificate("a.example", "token.print").view());
     EXPECT_EQ(handshake(registry.server(), "a.example", "acme-tls/1", {}, version).protocol, "acme-tls/1");
-    EXPECT_EQ(handshake(registry.server(), "a.example", "sip", {}, version).certificate, spent);
+    EXPECT_EQ(handshake(registry.server(), "a.example", "sip", {}, version).certificate, expired_print);
     registry.end_challenge("a.example");
     EXPECT_EQ(handshake(registry.server(), "a.example", "acme-tls/1", {}, version).protocol, "");
   }
@@ -650,21 +652,20 @@
   settings.challenges = {"tls-alpn-01"};
   standin::Options options;
   options.authorization_life = Seconds(0);
-  Authority& there = authority(options);
-  const auto keeper = this->keeper();
-  ASSERT_EQ(keeper->renew_now("sip"), "") << said();
+  Authority& ca = start_authority(options);
+  const auto renewer = this->make_renewer();
+  ASSERT_EQ(renewer->renew_now("sip"), "") << log_text();
   std::atomic<int> calls = 0, failed = 0, renewed = 0;
   std::mutex mutex;
   std::set<std::string> seen;
-  const auto call_on = [&](bool stays) {
-    standin::Gateway gateway(
-        {*tls_alpn, true, "sip.lab.example", there.root(), "voice", milliseconds(20000)});
+  const auto place_calls = [&](bool persistent) {
+    standin::Gateway gateway({*tls_alpn, true, "sip.lab.example", ca.root(), "voice", milliseconds(20000)});
     for (int i = 0; renewed < 3 || i < 3; ++i) {
-      if ((!stays || !gateway.connected()) && !gateway.connect()) {
+      if ((!persistent || !gateway.connected()) && !gateway.connect()) {
         ++failed;
         continue;
       }
-      if (i == 0 || !stays) {
+      if (i == 0 || !persistent) {
         const std::lock_guard lock(mutex);
         seen.insert(gateway.certificate());
       }
@@ -673,17 +674,17 @@
       if (outcome.status != 200 || gateway.bye(outcome, "7f3a") != 200) ++failed;
     }
   };
-  std::jthread staying([&] { call_on(true); }), coming([&] { call_on(false); });
+  std::jthread on_one_connection([&] { place_calls(true); }), on_new_connections([&] { place_calls(false); });
   for (int i = 0; i < 3; ++i) {
     const int before = calls;
-    EXPECT_EQ(keeper->renew_now("sip"), "") << said();
+    EXPECT_EQ(renewer->renew_now("sip"), "") << log_text();
     while (calls < before + 4) std::this_thread::sleep_for(milliseconds(1));
     ++renewed;
   }
-  staying.join();
-  coming.join();
+  on_one_connection.join();
+  on_new_connections.join();
   EXPECT_EQ(failed, 0);
-  EXPECT_EQ(there.counts().certificates, 4);
+  EXPECT_EQ(ca.counts().certificates, 4);
   EXPECT_GE(seen.size(), 3u) << "new handshakes did not see the new certificates";
   EXPECT_EQ(server.counts().doubled, 0u);
 }
@@ -695,7 +696,7 @@
       "directory = \"certs\"\n[[authority]]\ndirectory = \"https://ca.example/d\"\n"
       "[[certificate]]\nid = \"sip\"\nnames = [\"sip.lab.example\"]\n";
   EXPECT_EQ(acme::parse_settings(good).certificates.size(), 1u);
-  const auto complaint = [](const std::string& text) {
+  const auto error_of = [](const std::string& text) {
     try {
       acme::parse_settings(text);
       return std::string();
@@ -723,9 +724,9 @@
       {good + "[[authority]]\ndirectory = \"https://x\"\neab_kid = \"k\"\n",
        "line 7: \"authority.eab_kid\" and"},
   };
-  for (const auto& [text, about] : bad)
-    EXPECT_NE(complaint(text).find(about), std::string::npos) << complaint(text);
-  EXPECT_TRUE(rc::check("malformed settings", [&](const std::string& text) { complaint(good + text); }));
+  for (const auto& [text, expected] : bad)
+    EXPECT_NE(error_of(text).find(expected), std::string::npos) << error_of(text);
+  EXPECT_TRUE(rc::check("malformed settings", [&](const std::string& text) { error_of(good + text); }));
 }
 
 // ---- The program as a process
@@ -748,14 +749,14 @@
   Authority::Setup setup;
   setup.listen = any_port();
   setup.tls_alpn = tls_port;
-  Authority there(setup);
+  Authority ca(setup);
   const std::string file = directory + "/certs.toml";
   const auto settings = [&](const std::string& names) {
     return "directory = \"" + directory + "/certs\"\npoll_ms = 20\n[[authority]]\ndirectory = \"" +
-           there.directory() + "\"\nca_file = \"" + directory +
+           ca.directory() + "\"\nca_file = \"" + directory +
            "/roots\"\n[[certificate]]\nid = \"sip\"\nnames = " + names + "\n";
   };
-  acme::replace_file(directory + "/roots", there.root());
+  acme::replace_file(directory + "/roots", ca.root());
   acme::replace_file(directory + "/sip.toml",
                      "tls = \"" + address_text(tls_port) + "\"\ndefault_class = \"voice\"\n");
   acme::replace_file(file, settings("[\"sip.lab.example\"]"));
@@ -774,7 +775,7 @@
   EXPECT_NE(certs({"status", "--file", file}, &code).find("expired"), std::string::npos);
   EXPECT_EQ(code, 2);
   start(config(), {"--sip", directory + "/sip.toml", "--certs", file});
-  standin::Gateway gateway({tls_port, true, "sip.lab.example", there.root(), "voice", milliseconds(20000)});
+  standin::Gateway gateway({tls_port, true, "sip.lab.example", ca.root(), "voice", milliseconds(20000)});
   wait_until([&] { return gateway.connect(); }, "a certificate that can be trusted");
   const std::string first = gateway.certificate();
   const std::string status = certs({"status", "--json", "--file", file}, &code);
@@ -803,8 +804,7 @@
   ::kill(pid, SIGHUP);
   wait_until(
       [&] {
-        standin::Gateway other(
-            {tls_port, true, "two.lab.example", there.root(), "voice", milliseconds(20000)});
+        standin::Gateway other({tls_port, true, "two.lab.example", ca.root(), "voice", milliseconds(20000)});
         return other.connect();
       },
       "the second name");
@@ -817,8 +817,8 @@
   EXPECT_NE(log().find("certs.toml: line 1: "), std::string::npos) << log();
 }
 
-// The child process of the kill test: renews and kills itself at step `die_at`; 0: never.
-int renew_and_die(char** arguments) {
+// The child process of the kill test: renews and kills itself at step `kill_at`; 0: never.
+int renew_until_killed(char** arguments) {
   acme::Settings settings;
   settings.directory = arguments[0];
   settings.challenges = {"http-01"};
@@ -830,18 +830,18 @@
   settings.authorities[0].access.directory = arguments[1];
   settings.authorities[0].access.ca_file = arguments[2];
   settings.certificates = {{"sip", {"sip.lab.example"}, "ecdsa-p256"}};
-  const int die_at = std::atoi(arguments[4]);
+  const int kill_at = std::atoi(arguments[4]);
   const Instant now(Seconds(std::atoll(arguments[5])));
   int step = 0;
   acme::Environment environment = acme::Environment::real({});
   environment.now = [now] { return now; };
   environment.step = [&](const char*) {
-    if (++step == die_at) ::raise(SIGKILL);
+    if (++step == kill_at) ::raise(SIGKILL);
   };
   Logger log;
-  acme::CertificateRenewer keeper(settings, log, nullptr, environment);
-  keeper.run_pass();
-  return keeper.statuses()[0].validity ? 0 : 1;
+  acme::CertificateRenewer renewer(settings, log, nullptr, environment);
+  renewer.run_pass();
+  return renewer.statuses()[0].validity ? 0 : 1;
 }
 
 }  // namespace
@@ -849,7 +849,7 @@
 
 int main(int argc, char** argv) {
   if (argc == 8 && std::string_view(argv[1]) == "--renew-and-die")
-    return quartzarch::test::renew_and_die(argv + 2);
+    return quartzarch::test::renew_until_killed(argv + 2);
   ::setenv("RC_PARAMS", "seed=20261201", 1);  // reproducible cases
   ::testing::InitGoogleTest(&argc, argv);
   return RUN_ALL_TESTS();
--- a/tests/installation.hpp
+++ b/tests/installation.hpp
@@ -26,13 +26,13 @@
 constexpr Seconds kHour = std::chrono::hours(1), kDay = std::chrono::hours(24);
 
 // A temporary directory, removed with its contents on destruction.
-class Folder {
+class TemporaryFolder {
  public:
-  Folder() {
+  TemporaryFolder() {
     std::string pattern = (std::filesystem::temp_directory_path() / "acme-XXXXXX").string();
     path = ::mkdtemp(pattern.data());
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
   std::string file(const std::string& name) const { return path + "/" + name; }
   std::string path;
 };
@@ -49,7 +49,7 @@
     settings.certificates = {{"sip", {"sip.lab.example"}, "ecdsa-p256"}};
   }
   // Starts a stand-in authority and enters it in the settings.
-  Authority& authority(standin::Options options = {}) {
+  Authority& start_authority(standin::Options options = {}) {
     Authority::Setup setup;
     setup.options = std::move(options);
     setup.listen = any_port();
@@ -57,51 +57,53 @@
     setup.tls_alpn = tls_alpn;
     setup.now = [this] { return now(); };
     authorities.push_back(std::make_unique<Authority>(std::move(setup)));
-    Authority& made = *authorities.back();
+    Authority& added = *authorities.back();
     auto& access = settings.authorities.at(authorities.size() - 1);
     access.name = "authority " + std::to_string(authorities.size());
-    access.access.directory = made.directory();
+    access.access.directory = added.directory();
     access.access.ca_file = folder.file("roots-" + std::to_string(authorities.size()));
     access.access.http_timeout = milliseconds(20000);
-    std::ofstream(access.access.ca_file) << made.root();
-    return made;
+    std::ofstream(access.access.ca_file) << added.root();
+    return added;
   }
   // An environment with the test's clock, where waiting advances the clock.
   acme::Environment environment() {
-    acme::Environment made;
-    made.now = [this] { return now(); };
-    made.stopped = [] { return false; };
-    made.seed = 42;
-    made.pause = [this](milliseconds how_long) {
-      time += std::chrono::ceil<Seconds>(how_long).count();
+    acme::Environment result;
+    result.now = [this] { return now(); };
+    result.stopped = [] { return false; };
+    result.seed = 42;
+    result.pause = [this](milliseconds duration) {
+      time += std::chrono::ceil<Seconds>(duration).count();
       std::this_thread::sleep_for(milliseconds(2));  // lets the authority validate meanwhile
       return true;
     };
-    made.step = [this](const char* what) {
+    result.step = [this](const char* what) {
       if (on_step) on_step(what);
     };
-    return made;
+    return result;
   }
-  std::unique_ptr<acme::CertificateRenewer> keeper() {
+  std::unique_ptr<acme::CertificateRenewer> make_renewer() {
     return std::make_unique<acme::CertificateRenewer>(settings, log, registry, environment());
   }
   // Runs passes, each at the time that the previous one returned, until `end`; calls `each` after each pass.
-  void run(acme::CertificateRenewer& keeper, Instant end, const std::function<void()>& each = {}) {
+  void run(acme::CertificateRenewer& renewer, Instant end, const std::function<void()>& each = {}) {
     while (now() < end) {
-      const Instant next = keeper.run_pass();
+      const Instant next = renewer.run_pass();
       if (each) each();
-      set(std::min(std::max(next, now() + Seconds(1)), end));
+      set_time(std::min(std::max(next, now() + Seconds(1)), end));
     }
   }
   Instant now() const { return Instant(Seconds(time.load())); }
-  void set(Instant to) { time = to.time_since_epoch().count(); }
+  void set_time(Instant to) { time = to.time_since_epoch().count(); }
   // The log so far.
-  std::string said() const {
+  std::string log_text() const {
     std::fflush(log_file);
     return read_file(folder.file("log"));
   }
   // The contents of a file in the state directory.
-  std::string kept(const std::string& name) const { return read_file(settings.directory + "/" + name); }
+  std::string stored_file(const std::string& name) const {
+    return read_file(settings.directory + "/" + name);
+  }
   std::vector<std::string> files() const {
     std::vector<std::string> names;
     for (const auto& each : std::filesystem::directory_iterator(settings.directory)) {
@@ -110,14 +112,14 @@
     return names;
   }
   // The number of files whose name contains `part`.
-  std::size_t files_with(const std::string& part) const {
+  std::size_t count_files_with(const std::string& part) const {
     const auto all = files();
     return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const std::string& each) {
       return each.find(part) != std::string::npos;
     }));
   }
 
-  Folder folder;
+  TemporaryFolder folder;
   std::atomic<std::int64_t> time{
       std::chrono::floor<Seconds>(std::chrono::system_clock::now()).time_since_epoch().count()};
   std::FILE* log_file = std::fopen(folder.file("log").c_str(), "w");
