--- a/adapter/wire.hpp
+++ b/adapter/wire.hpp
@@ -1,4 +1,5 @@
-// Little-endian records of the simulator's wire, read with bounds checks and written without padding.
+// Reader and writer of the simulator's binary protocol: little-endian records without padding. The reader
+// checks bounds.
 #pragma once
 
 #include <bit>
@@ -11,12 +12,12 @@
 
 namespace quartzarch::wire {
 
-// What was wrong with the input, and where.
+// Malformed input; the message says what is wrong and where.
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
+static_assert(std::endian::native == std::endian::little, "the simulator's protocol is little-endian");
 
 class Reader {
  public:
@@ -30,18 +31,18 @@
     return value;
   }
   std::string_view take(std::size_t count) {
-    if (count > bytes_.size() - at_) {
-      throw WireError("input ends inside a record at byte " + std::to_string(at_) + " of the batch");
+    if (count > bytes_.size() - position_) {
+      throw WireError("input ends inside a record at byte " + std::to_string(position_) + " of the batch");
     }
-    at_ += count;
-    return bytes_.substr(at_ - count, count);
+    position_ += count;
+    return bytes_.substr(position_ - count, count);
   }
-  std::size_t at() const { return at_; }
-  std::size_t left() const { return bytes_.size() - at_; }
+  std::size_t position() const { return position_; }
+  std::size_t remaining() const { return bytes_.size() - position_; }
 
  private:
   std::string_view bytes_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 class Writer {
@@ -54,10 +55,11 @@
     bytes_.append(raw, sizeof value);
     return *this;
   }
+  // A 16-bit length and the text, which is cut to the longest that fits.
   Writer& text(std::string_view value) {
-    const auto shown = value.substr(0, 0xffff);
-    put(static_cast<std::uint16_t>(shown.size()));
-    bytes_.append(shown);
+    const auto truncated = value.substr(0, 0xffff);
+    put(static_cast<std::uint16_t>(truncated.size()));
+    bytes_.append(truncated);
     return *this;
   }
   const std::string& bytes() const { return bytes_; }
