--- a/src/acme/environment.hpp
+++ b/src/acme/environment.hpp
@@ -23,6 +23,7 @@
   // Seed for the random points of the renewal schedules; without it each schedule draws its own.
   std::optional<std::uint64_t> seed{};
 
+  // The system clock and real waits, which `stop` interrupts.
   static Environment real(std::stop_token stop);
 };
 
@@ -30,7 +31,7 @@
 struct Stopped {};
 
 // Called between the steps of a pass: each call renews the lease. Throws Stopped if a stop is requested and
-// LeaseLost if another instance holds the lease.
+// LeaseLost if this instance does not hold the lease any more.
 class Steps {
  public:
   // `max_interval`: the longest time to wait without renewing the lease.
