--- a/src/acme/accounts.cpp
+++ b/src/acme/accounts.cpp
@@ -5,11 +5,12 @@
 namespace quartzarch::acme {
 namespace {
 
-constexpr Seconds kWrongClock = std::chrono::hours(1);
+// A larger difference to the authority's clock means that the local clock is wrong.
+constexpr Seconds kMaxClockDifference = std::chrono::hours(1);
 
 }  // namespace
 
-std::string span_text(Seconds seconds) {
+std::string duration_text(Seconds seconds) {
   const auto count = seconds.count();
   if (count >= 2 * 86400) return std::to_string(count / 86400) + " d";
   if (count >= 2 * 3600) return std::to_string(count / 3600) + " h";
@@ -30,7 +31,7 @@
     try {
       account.key = key_from_pem(pem->view());
     } catch (const CryptoError& error) {
-      store_.put_aside(key_file, error.what());
+      store_.quarantine(key_file, error.what());
     }
   }
   const auto text = store_.read(file(authority, ".json"));
@@ -60,20 +61,20 @@
   Account& account = session->account = load(authority);
   session->client = std::make_unique<Client>(settings.access, environment_.now, environment_.stopped);
   Client& client = *session->client;
-  client.has_renewal_info();  // reads the directory
-  if (const Seconds ahead = client.clock_ahead(); std::chrono::abs(ahead) > kWrongClock) {
-    throw AcmeError(Failure::local, "our clock and the authority's differ by " +
-                                        span_text(std::chrono::abs(ahead)) +
-                                        ": nothing is ordered by a wrong clock");
+  client.has_renewal_info();  // fetches the directory, whose response has the authority's time
+  if (const Seconds difference = client.clock_ahead(); std::chrono::abs(difference) > kMaxClockDifference) {
+    throw AcmeError(Failure::local, "the local clock and the authority's differ by " +
+                                        duration_text(std::chrono::abs(difference)) +
+                                        ": no certificate is ordered with a wrong clock");
   }
   if (!account.key) {
-    // On disk before the authority hears of it: the account is found again by it.
+    // The key is stored before the account is created: after a crash the account is found again by its key.
     account.key = new_key();
     steps_.step("account key");
     store_.write_pem(file(authority, ".key.pem"), pem_of(account.key));
     account.url.clear();
   }
-  client.use(account.key, account.url);
+  client.use_account(account.key, account.url);
   finish_roll_over(authority, *session);
   if (account.url.empty()) {
     steps_.step("new account");
@@ -90,29 +91,30 @@
   return session;
 }
 
-// A rollover that was broken off: the fresh key is on disk, and the authority knows which of the two holds.
+// An interrupted rollover leaves the new key in the store. If the authority has an account with that key, the
+// rollover took effect there and the key replaces the old one; otherwise the new key is removed.
 void Accounts::finish_roll_over(std::size_t authority, Session& session) {
-  const std::string fresh_file = file(authority, ".next.pem");
-  const auto pem = store_.read_pem(fresh_file);
+  const std::string next_key_file = file(authority, ".next.pem");
+  const auto pem = store_.read_pem(next_key_file);
   if (!pem) return;
-  Key fresh;
+  Key next_key;
   try {
-    fresh = key_from_pem(pem->view());
+    next_key = key_from_pem(pem->view());
   } catch (const CryptoError& error) {
-    return store_.put_aside(fresh_file, error.what());
+    return store_.quarantine(next_key_file, error.what());
   }
-  session.client->use(fresh, {});
+  session.client->use_account(next_key, {});
   if (const auto url = session.client->open_account(true)) {
     store_.write_pem(file(authority, ".key.pem"), *pem);
-    session.account.key = std::move(fresh);
+    session.account.key = std::move(next_key);
     session.account.url = *url;
     save(authority, session.account);
   }
-  session.client->use(session.account.key, session.account.url);
-  store_.remove(fresh_file);
+  session.client->use_account(session.account.key, session.account.url);
+  store_.remove(next_key_file);
 }
 
-void Accounts::forget(std::size_t authority) {
+void Accounts::clear_url(std::size_t authority) {
   Account account = load(authority);
   account.url.clear();
   save(authority, account);
@@ -120,12 +122,12 @@
 
 void Accounts::roll_over(std::size_t authority) {
   const auto session = open(authority);
-  Key fresh = new_key();
-  const Secret pem = pem_of(fresh);
+  Key next_key = new_key();
+  const Secret pem = pem_of(next_key);
   steps_.step("next key");
   store_.write_pem(file(authority, ".next.pem"), pem);
   steps_.step("roll over");
-  session->client->roll_over(fresh);
+  session->client->roll_over(next_key);
   steps_.step("rolled over");
   store_.write_pem(file(authority, ".key.pem"), pem);
   store_.remove(file(authority, ".next.pem"));
@@ -133,8 +135,8 @@
 
 void Accounts::deactivate(std::size_t authority) {
   open(authority)->client->deactivate();
-  // The key is of no more use: the next order opens a new account.
-  store_.put_aside(file(authority, ".key.pem"), "the account is deactivated");
+  // The key cannot be used any more: the next order creates a new account with a new key.
+  store_.quarantine(file(authority, ".key.pem"), "the account is deactivated");
   store_.remove(file(authority, ".key.pem"));
   store_.remove(file(authority, ".json"));
 }
--- a/src/acme/certificate_renewer.cpp
+++ b/src/acme/certificate_renewer.cpp
@@ -66,7 +66,7 @@
 // ---- The pass
 
 std::optional<Validity> CertificateRenewer::usable_validity(const Managed& managed) const {
-  if (!managed.leaf || !names_all(managed.leaf, managed.settings.names)) return std::nullopt;
+  if (!managed.leaf || !covers_names(managed.leaf, managed.settings.names)) return std::nullopt;
   return managed.held;
 }
 
@@ -89,7 +89,7 @@
       const bool query_due = managed.held && managed.renewal->window_query_due(now) &&
                              managed.renewal->state().failures == 0 && now < managed.held->ends;
       if (decision.action == Decision::Action::renew || query_due) {
-        if (!have_lease) have_lease = lease_->take(now);
+        if (!have_lease) have_lease = lease_->acquire(now);
         if (!have_lease) {
           next = std::min(next, now + std::min(settings_.lease / 4 + Seconds(1), Seconds(30)));
           continue;
@@ -117,7 +117,7 @@
     next = begun + kRetryAfterError;
   } catch (const Stopped&) {
     next = begun;
-  } catch (const TurnLost&) {
+  } catch (const LeaseLost&) {
     log_.line("certificates: the lease went to another instance");
     next = begun + settings_.lease / 4;
     have_lease = false;
@@ -126,7 +126,7 @@
     next = begun + kRetryAfterError;
   }
   try {
-    if (have_lease) lease_->give_back();
+    if (have_lease) lease_->release();
   } catch (const StateError& error) {
     log_.line("certificates: %s", error.what());
   }
@@ -150,7 +150,7 @@
 }
 
 void CertificateRenewer::sync() {
-  store_->look();
+  store_->apply_updates();
   challenges_.sync(environment_.now());
   const Instant now = environment_.now();
   for (Managed& managed : managed_) {
@@ -167,14 +167,14 @@
       try {
         Certificate leaf = first_certificate(pem->view());
         const Validity validity = validity_of(leaf);
-        if (!belongs_to(leaf, key_from_pem(pem->view())))
+        if (!matches_key(leaf, key_from_pem(pem->view())))
           throw CryptoError("the private key does not match the certificate");
         if (registry_) registry_->put(managed.settings.id, pem->view());
         managed.leaf = std::move(leaf);
         managed.held = validity;
       } catch (const std::runtime_error& error) {
         // The certificate loaded before stays in use; the bad file is kept aside for inspection.
-        store_->put_aside(name, error.what());
+        store_->quarantine(name, error.what());
         managed.current_stamp.clear();
       }
     }
@@ -216,7 +216,8 @@
               because.c_str());
   } else {
     log_.line("%scertificate %s: %s, ends %s, in %s%s", serious ? "ALARM " : "", id, name_of(alarm),
-              date(managed.held->ends).c_str(), span_text(managed.held->ends - now).c_str(), because.c_str());
+              date(managed.held->ends).c_str(), duration_text(managed.held->ends - now).c_str(),
+              because.c_str());
   }
 }
 
@@ -281,7 +282,7 @@
     return {};
   } catch (const AcmeError& error) {
     why = error.why, retry = error.retry_after, what = error.what();
-    if (error.type == "accountDoesNotExist") accounts_.forget(authority);
+    if (error.type == "accountDoesNotExist") accounts_.clear_url(authority);
   } catch (const HttpError& error) {
     why = Failure::unreachable, what = error.what();
   } catch (const CryptoError& error) {
@@ -296,7 +297,7 @@
   const Instant next = managed.renewal->state().next.value_or(now);
   log_.line("certificate %s: not renewed by %s (%s): %s; next attempt in %s", managed.settings.id.c_str(),
             settings_.authorities[authority].name.c_str(), name_of(why), what.c_str(),
-            span_text(next - now).c_str());
+            duration_text(next - now).c_str());
   save_schedule(managed);
   return what;
 }
@@ -342,7 +343,7 @@
 
 std::string CertificateRenewer::with_lease(const std::function<void()>& action) {
   try {
-    for (int tries = 0; !lease_->take(environment_.now()); ++tries) {
+    for (int tries = 0; !lease_->acquire(environment_.now()); ++tries) {
       const auto holder = lease_->holder(environment_.now());
       if (tries >= kMaxLeaseAttempts || !environment_.pause(milliseconds(1000))) {
         return "another instance holds the lease (" + (holder ? holder->name : std::string("unknown")) + ")";
@@ -353,12 +354,12 @@
       action();
     } catch (const Stopped&) {
       failure = "stopped";
-    } catch (const TurnLost&) {
+    } catch (const LeaseLost&) {
       failure = "the lease went to another instance";
     } catch (const std::runtime_error& error) {
       failure = error.what();
     }
-    lease_->give_back();
+    lease_->release();
     return failure;
   } catch (const StateError& error) {
     return error.what();
--- a/src/acme/challenges.cpp
+++ b/src/acme/challenges.cpp
@@ -57,14 +57,14 @@
       // Left behind by an instance that crashed. Without the lease it cannot be removed here.
       try {
         store_.remove(each);
-      } catch (const TurnLost&) {
+      } catch (const LeaseLost&) {
       }
       continue;
     }
     if (challenge->type == "tls-alpn-01") {
       if (registry_) {
-        registry_->add_challenge(challenge->name,
-                                 challenge_identity(challenge->name, challenge->authorization).view());
+        registry_->add_challenge(
+            challenge->name, create_challenge_certificate(challenge->name, challenge->authorization).view());
       }
     } else if (settings_.http01) {
       try {
--- a/src/acme/issuing.cpp
+++ b/src/acme/issuing.cpp
@@ -29,7 +29,7 @@
   const auto text = store_.read(record_of(id));
   if (!text) return std::nullopt;
   auto record = parse_order(*text);
-  if (!record) store_.put_aside(record_of(id), "not an order record");
+  if (!record) store_.quarantine(record_of(id), "not an order record");
   return record;
 }
 
@@ -58,7 +58,7 @@
     // before removing the order.
     const auto pem = store_.read_pem(record->key_file);
     if (pem && pem->view().find("PRIVATE KEY") != std::string_view::npos &&
-        belongs_to(request.leaf, key_from_pem(pem->view()))) {
+        matches_key(request.leaf, key_from_pem(pem->view()))) {
       return {*record, {}, {}};
     }
   }
@@ -135,7 +135,7 @@
         // The order of an earlier attempt has failed meanwhile; this attempt starts over with a new one.
         if (resumed && !authorized && !record->finalized) return issue(request, authority);
         throw AcmeError(reply.error ? reply.error->failure() : Failure::rejected,
-                        "the order failed" + (reply.error ? ": " + reply.error->plain() : std::string()));
+                        "the order failed" + (reply.error ? ": " + reply.error->to_line() : std::string()));
     }
   }
 }
@@ -145,7 +145,7 @@
     try {
       return key_from_pem(pem->view());
     } catch (const CryptoError& error) {
-      store_.put_aside(record.key_file, error.what());
+      store_.quarantine(record.key_file, error.what());
     }
   }
   if (record.finalized) {
@@ -208,7 +208,7 @@
   const auto rejected = [&] {
     std::string why;
     for (const Challenge& each : authorization.challenges) {
-      if (each.error) why += ": " + each.type + ": " + each.error->plain();
+      if (each.error) why += ": " + each.type + ": " + each.error->to_line();
     }
     return AcmeError(Failure::rejected,
                      "the authorization of " + authorization.name + " is " + authorization.status + why);
@@ -234,7 +234,7 @@
         issuing.challenges_.withdraw(issuing.steps_.now(), name);
       } catch (const StateError& error) {
         issuing.log_.line("certificates: %s", error.what());
-      } catch (const TurnLost&) {
+      } catch (const LeaseLost&) {
         // The instance that holds the lease now finds the challenge, which also expires.
       }
     }
@@ -246,7 +246,7 @@
   const WithdrawOnExit withdraw_on_exit{*this, name};
   steps_.wait(settings_.publish_delay);
   steps_.step("challenge put up");
-  if (chosen->status != "processing") client.answer(chosen->url);
+  if (chosen->status != "processing") client.respond_to_challenge(chosen->url);
   steps_.step("challenge asked for");
   for (milliseconds waited{0};;) {
     authorization = client.authorization(url);
@@ -266,7 +266,7 @@
   std::string chain =
       session.client->chain(view.certificate, settings_.authorities[record.authority].preferred_issuer);
   steps_.step("fetched");
-  const std::string defect = unsound(chain, key, record.names, steps_.now(), request.held);
+  const std::string defect = chain_defect(chain, key, record.names, steps_.now(), request.held);
   if (!defect.empty()) {
     // The chain may have been truncated in transit; if it is unusable again, the order is abandoned.
     if (++record.fetches >= kMaxChainFetches) {
--- a/src/certificates.hpp
+++ b/src/certificates.hpp
@@ -1,5 +1,5 @@
-// Certificates of a serving process: runs the ACME keeper, which obtains and renews them, on a thread of its
-// own and makes them available to the TLS port.
+// The certificates of a serving process: runs the certificate renewer on a thread of its own and provides the
+// registry of certificates for the TLS port.
 #pragma once
 
 #include <atomic>
@@ -16,41 +16,43 @@
 
 class Certificates : public CertificateManager {
  public:
-  // Makes the store of a keeper's state, once for each new keeper. `stopped`: whether operations that wait
-  // should give up.
-  using StoreFactory =
+  // Opens the shared state of a renewer; called for each new renewer. `stopped` ends the waits inside it.
+  using OpenState =
       std::function<acme::SharedState(const acme::Settings& settings, std::function<bool()> stopped)>;
 
-  // Throws ConfigError if the file is invalid, std::runtime_error if the stored state cannot be trusted.
-  // `tls_port`: whether the process has a TLS port, which the challenge tls-alpn-01 needs. `make_store`:
-  // empty to store the state in the directory of the settings.
-  Certificates(Logger& log, const std::string& path, bool tls_port, StoreFactory make_store = {});
+  // Throws ConfigError if the settings file is invalid, std::runtime_error if the stored state cannot be
+  // trusted. `tls_port`: whether the process has a TLS port, on which it can answer tls-alpn-01 challenges.
+  // `open_state`: empty for the state directory of the settings.
+  Certificates(Logger& log, const std::string& path, bool tls_port, OpenState open_state = {});
   ~Certificates() override { stop(); }
 
-  // Reads the settings file. Throws ConfigError.
+  // Reads a settings file. Throws ConfigError.
   static acme::Settings read(const std::string& path);
 
   const std::string& path() const override { return path_; }
   std::shared_ptr<tls::Registry> registry() const override { return registry_; }
   void start() override;
+  // Reads the settings file again and returns a function that puts it into force. Throws ConfigError.
   std::function<void()> reload() override;
   void stop() override { thread_.request_stop(); }
 
  private:
-  std::unique_ptr<acme::CertificateRenewer> make_keeper(acme::Settings settings, std::stop_token round) const;
-  // Hands new settings to the thread, which restarts the keeper with them.
+  std::unique_ptr<acme::CertificateRenewer> make_renewer(acme::Settings settings,
+                                                         std::stop_token run_token) const;
+  // Ends the run of the renewer in use; run() then replaces it by one with these settings.
   void replace_settings(acme::Settings settings);
+  // Runs renewers one after the other until `stop` is requested.
   void run(const std::stop_token& stop);
 
   Logger& log_;
   std::string path_;
-  StoreFactory make_store_;
+  OpenState open_state_;
   std::shared_ptr<tls::Registry> registry_ = std::make_shared<tls::Registry>();
   std::mutex mutex_;
-  std::optional<acme::Settings> new_settings_{};
-  std::stop_source round_{};  // stopped when new settings arrive or the thread is stopped
-  std::unique_ptr<acme::CertificateRenewer> keeper_{};
-  std::jthread thread_{};  // last member: joined before the members it uses are destroyed
+  std::optional<acme::Settings> pending_settings_{};  // reloaded settings that are not in use yet
+  std::stop_source run_stop_{};  // ends the renewer's run when new settings arrive or the thread must stop
+  std::unique_ptr<acme::CertificateRenewer> renewer_{};
+  std::jthread thread_{};  // last member: joined before the members that it uses are destroyed
 };
 
 }  // namespace quartzarch
--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -101,7 +101,7 @@
   const acme::Key key = acme::key_from_pem(text);
   const auto names = acme::names_of(leaf);
   const auto now = std::chrono::floor<acme::Seconds>(std::chrono::system_clock::now());
-  const std::string problem = acme::unsound(text, key, names, now, std::nullopt);
+  const std::string problem = acme::chain_defect(text, key, names, now, std::nullopt);
   if (json) {
     std::printf("{\"file\":%s,\"sound\":%s,\"wrong\":%s,\"names\":%s,\"ends\":\"%s\"}\n",
                 json_quoted(path).c_str(), problem.empty() ? "true" : "false", json_quoted(problem).c_str(),
