--- a/standin/gateway/gateway.cpp
+++ b/standin/gateway/gateway.cpp
@@ -14,6 +14,7 @@
 namespace quartzarch::standin {
 namespace {
 
+// Numbers the gateways of this process, so that their Call-IDs differ.
 std::atomic<std::uint64_t> last_gateway{0};
 
 }  // namespace
@@ -30,7 +31,7 @@
   context_.reset(SSL_CTX_new(TLS_client_method()));
   SSL_CTX_set_session_cache_mode(context_.get(), SSL_SESS_CACHE_CLIENT | SSL_SESS_CACHE_NO_INTERNAL);
   SSL_CTX_set_app_data(context_.get(), this);
-  // The last ticket is kept for the next connection.
+  // Keeps the last session ticket for the next connection.
   SSL_CTX_sess_set_new_cb(context_.get(), [](SSL* ssl, SSL_SESSION* session) {
     auto& self = *static_cast<Gateway*>(SSL_CTX_get_app_data(SSL_get_SSL_CTX(ssl)));
     SSL_SESSION_free(std::exchange(self.session_, session));
@@ -127,7 +128,8 @@
     if (!message) break;
     if (!message->starts_with("SIP/2.0 ")) {
       if (message->starts_with("ACK ")) continue;
-      // A call that is over: the answer repeats what must match (RFC 3261, 8.2.6).
+      // A request from the server, such as the BYE of an ended call. The response copies the headers that
+      // RFC 3261, 8.2.6 requires.
       std::string answer = "SIP/2.0 200 OK\r\n";
       for (const char* const name : {"Via", "From", "To", "Call-ID", "CSeq"}) {
         answer += std::string(name) + ": " + header_of(*message, name) + "\r\n";
--- a/standin/gateway/gateway.hpp
+++ b/standin/gateway/gateway.hpp
@@ -1,5 +1,5 @@
-// A stand-in campus gateway: SIP over TCP or TLS (RFC 3261), one connection, one call at a time. It blocks;
-// run it on a thread of its own.
+// A simulated campus gateway: a SIP client over TCP or TLS (RFC 3261) with one connection and one call at a
+// time. Its functions block, so run it on its own thread.
 #pragma once
 
 #include <netinet/in.h>
@@ -20,38 +20,41 @@
   struct Options {
     sockaddr_in to{};
     bool tls = false;
-    std::string server_name{};  // asked for by SNI, and what the certificate must name; empty: not checked
-    std::string roots{};        // PEM: whom to trust; empty: anybody
+    std::string server_name{};  // sent as SNI and required in the certificate; empty: neither
+    std::string roots{};        // trusted roots in PEM; empty: the certificate is not verified
     std::string call_class{};
     std::chrono::milliseconds patience = std::chrono::seconds(10);
   };
   explicit Gateway(Options options);
   ~Gateway();
 
-  // False if there is no connection, or no certificate that can be trusted; why() tells.
+  // Returns false if the connection or the TLS handshake fails, also for an untrusted certificate; why() has
+  // the reason.
   bool connect();
   bool connected() const { return static_cast<bool>(fd_); }
   void close();
-  // The certificate that the server showed, as SHA-256 in hex, and whether the session was resumed.
+  // SHA-256 fingerprint, in hex, of the certificate that the server presented.
   const std::string& certificate() const { return certificate_; }
+  // Whether the TLS session was resumed.
   bool resumed() const { return resumed_; }
   const std::string& why() const { return why_; }
 
   struct Outcome {
-    int status = 0;  // of the final response; 0: none came
+    int status = 0;  // of the final response; 0: none arrived
     std::chrono::microseconds took{};
     std::optional<std::string> retry_after{};
-    std::string to{};  // the To header with its tag, for what follows inside the dialog
+    std::string to{};  // the To header with its tag, for later requests in the dialog
     std::string call_id{};
   };
-  // An INVITE to `number`, and the ACK of its final response.
+  // Sends an INVITE to `number`, waits for the final response and acknowledges it with ACK.
   Outcome invite(const std::string& number);
-  // Ends a call that stands; the status of the response.
+  // Ends an established call with BYE; returns the status of the response, or 0 if none arrived.
   int bye(const Outcome& call, const std::string& number);
 
  private:
   bool say(const std::string& bytes);
-  // The next response to `method` of `call_id` with a final status; requests on the way (BYE) are answered.
+  // Reads until the final response to `method` of `call_id`. Requests that arrive in the meantime (BYE) are
+  // answered with 200. Closes the connection and returns an empty string if no response arrives.
   std::string final_response(const std::string& method, const std::string& call_id);
   std::optional<std::string> next_message();
   std::string request(const std::string& method, const std::string& number, const std::string& call_id,
@@ -62,13 +65,13 @@
   Fd fd_{};
   std::unique_ptr<SSL_CTX, tls::FreeSsl> context_{};
   std::unique_ptr<SSL, tls::FreeSsl> ssl_{};
-  SSL_SESSION* session_ = nullptr;  // for a resumption
+  SSL_SESSION* session_ = nullptr;  // of the last session ticket, for resumption
   std::string input_{}, certificate_{}, why_{}, local_{};
   bool resumed_ = false;
   std::uint64_t last_ = 0;
 };
 
-// The value of a header, by its full name; empty if it is not there.
+// Returns the value of a header, by its full name; empty if the message has no such header.
 std::string header_of(const std::string& message, const std::string& name);
 
 }  // namespace quartzarch::standin
--- a/standin/gateway/main.cpp
+++ b/standin/gateway/main.cpp
@@ -1,4 +1,5 @@
-// standin_gateway: a stand-in campus gateway as a program: calls one after another over SIP and TCP or TLS.
+// standin_gateway: a program that simulates a campus gateway. It makes calls one after another over SIP on
+// TCP or TLS, each on a new connection, and exits with status 1 if any call failed.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -29,7 +30,7 @@
   CLI11_PARSE(app, argc, argv);
   const auto address = parse_address(to);
   if (!address || ntohl(address->sin_addr.s_addr) >> 24 != 127) {
-    std::fprintf(stderr, "%s is no loopback address\n", to.c_str());
+    std::fprintf(stderr, "%s is not a loopback address\n", to.c_str());
     return 2;
   }
   options.to = *address;
--- a/standin/node/node.cpp
+++ b/standin/node/node.cpp
@@ -5,6 +5,7 @@
 namespace quartzarch::standin {
 namespace {
 
+// How often the thread checks for a stop request.
 constexpr Duration kLook = std::chrono::milliseconds(10);
 
 StartUp start_up(const Node::Options& options) {
--- a/standin/node/node.hpp
+++ b/standin/node/node.hpp
@@ -1,5 +1,5 @@
-// The program's own parts - planner, SIP front, loop - in a thread, for tests and measurements that need it
-// whole and in one process with its peers.
+// Runs a complete controller node (event loop, planner and SIP front end) on a thread, for tests and
+// benchmarks that need the node and its peers in one process.
 #pragma once
 
 #include <atomic>
@@ -16,17 +16,17 @@
 class Node {
  public:
   struct Options {
-    std::vector<sockaddr_in> servers{};  // setup servers, numbered from 0
-    sip::Listening listening{};          // port 0: any
+    std::vector<sockaddr_in> servers{};  // setup servers; the index is the server's number
+    sip::Listening listening{};          // port 0: the system chooses a free port
     std::vector<std::string> class_names{"voice"};
     Duration aim = std::chrono::milliseconds(1500), deadline = std::chrono::seconds(20);
   };
-  // Returns once it serves.
+  // Returns once the SIP ports are open.
   Node(const Options& options, Logger& log);
   ~Node();
 
   sockaddr_in address(sip::TransportKind kind) const;
-  // The longest that one pass has kept the loop busy, since it was asked last.
+  // Longest time that a single pass of the event loop took since the previous call; resets the maximum.
   std::chrono::microseconds take_longest_pass() { return std::chrono::microseconds(longest_us_.exchange(0)); }
 
  private:
@@ -35,7 +35,7 @@
   std::atomic<std::uint16_t> udp_ = 0, tcp_ = 0, tls_ = 0;
   std::atomic<bool> serves_ = false;
   std::atomic<std::int64_t> longest_us_ = 0;
-  std::jthread thread_;  // last: ends before what it uses
+  std::jthread thread_;  // declared last, so that it is joined before the members it uses are destroyed
 };
 
 }  // namespace quartzarch::standin
--- a/standin/setup_server/main.cpp
+++ b/standin/setup_server/main.cpp
@@ -1,4 +1,5 @@
-// standin_setup_server: a stand-in setup server as a program, on loopback.
+// standin_setup_server: a program that runs a simulated setup server on a loopback address until SIGTERM or
+// SIGINT, then prints its counters.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -20,7 +21,7 @@
   CLI11_PARSE(app, argc, argv);
   const auto address = parse_address(listen);
   if (!address || ntohl(address->sin_addr.s_addr) >> 24 != 127) {
-    std::fprintf(stderr, "%s is no loopback address\n", listen.c_str());
+    std::fprintf(stderr, "%s is not a loopback address\n", listen.c_str());
     return 2;
   }
   options.listen = *address;
--- a/standin/setup_server/setup_server.cpp
+++ b/standin/setup_server/setup_server.cpp
@@ -8,7 +8,9 @@
 namespace quartzarch::standin {
 namespace {
 
+// Release causes of the protocol: processor full, error, normal end of a call.
 constexpr int kFull = 34, kError = 47, kOver = 16;
+// How often the thread checks for a stop request.
 constexpr Duration kLook = std::chrono::milliseconds(20);
 
 }  // namespace
@@ -40,7 +42,7 @@
 void SetupServer::on_disconnected(Stream& stream, DisconnectReason) {
   const auto found = streams_.find(&stream);
   if (found == streams_.end()) return;
-  // The set-ups open on a connection are given up with it; a call that stands belongs to none.
+  // Pending set-ups are abandoned with their connection; an established call is not bound to a connection.
   std::erase_if(calls_, [&](auto& item) {
     const auto on = item.second.stream.lock();
     if (item.second.stands || on.get() != &stream) return false;
@@ -62,6 +64,7 @@
   }
 }
 
+// The load report in the server's messages: utilization and the queue's length in ms of work.
 std::string SetupServer::load() const {
   const auto queue = std::max(free_at_ - loop_.now(), Duration{0}) / std::chrono::milliseconds(1);
   const double util = free_at_ > loop_.now() ? 0.9 : 0.3;
--- a/standin/setup_server/setup_server.hpp
+++ b/standin/setup_server/setup_server.hpp
@@ -1,5 +1,6 @@
-// A stand-in setup server on loopback: the platform's JSON lines, and a processor with one line that works
-// set-ups, answers and releases off in turn. It has a thread of its own.
+// A simulated setup server for tests and benchmarks. It listens on a loopback address, speaks the platform's
+// protocol of one JSON object per line, and models a processor with a single first-in-first-out queue of
+// set-ups and releases. It runs on its own thread.
 #pragma once
 
 #include <netinet/in.h>
@@ -19,17 +20,20 @@
 class SetupServer : private IoHandler, private Stream::Owner {
  public:
   struct Options {
-    sockaddr_in listen{};  // port 0: any
+    sockaddr_in listen{};  // port 0: the system chooses a free port
     Duration set_up_work = std::chrono::milliseconds(2);
     Duration release_work = std::chrono::microseconds(200);
-    Duration holding = std::chrono::seconds(3);        // after which a call ends by itself; 0: never
-    Duration longest_queue = std::chrono::seconds(2);  // a set-up that would wait longer is turned away: full
-    double error_share = 0;                            // of sound set-ups that get 'error' at once
+    // Time from the acceptance of a call until the server ends it; 0: the server never ends a call.
+    Duration holding = std::chrono::seconds(3);
+    // A set-up that would wait longer than this in the queue is rejected with cause 'full'.
+    Duration longest_queue = std::chrono::seconds(2);
+    double error_share = 0;  // share of well-formed set-ups that are rejected at once with cause 'error'
     std::uint64_t seed = 1;
   };
+  // Totals since the start; read by other threads while the server runs.
   struct Counts {
     std::atomic<std::uint64_t> offers{}, stood{}, errors{}, full{}, given_up{}, ended{};
-    std::atomic<std::uint64_t> doubled{};  // offers of a call that is here already: must stay 0
+    std::atomic<std::uint64_t> doubled{};  // offers of a call that this server already has: must stay 0
     std::atomic<std::int64_t> longest_wait_us{};
   };
 
@@ -56,7 +60,7 @@
   void offer(Stream& stream, const std::string& call);
   void say(Stream& stream, const std::string& op, const std::string& call, const std::string& rest);
   std::string load() const;
-  // When a piece of work that is queued now will be done.
+  // Adds a job of this length to the processor's queue and returns the time at which it will be finished.
   Time work(Duration how_long);
 
   Options options_;
@@ -67,7 +71,7 @@
   Time free_at_{};
   std::mt19937_64 random_;
   Counts counts_{};
-  std::jthread thread_;  // last: ends before what it uses
+  std::jthread thread_;  // declared last, so that it is joined before the members it uses are destroyed
 };
 
 }  // namespace quartzarch::standin
