--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -66,7 +66,7 @@
     const sockaddr_in any = *parse_address("127.0.0.1:0");
     standin::SetupServer::Options server_options;
     server_options.listen = any;
-    server_options.set_up_work = milliseconds(2);
+    server_options.setup_work = milliseconds(2);
     standin::SetupServer server(server_options);
     const auto registry = std::make_shared<tls::Registry>();
     standin::Node::Options node_options;
--- a/bench/duty.cpp
+++ b/bench/duty.cpp
@@ -436,7 +436,7 @@
   std::filesystem::create_directory(directory + "/without");
   standin::SetupServer::Options options;
   options.listen = *parse_address("127.0.0.1:0");
-  options.set_up_work = milliseconds(1);
+  options.setup_work = milliseconds(1);
   standin::SetupServer server(options);
   std::vector<double> with, without;
   int failed = 0, elections = 0;
--- a/standin/setup_server/main.cpp
+++ b/standin/setup_server/main.cpp
@@ -25,8 +25,8 @@
     return 2;
   }
   options.listen = *address;
-  options.set_up_work = std::chrono::milliseconds(work_ms);
-  options.holding = std::chrono::milliseconds(holding_ms);
+  options.setup_work = std::chrono::milliseconds(work_ms);
+  options.call_duration = std::chrono::milliseconds(holding_ms);
   sigset_t set;
   sigemptyset(&set);
   sigaddset(&set, SIGTERM);
@@ -38,10 +38,11 @@
   int signal = 0;
   sigwait(&set, &signal);
   const auto& counts = server.counts();
-  std::printf("offers %llu, stood %llu, errors %llu, full %llu, given up %llu, ended %llu, doubled %llu\n",
-              static_cast<unsigned long long>(counts.offers), static_cast<unsigned long long>(counts.stood),
-              static_cast<unsigned long long>(counts.errors), static_cast<unsigned long long>(counts.full),
-              static_cast<unsigned long long>(counts.given_up), static_cast<unsigned long long>(counts.ended),
-              static_cast<unsigned long long>(counts.doubled));
+  std::printf(
+      "offers %llu, stood %llu, errors %llu, full %llu, given up %llu, ended %llu, doubled %llu\n",
+      static_cast<unsigned long long>(counts.offers), static_cast<unsigned long long>(counts.accepted),
+      static_cast<unsigned long long>(counts.errors), static_cast<unsigned long long>(counts.rejected_full),
+      static_cast<unsigned long long>(counts.abandoned), static_cast<unsigned long long>(counts.ended),
+      static_cast<unsigned long long>(counts.duplicate_offers));
   return 0;
 }
--- a/standin/setup_server/setup_server.cpp
+++ b/standin/setup_server/setup_server.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // Release causes of the protocol: processor full, error, normal end of a call.
-constexpr int kFull = 34, kError = 47, kOver = 16;
+constexpr int kCauseFull = 34, kCauseError = 47, kCauseEnded = 16;
 // How often the thread checks for a stop request.
-constexpr Duration kLook = std::chrono::milliseconds(20);
+constexpr Duration kStopPollInterval = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -19,7 +19,7 @@
     : options_(options), acceptor_(loop_, listen_on(options.listen)), random_(options.seed) {
   loop_.watch(*this, Priority::callers);
   thread_ = std::jthread([this](const std::stop_token& stop) {
-    while (!stop.stop_requested()) loop_.pass(kLook);
+    while (!stop.stop_requested()) loop_.pass(kStopPollInterval);
   });
 }
 
@@ -35,7 +35,7 @@
     auto stream =
         std::make_shared<Stream>(loop_, std::move(fd), static_cast<Stream::Owner&>(*this), Priority::callers);
     streams_[stream.get()] = stream;
-    say(*stream, "group", std::string(16, '0'), "\"with\":{\"load\":" + load() + "}");
+    send_message(*stream, "group", std::string(16, '0'), "\"with\":{\"load\":" + load_report() + "}");
   }
 }
 
@@ -45,9 +45,9 @@
   // Pending set-ups are abandoned with their connection; an established call is not bound to a connection.
   std::erase_if(calls_, [&](auto& item) {
     const auto on = item.second.stream.lock();
-    if (item.second.stands || on.get() != &stream) return false;
-    loop_.cancel(item.second.next);
-    ++counts_.given_up;
+    if (item.second.established || on.get() != &stream) return false;
+    loop_.cancel(item.second.timer);
+    ++counts_.abandoned;
     return true;
   });
   loop_.keep_until_pass_end(found->second);
@@ -59,70 +59,75 @@
     const std::string_view input = stream.input();
     const auto end = input.find('\n');
     if (end == std::string_view::npos) return;
-    take(stream, input.substr(0, end));
+    handle_message(stream, input.substr(0, end));
     stream.consume(end + 1);
   }
 }
 
 // The load report in the server's messages: utilization and the queue's length in ms of work.
-std::string SetupServer::load() const {
-  const auto queue = std::max(free_at_ - loop_.now(), Duration{0}) / std::chrono::milliseconds(1);
-  const double util = free_at_ > loop_.now() ? 0.9 : 0.3;
+std::string SetupServer::load_report() const {
+  const auto queue = std::max(busy_until_ - loop_.now(), Duration{0}) / std::chrono::milliseconds(1);
+  const double util = busy_until_ > loop_.now() ? 0.9 : 0.3;
   return "\"x0:100;x1:200;util:" + std::to_string(util) + ";queue:" + std::to_string(queue) + "\"";
 }
 
-void SetupServer::say(Stream& stream, const std::string& op, const std::string& call,
-                      const std::string& rest) {
+void SetupServer::send_message(Stream& stream, const std::string& op, const std::string& call,
+                               const std::string& rest) {
   stream.send({"{\"op\":\"" + op + "\",\"call\":\"" + call + "\"," + rest + "}\n", {}, 0});
 }
 
-Time SetupServer::work(Duration how_long) {
-  free_at_ = std::max(free_at_, loop_.now()) + how_long;
-  return free_at_;
+Time SetupServer::enqueue_work(Duration how_long) {
+  busy_until_ = std::max(busy_until_, loop_.now()) + how_long;
+  return busy_until_;
 }
 
 void SetupServer::offer(Stream& stream, const std::string& call) {
   ++counts_.offers;
   if (calls_.count(call) > 0) {
-    ++counts_.doubled;
+    ++counts_.duplicate_offers;
     return;
   }
   if (options_.error_share > 0 &&
       std::uniform_real_distribution<double>(0, 1)(random_) < options_.error_share) {
     ++counts_.errors;
-    return say(stream, "end", call, "\"with\":{\"load\":" + load() + "},\"why\":" + std::to_string(kError));
+    return send_message(stream, "end", call,
+                        "\"with\":{\"load\":" + load_report() + "},\"why\":" + std::to_string(kCauseError));
   }
-  const Duration wait = std::max(free_at_ - loop_.now(), Duration{0});
-  counts_.longest_wait_us =
-      std::max<std::int64_t>(counts_.longest_wait_us, wait / std::chrono::microseconds(1));
-  if (wait > options_.longest_queue) {
-    ++counts_.full;
-    work(options_.release_work);
-    return say(stream, "end", call,
-               "\"with\":{\"load\":" + load() + ",\"note\":\"swamped\"},\"why\":" + std::to_string(kFull));
+  const Duration wait = std::max(busy_until_ - loop_.now(), Duration{0});
+  counts_.max_queue_wait_us =
+      std::max<std::int64_t>(counts_.max_queue_wait_us, wait / std::chrono::microseconds(1));
+  if (wait > options_.max_queue_wait) {
+    ++counts_.rejected_full;
+    enqueue_work(options_.release_work);
+    return send_message(stream, "end", call,
+                        "\"with\":{\"load\":" + load_report() +
+                            ",\"note\":\"swamped\"},\"why\":" + std::to_string(kCauseFull));
   }
   Call& made = calls_[call];
   made.stream = streams_.at(&stream);
-  made.next = loop_.at(work(options_.set_up_work), [this, call] {
-    Call& standing = calls_.at(call);
-    const auto on = standing.stream.lock();
+  made.timer = loop_.at(enqueue_work(options_.setup_work), [this, call] {
+    Call& current = calls_.at(call);
+    const auto on = current.stream.lock();
     if (!on) return;
-    standing.stands = true;
-    ++counts_.stood;
-    say(*on, "accept", call, "\"with\":{\"load\":" + load() + "},\"desc\":\"v=0\\r\\ns=stand-in\\r\\n\"");
-    if (options_.holding == Duration{0}) return;
-    standing.next = loop_.at(loop_.now() + options_.holding, [this, call] {
+    current.established = true;
+    ++counts_.accepted;
+    send_message(*on, "accept", call,
+                 "\"with\":{\"load\":" + load_report() + "},\"desc\":\"v=0\\r\\ns=stand-in\\r\\n\"");
+    if (options_.call_duration == Duration{0}) return;
+    current.timer = loop_.at(loop_.now() + options_.call_duration, [this, call] {
       const auto there = calls_.at(call).stream.lock();
       calls_.erase(call);
-      work(options_.release_work);
+      enqueue_work(options_.release_work);
       ++counts_.ended;
       Stream* const to = there ? there.get() : streams_.empty() ? nullptr : streams_.begin()->first;
-      if (to) say(*to, "end", call, "\"with\":{\"load\":" + load() + "},\"why\":" + std::to_string(kOver));
+      if (to)
+        send_message(*to, "end", call,
+                     "\"with\":{\"load\":" + load_report() + "},\"why\":" + std::to_string(kCauseEnded));
     });
   });
 }
 
-void SetupServer::take(Stream& stream, std::string_view line) {
+void SetupServer::handle_message(Stream& stream, std::string_view line) {
   simdjson::dom::parser parser;
   simdjson::dom::element message;
   std::string_view op, call;
@@ -131,14 +136,14 @@
     return stream.close();
   }
   if (op == "offer") return offer(stream, std::string(call));
-  if (op == "test") return say(stream, "tested", std::string(call), "\"with\":{},\"why\":1");
+  if (op == "test") return send_message(stream, "tested", std::string(call), "\"with\":{},\"why\":1");
   if (op != "end") return;
   const auto found = calls_.find(std::string(call));
   if (found == calls_.end()) return;
-  ++(found->second.stands ? counts_.ended : counts_.given_up);
-  loop_.cancel(found->second.next);
+  ++(found->second.established ? counts_.ended : counts_.abandoned);
+  loop_.cancel(found->second.timer);
   calls_.erase(found);
-  work(options_.release_work);
+  enqueue_work(options_.release_work);
 }
 
 }  // namespace quartzarch::standin
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -681,7 +681,7 @@
   EXPECT_EQ(failed, 0);
   EXPECT_EQ(there.counts().certificates, 4);
   EXPECT_GE(seen.size(), 3u) << "new handshakes did not see the new certificates";
-  EXPECT_EQ(server.counts().doubled, 0u);
+  EXPECT_EQ(server.counts().duplicate_offers, 0u);
 }
 
 // ---- Settings
--- a/tests/duty_faults_test.cpp
+++ b/tests/duty_faults_test.cpp
@@ -107,7 +107,7 @@
 TEST_F(DutyFaults, ARollingRestartUnderLoadFailsNoCallAndKeepsTheHolder) {
   standin::SetupServer::Options options;
   options.listen = any_port();
-  options.set_up_work = milliseconds(0);
+  options.setup_work = milliseconds(0);
   standin::SetupServer server(options);
   setup_server = server.address();
   lease_ms = 10000;
@@ -139,7 +139,7 @@
     complete_call(restarted);
   }
   EXPECT_EQ(count_holdings(), 1u) << "the duty changed hands although its holder lived";
-  EXPECT_EQ(server.counts().doubled, 0u);
+  EXPECT_EQ(server.counts().duplicate_offers, 0u);
   EXPECT_GT(last_call_ - 0xaa00, 30u);
 }
 
