--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -53,7 +53,7 @@
     if (outcome.status == 200) gateway.bye(outcome, "7f3a");
     const std::lock_guard lock(calls.mutex);
     if (outcome.status != 200) ++calls.failed;
-    calls.took_ms.push_back(static_cast<double>(outcome.took.count()) / 1000);
+    calls.took_ms.push_back(static_cast<double>(outcome.response_time.count()) / 1000);
   }
 }
 
--- a/standin/gateway/gateway.cpp
+++ b/standin/gateway/gateway.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // Numbers the gateways of this process, so that their Call-IDs differ.
-std::atomic<std::uint64_t> last_gateway{0};
+std::atomic<std::uint64_t> gateway_count{0};
 
 }  // namespace
 
@@ -26,7 +26,7 @@
   return message.substr(begin, message.find("\r\n", begin) - begin);
 }
 
-Gateway::Gateway(Options options) : options_(std::move(options)), last_(++last_gateway << 32) {
+Gateway::Gateway(Options options) : options_(std::move(options)), last_call_number_(++gateway_count << 32) {
   if (!options_.tls) return;
   context_.reset(SSL_CTX_new(TLS_client_method()));
   SSL_CTX_set_session_cache_mode(context_.get(), SSL_SESS_CACHE_CLIENT | SSL_SESS_CACHE_NO_INTERNAL);
@@ -63,12 +63,12 @@
 bool Gateway::connect() {
   close();
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const auto us = std::chrono::microseconds(options_.patience).count();
-  const timeval patience{us / 1000000, us % 1000000};
-  ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-  ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
-  if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&options_.to), sizeof options_.to) != 0) {
-    why_ = "no connection";
+  const auto us = std::chrono::microseconds(options_.timeout).count();
+  const timeval timeout{us / 1000000, us % 1000000};
+  ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
+  if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&options_.server), sizeof options_.server) != 0) {
+    error_ = "no connection";
     return false;
   }
   local_ = address_text(bound_address(fd));
@@ -84,19 +84,19 @@
     if (SSL_connect(ssl_.get()) != 1) {
       char reason[256] = "";
       ERR_error_string_n(ERR_get_error(), reason, sizeof reason);
-      why_ = reason;
+      error_ = reason;
       ssl_.reset();
       return false;
     }
-    const acme::Certificate shown(SSL_get1_peer_certificate(ssl_.get()));
-    certificate_ = shown ? acme::fingerprint(shown) : "";
+    const acme::Certificate presented(SSL_get1_peer_certificate(ssl_.get()));
+    certificate_ = presented ? acme::fingerprint(presented) : "";
     resumed_ = SSL_session_reused(ssl_.get()) == 1;
   }
   fd_ = std::move(fd);
   return true;
 }
 
-bool Gateway::say(const std::string& bytes) {
+bool Gateway::send(const std::string& bytes) {
   if (!fd_) return false;
   if (ssl_) return SSL_write(ssl_.get(), bytes.data(), static_cast<int>(bytes.size())) > 0;
   return ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size());
@@ -107,10 +107,10 @@
     const auto end = input_.find("\r\n\r\n");
     if (end != std::string::npos) {
       const std::string length = header_of(input_.substr(0, end + 2), "Content-Length");
-      const std::size_t whole = end + 4 + (length.empty() ? 0 : std::stoul(length));
-      if (input_.size() >= whole) {
-        std::string message = input_.substr(0, whole);
-        input_.erase(0, whole);
+      const std::size_t message_size = end + 4 + (length.empty() ? 0 : std::stoul(length));
+      if (input_.size() >= message_size) {
+        std::string message = input_.substr(0, message_size);
+        input_.erase(0, message_size);
         return message;
       }
     }
@@ -134,12 +134,12 @@
       for (const char* const name : {"Via", "From", "To", "Call-ID", "CSeq"}) {
         answer += std::string(name) + ": " + header_of(*message, name) + "\r\n";
       }
-      say(answer + "Content-Length: 0\r\n\r\n");
+      send(answer + "Content-Length: 0\r\n\r\n");
       continue;
     }
-    const bool ours =
+    const bool matches =
         header_of(*message, "Call-ID") == call_id && header_of(*message, "CSeq").ends_with(method);
-    if (ours && (*message)[8] != '1') return *message;
+    if (matches && (*message)[8] != '1') return *message;
   }
   close();
   return {};
@@ -157,26 +157,26 @@
 
 Gateway::Outcome Gateway::invite(const std::string& number) {
   Outcome outcome;
-  outcome.call_id = "c" + std::to_string(++last_);
+  outcome.call_id = "c" + std::to_string(++last_call_number_);
   const std::string call_class =
       options_.call_class.empty() ? "" : "X-Call-Class: " + options_.call_class + "\r\n";
   const std::string to = "<sip:" + number + "@lab>";
-  const auto begun = std::chrono::steady_clock::now();
-  say(request("INVITE", number, outcome.call_id, to, 1,
-              call_class + "X-First-Choice: 0\r\nContent-Type: application/sdp\r\n", "v=0\r\n"));
+  const auto start = std::chrono::steady_clock::now();
+  send(request("INVITE", number, outcome.call_id, to, 1,
+               call_class + "X-First-Choice: 0\r\nContent-Type: application/sdp\r\n", "v=0\r\n"));
   const std::string response = final_response("INVITE", outcome.call_id);
-  outcome.took =
-      std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - begun);
+  outcome.response_time =
+      std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - start);
   if (response.empty()) return outcome;
   outcome.status = std::stoi(response.substr(8, 3));
   outcome.to = header_of(response, "To");
   if (const std::string wait = header_of(response, "Retry-After"); !wait.empty()) outcome.retry_after = wait;
-  say(request("ACK", number, outcome.call_id, outcome.to, 1, {}, {}));
+  send(request("ACK", number, outcome.call_id, outcome.to, 1, {}, {}));
   return outcome;
 }
 
 int Gateway::bye(const Outcome& call, const std::string& number) {
-  say(request("BYE", number, call.call_id, call.to, 2, {}, {}));
+  send(request("BYE", number, call.call_id, call.to, 2, {}, {}));
   const std::string response = final_response("BYE", call.call_id);
   return response.empty() ? 0 : std::stoi(response.substr(8, 3));
 }
--- a/standin/gateway/gateway.hpp
+++ b/standin/gateway/gateway.hpp
@@ -18,18 +18,18 @@
 class Gateway {
  public:
   struct Options {
-    sockaddr_in to{};
+    sockaddr_in server{};
     bool tls = false;
     std::string server_name{};  // sent as SNI and required in the certificate; empty: neither
     std::string roots{};        // trusted roots in PEM; empty: the certificate is not verified
     std::string call_class{};
-    std::chrono::milliseconds patience = std::chrono::seconds(10);
+    std::chrono::milliseconds timeout = std::chrono::seconds(10);
   };
   explicit Gateway(Options options);
   ~Gateway();
 
-  // Returns false if the connection or the TLS handshake fails, also for an untrusted certificate; why() has
-  // the reason.
+  // Returns false if the connection or the TLS handshake fails, also for an untrusted certificate; error()
+  // has the reason.
   bool connect();
   bool connected() const { return static_cast<bool>(fd_); }
   void close();
@@ -37,11 +37,11 @@
   const std::string& certificate() const { return certificate_; }
   // Whether the TLS session was resumed.
   bool resumed() const { return resumed_; }
-  const std::string& why() const { return why_; }
+  const std::string& error() const { return error_; }
 
   struct Outcome {
     int status = 0;  // of the final response; 0: none arrived
-    std::chrono::microseconds took{};
+    std::chrono::microseconds response_time{};
     std::optional<std::string> retry_after{};
     std::string to{};  // the To header with its tag, for later requests in the dialog
     std::string call_id{};
@@ -52,7 +52,7 @@
   int bye(const Outcome& call, const std::string& number);
 
  private:
-  bool say(const std::string& bytes);
+  bool send(const std::string& bytes);
   // Reads until the final response to `method` of `call_id`. Requests that arrive in the meantime (BYE) are
   // answered with 200. Closes the connection and returns an empty string if no response arrives.
   std::string final_response(const std::string& method, const std::string& call_id);
@@ -66,9 +66,9 @@
   std::unique_ptr<SSL_CTX, tls::FreeSsl> context_{};
   std::unique_ptr<SSL, tls::FreeSsl> ssl_{};
   SSL_SESSION* session_ = nullptr;  // of the last session ticket, for resumption
-  std::string input_{}, certificate_{}, why_{}, local_{};
+  std::string input_{}, certificate_{}, error_{}, local_{};
   bool resumed_ = false;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_call_number_ = 0;
 };
 
 // Returns the value of a header, by its full name; empty if the message has no such header.
--- a/standin/gateway/main.cpp
+++ b/standin/gateway/main.cpp
@@ -33,7 +33,7 @@
     std::fprintf(stderr, "%s is not a loopback address\n", to.c_str());
     return 2;
   }
-  options.to = *address;
+  options.server = *address;
   options.tls = !tcp;
   if (!roots.empty()) {
     std::ifstream file(roots);
@@ -43,13 +43,13 @@
   for (int i = 0; i < calls; ++i) {
     standin::Gateway gateway(options);
     if (!gateway.connect()) {
-      std::printf("call %d: no connection: %s\n", i, gateway.why().c_str());
+      std::printf("call %d: no connection: %s\n", i, gateway.error().c_str());
       ++failed;
     } else {
       const auto outcome = gateway.invite(number);
       if (outcome.status != 200) ++failed;
       std::printf("call %d: %d in %lld us%s%s\n", i, outcome.status,
-                  static_cast<long long>(outcome.took.count()), options.tls ? ", certificate " : "",
+                  static_cast<long long>(outcome.response_time.count()), options.tls ? ", certificate " : "",
                   gateway.certificate().substr(0, 16).c_str());
       if (outcome.status == 200) gateway.bye(outcome, number);
     }
--- a/standin/node/node.cpp
+++ b/standin/node/node.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 // How often the thread checks for a stop request.
-constexpr Duration kLook = std::chrono::milliseconds(10);
+constexpr Duration kStopPollInterval = std::chrono::milliseconds(10);
 
-StartUp start_up(const Node::Options& options) {
+StartUp default_start_up(const Node::Options& options) {
   StartUp start;
   start.settings.classes.resize(options.class_names.size());
   for (auto& each : start.settings.classes) each.aim = options.aim, each.deadline = options.deadline;
@@ -22,7 +22,7 @@
   return start;
 }
 
-Host host(const sockaddr_in& address, int number) {
+Host make_host(const sockaddr_in& address, int number) {
   Host made;
   made.name = "s-" + std::to_string(number);
   const auto* const bytes = reinterpret_cast<const std::uint8_t*>(&address.sin_addr);
@@ -37,7 +37,7 @@
 
 Node::Node(const Options& options, Logger& log)
     : thread_([this, options, &log](const std::stop_token& stop) { run(stop, options, log); }) {
-  while (!serves_) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+  while (!serving_) std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
 Node::~Node() {
@@ -54,10 +54,10 @@
 
 void Node::run(const std::stop_token& stop, const Options& options, Logger& log) {
   Loop loop;
-  Planner planner(loop, log, start_up(options), 1, Planner::Capacity{});
+  Planner planner(loop, log, default_start_up(options), 1, Planner::Capacity{});
   std::vector<Host> hosts;
   for (std::size_t i = 0; i < options.servers.size(); ++i)
-    hosts.push_back(host(options.servers[i], static_cast<int>(i)));
+    hosts.push_back(make_host(options.servers[i], static_cast<int>(i)));
   planner.update_servers({1, true, hosts});
   sip::FrontConfig config;
   config.listening = options.listening;
@@ -67,11 +67,11 @@
   if (options.listening.udp) udp_ = ntohs(front.address(sip::TransportKind::udp).sin_port);
   if (options.listening.tcp) tcp_ = ntohs(front.address(sip::TransportKind::tcp).sin_port);
   if (options.listening.tls) tls_ = ntohs(front.address(sip::TransportKind::tls).sin_port);
-  serves_ = true;
+  serving_ = true;
   while (!stop.stop_requested()) {
-    loop.pass(kLook);
-    const std::int64_t busy = (unix_time() - loop.now()) / std::chrono::microseconds(1);
-    if (busy > longest_us_) longest_us_ = busy;
+    loop.pass(kStopPollInterval);
+    const std::int64_t pass_us = (unix_time() - loop.now()) / std::chrono::microseconds(1);
+    if (pass_us > longest_pass_us_) longest_pass_us_ = pass_us;
   }
 }
 
--- a/standin/node/node.hpp
+++ b/standin/node/node.hpp
@@ -27,14 +27,16 @@
 
   sockaddr_in address(sip::TransportKind kind) const;
   // Longest time that a single pass of the event loop took since the previous call; resets the maximum.
-  std::chrono::microseconds take_longest_pass() { return std::chrono::microseconds(longest_us_.exchange(0)); }
+  std::chrono::microseconds take_longest_pass() {
+    return std::chrono::microseconds(longest_pass_us_.exchange(0));
+  }
 
  private:
   void run(const std::stop_token& stop, const Options& options, Logger& log);
 
   std::atomic<std::uint16_t> udp_ = 0, tcp_ = 0, tls_ = 0;
-  std::atomic<bool> serves_ = false;
-  std::atomic<std::int64_t> longest_us_ = 0;
+  std::atomic<bool> serving_ = false;
+  std::atomic<std::int64_t> longest_pass_us_ = 0;
   std::jthread thread_;  // declared last, so that it is joined before the members it uses are destroyed
 };
 
