--- a/standin/authority/authority.cpp
+++ b/standin/authority/authority.cpp
@@ -12,6 +12,7 @@
 namespace quartzarch::standin {
 namespace {
 
+// How often threads check for a stop request, and the pause between two validations of one challenge.
 constexpr int kLookForStopMs = 20;
 constexpr std::size_t kLongestRequest = 256 * 1024;
 
@@ -71,7 +72,7 @@
       base_("https://" + address_text(bound_address(listener_))),
       model_(base_, setup_.options, ca_, script_, setup_.now),
       thread_([this](const std::stop_token& stop) { run(stop); }) {
-  // Its own certificate is looked at by the system's clock.
+  // Clients verify the server's certificate by the system's clock, not by `now`.
   certificates_.put("self",
                     ca_.server_identity(std::chrono::floor<Seconds>(std::chrono::system_clock::now())));
 }
@@ -130,7 +131,7 @@
   if (scripted(Fault::silent, path)) {
     while (!stop.stop_requested()) {
       pollfd waiting{fd.get(), POLLIN, 0};
-      if (::poll(&waiting, 1, kLookForStopMs) > 0) return;  // the client has had enough
+      if (::poll(&waiting, 1, kLookForStopMs) > 0) return;  // the client closed the connection or sent more
     }
     return;
   }
@@ -197,8 +198,8 @@
   return good ? "" : "the http-01 answer is wrong";
 }
 
-// RFC 8737, 3: acme-tls/1 is negotiated, and the self-signed certificate has the name and the digest, nothing
-// else.
+// RFC 8737, 3: the server must negotiate acme-tls/1 and present a self-signed certificate that has exactly
+// the validated name and the digest of the key authorization.
 std::string Authority::look_tls(const Look& look) const {
   const Fd fd = setup_.tls_alpn ? connect_to(*setup_.tls_alpn) : Fd();
   if (!fd) return "no connection for tls-alpn-01";
--- a/standin/authority/authority.hpp
+++ b/standin/authority/authority.hpp
@@ -1,6 +1,7 @@
-// The stand-in authority: an ACME server on loopback that really verifies. HTTPS with a root of its own; it
-// checks nonces, URLs and signatures, looks at http-01 and tls-alpn-01 answers, and signs what a request asks
-// for.
+// A simulated ACME server on a loopback address. It serves HTTPS under its own root certificate, checks
+// nonces, URLs and signatures, validates http-01 and tls-alpn-01 challenges, and issues the requested
+// certificates. Faults are injected by the rules of a Script. Each connection has its own thread; mutex_
+// guards the script and the model.
 #pragma once
 
 #include <netinet/in.h>
@@ -21,20 +22,22 @@
  public:
   struct Setup {
     Options options{};
-    sockaddr_in listen{};  // port 0: any
-    // Where the answers to challenges are looked at, whatever the name.
+    sockaddr_in listen{};  // port 0: the system chooses a free port
+    // Addresses at which challenges are validated, whatever the name to be validated.
     std::optional<sockaddr_in> http01{}, tls_alpn{};
-    std::function<Instant()> now{};  // the system's clock if empty
+    std::function<Instant()> now{};  // empty: the system's clock
   };
 
   explicit Authority(Setup setup);
   ~Authority();
 
+  // The directory URL, where an ACME client starts.
   std::string directory() const { return base_ + "/directory"; }
+  // The root certificates in PEM.
   const std::string& root() const { return ca_.root(); }
   Ca& ca() { return ca_; }
   void add(Rule rule);
-  void clear();  // of all rules
+  void clear();  // removes all rules
   Counts counts() const;
 
  private:
@@ -45,6 +48,7 @@
 
   void run(const std::stop_token& stop);
   void serve(const std::stop_token& stop, const Fd& fd);
+  // These validate a challenge; they return the error, or an empty string if the challenge is valid.
   std::string look_at(const Look& look) const;
   std::string look_http(const Look& look) const;
   std::string look_tls(const Look& look) const;
@@ -58,7 +62,7 @@
   Script script_{};
   Model model_;
   std::list<Connection> connections_{};
-  std::jthread thread_;  // last: ends before what it uses
+  std::jthread thread_;  // declared last, so that it is joined before the members it uses are destroyed
 };
 
 }  // namespace quartzarch::standin
--- a/standin/authority/ca.cpp
+++ b/standin/authority/ca.cpp
@@ -15,6 +15,7 @@
 
 constexpr auto kRootLife = std::chrono::hours(24 * 365 * 20);
 
+// Returns the content of a memory BIO and frees the BIO.
 std::string content_of(BIO* bio) {
   char* data = nullptr;
   const long size = BIO_get_mem_data(bio, &data);
@@ -64,7 +65,7 @@
   X509V3_set_ctx(&context, signer, made.get(), nullptr, nullptr, 0);
   const auto add = [&](int nid, const std::string& value) {
     X509_EXTENSION* const extension = X509V3_EXT_conf_nid(nullptr, &context, nid, value.c_str());
-    if (!extension) throw std::runtime_error("no extension: " + value);
+    if (!extension) throw std::runtime_error("cannot create the X.509 extension with value " + value);
     X509_add_ext(made.get(), extension, -1);
     X509_EXTENSION_free(extension);
   };
@@ -79,7 +80,7 @@
 
 std::string Ca::server_identity(Instant now) const {
   const Key key = acme::new_key();
-  // Long before and after: the clock of a test runs where it likes.
+  // A long validity on both sides, because the clock of a test may be far from the system's clock.
   const Certificate leaf = make(key.get(), "stand-in authority", &intermediate_, intermediate_key_,
                                 now - std::chrono::hours(24 * 300), now + std::chrono::hours(24 * 3650),
                                 false, "IP:127.0.0.1,DNS:localhost");
--- a/standin/authority/ca.hpp
+++ b/standin/authority/ca.hpp
@@ -1,4 +1,5 @@
-// The signing side of the stand-in authority: two roots, an intermediate that both have signed, leaves.
+// The certification authority behind the simulated ACME server: two roots and an intermediate that is signed
+// by both (cross-signed), which signs the leaf certificates.
 #pragma once
 
 #include <string>
@@ -8,6 +9,7 @@
 
 namespace quartzarch::standin {
 
+// The certificate in PEM.
 std::string pem_of(const acme::Certificate& certificate);
 
 class Ca {
@@ -15,21 +17,22 @@
   explicit Ca(acme::Instant now);
 
   const std::string& root() const { return root_pem_; }
-  // A server's own identity (key and chain in PEM) for loopback.
+  // A new private key and its certificate chain, in PEM, for a server on 127.0.0.1 or localhost.
   std::string server_identity(acme::Instant now) const;
 
-  struct Wish {
+  struct Wish {  // properties of the certificate to be issued
     acme::Instant begins{}, ends{};
-    bool other_key = false;
-    bool short_chain = false;
+    bool other_key = false;    // fault: certify another key than the requested one
+    bool short_chain = false;  // fault: leave out the intermediate
   };
   struct Issued {
-    std::vector<std::string> chains{};  // the first, then the alternates
+    std::vector<std::string> chains{};  // the default chain, then the alternates (RFC 8555, 7.4.2)
     acme::Certificate leaf{};
   };
-  // What a request asks for, if it is signed by its own key and names just `names`; `leaf` is null if not.
+  // Issues the certificate for a CSR that is signed by its own key and has exactly `names`; otherwise `leaf`
+  // is null.
   Issued issue(const std::string& request_der, const std::vector<std::string>& names, const Wish& wish);
-  // A leaf for a key that is at hand: for benches and tests that need certificates without an order.
+  // Issues a certificate for a given key, for benchmarks and tests that need certificates without an order.
   Issued issue(const acme::Key& key, const std::vector<std::string>& names, const Wish& wish);
 
  private:
--- a/standin/authority/main.cpp
+++ b/standin/authority/main.cpp
@@ -1,4 +1,5 @@
-// standin_authority: the stand-in ACME authority as a program, on loopback.
+// standin_authority: a program that runs the simulated ACME server on a loopback address until SIGTERM or
+// SIGINT.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -29,7 +30,7 @@
     const auto address = [](const std::string& text) {
       const auto parsed = parse_address(text);
       if (!parsed || ntohl(parsed->sin_addr.s_addr) >> 24 != 127) {
-        throw std::runtime_error(text + " is no loopback address");
+        throw std::runtime_error(text + " is not a loopback address");
       }
       return *parsed;
     };
@@ -37,7 +38,8 @@
     if (!http01.empty()) setup.http01 = address(http01);
     if (!tls_alpn.empty()) setup.tls_alpn = address(tls_alpn);
     setup.options.lifetime = acme::Seconds(lifetime);
-    // Before the first thread is made: the signals are waited for below.
+    // Block the signals before the first thread starts, so that all threads inherit the mask and only
+    // sigwait() below receives them.
     sigset_t set;
     sigemptyset(&set);
     sigaddset(&set, SIGTERM);
--- a/standin/authority/model.cpp
+++ b/standin/authority/model.cpp
@@ -28,7 +28,7 @@
 
 std::string decoded(const std::string& text) { return acme::from_base64url(text).value_or(""); }
 
-// Whether the P-256 key at (x, y) made the JWS signature `rs` over `bytes`.
+// Verifies the JWS signature `rs` (r and s, 32 bytes each) over `bytes` with the P-256 key at point (x, y).
 bool verified(const std::string& x, const std::string& y, const std::string& bytes, const std::string& rs) {
   if (x.size() != 32 || y.size() != 32 || rs.size() != 64) return false;
   const std::string point = "\x04" + x + y;
@@ -61,11 +61,13 @@
   return good;
 }
 
+// The JWK in the canonical form of RFC 7638, whose hash is the thumbprint.
 std::string canonical(const simdjson::dom::element& jwk) {
   return "{\"crv\":\"P-256\",\"kty\":\"EC\",\"x\":\"" + text_in(jwk, "x") + "\",\"y\":\"" +
          text_in(jwk, "y") + "\"}";
 }
 
+// A key that is the same for the same set of names, whatever their order.
 std::string joined(std::vector<std::string> names) {
   std::sort(names.begin(), names.end());
   std::string all;
@@ -356,7 +358,6 @@
   return reply;
 }
 
-// An order follows its authorizations.
 void Model::settle(Order& order) {
   if (order.status != "pending") return;
   bool all = true;
--- a/standin/authority/model.hpp
+++ b/standin/authority/model.hpp
@@ -1,5 +1,5 @@
-// The stand-in authority without its sockets: accounts, orders, authorizations and limits (RFC 8555, RFC
-// 9773).
+// The state and the request handling of the simulated ACME server, without sockets: accounts, orders,
+// authorizations and rate limits (RFC 8555), and renewal information (RFC 9773).
 #pragma once
 
 #include <functional>
@@ -17,17 +17,18 @@
 
 struct Options {
   Seconds lifetime = std::chrono::hours(24 * 90);       // of certificates
-  Seconds authorization_life = std::chrono::hours(24);  // in which a valid one is not done again
+  Seconds authorization_life = std::chrono::hours(24);  // how long a valid authorization is reused
   std::vector<std::string> challenges{"http-01", "tls-alpn-01", "dns-01"};
-  std::map<std::string, std::string> external_keys{};  // kid and raw MAC key; if any, an account needs one
-  int looks = 1;                                       // at a challenge, before it is found wrong
-  bool lists_orders = true;
-  bool renewal_info = true;
-  std::optional<acme::Window> window{};  // told instead of one reckoned from the certificate
-  // What one account may do; nought: no limit.
+  // Raw MAC keys by kid; if there are any, new accounts must be bound to one (RFC 8555, 7.3.4).
+  std::map<std::string, std::string> external_keys{};
+  int looks = 1;                         // validations of a challenge before it becomes invalid
+  bool lists_orders = true;              // account objects have the URL of their list of orders
+  bool renewal_info = true;              // offer renewal information (RFC 9773)
+  std::optional<acme::Window> window{};  // suggested instead of one computed from the certificate
+  // Rate limits of one account; zero: no limit.
   acme::Limit new_orders{};
-  acme::Limit rejections{};  // of one name
-  acme::Limit duplicates{};  // of one set of names
+  acme::Limit rejections{};  // failed validations of one name
+  acme::Limit duplicates{};  // certificates for the same set of names
 };
 
 struct Reply {
@@ -36,7 +37,7 @@
   std::vector<std::string> headers{};
 };
 
-// A challenge to be looked at, outside of any lock.
+// A challenge to be validated. The caller does this without holding its lock, as it connects to the client.
 struct Look {
   std::string authorization{}, type{}, name{}, token{}, key_authorization{};
 };
@@ -49,16 +50,19 @@
  public:
   Model(std::string base, Options options, Ca& ca, Script& script, std::function<Instant()> now);
 
+  // Handles one HTTP request.
   Reply handle(const std::string& method, const std::string& path, const std::string& body);
+  // The challenge that the last request asked to validate, if any; each one is returned once.
   std::optional<Look> take_look() { return std::exchange(look_, std::nullopt); }
-  // What was found; empty: it is proved.
+  // Records the result of a validation; an empty `wrong` means that the challenge is valid.
   void looked(const Look& look, const std::string& wrong);
   const Counts& counts() const { return counts_; }
+  // Creates a nonce that a later request may use once.
   std::string fresh_nonce();
 
  private:
   struct Account {
-    std::string jwk{}, thumbprint{}, x{}, y{};  // raw coordinates
+    std::string jwk{}, thumbprint{}, x{}, y{};  // x and y: raw coordinates of the P-256 key
     std::vector<std::string> contact{};
     std::string status = "valid";
     std::vector<std::string> orders{};
@@ -78,7 +82,7 @@
     acme::Validity validity{};
     bool revoked = false, replaced = false;
   };
-  struct Request;  // a JWS that has been checked
+  struct Request;  // a parsed JWS
 
   Reply post(const std::string& path, const std::string& body);
   Reply new_account(const Request& request);
@@ -90,6 +94,7 @@
   Reply renewal(const std::string& id) const;
   Reply show(const std::string& id, const Order& order) const;
   Reply show(const std::string& id, const Authorization& authorization) const;
+  // Updates a pending order from the states of its authorizations.
   void settle(Order& order);
 
   std::string base_;
@@ -101,7 +106,7 @@
   std::map<std::string, Account> accounts_{};
   std::map<std::string, Order> orders_{};
   std::map<std::string, Authorization> authorizations_{};
-  std::map<std::string, Issued> issued_{};  // by renewal id
+  std::map<std::string, Issued> issued_{};  // by certificate identifier (RFC 9773, 4.1)
   std::map<std::string, acme::Budget> rejected_{}, duplicates_{};
   std::optional<Look> look_{};
   Counts counts_{};
--- a/standin/authority/script.cpp
+++ b/standin/authority/script.cpp
@@ -38,7 +38,7 @@
   std::string word;
   words >> word;
   const auto fault = fault_named(word);
-  if (!fault) throw std::runtime_error("no fault is called \"" + word + "\"");
+  if (!fault) throw std::runtime_error("unknown fault \"" + word + "\"");
   Rule rule;
   rule.fault = *fault;
   while (words >> word) {
@@ -56,7 +56,7 @@
     int number = 0;
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
     if (error != std::errc{} || end != value.data() + value.size()) {
-      throw std::runtime_error("\"" + word + "\" is not understood");
+      throw std::runtime_error("cannot parse \"" + word + "\" in a fault rule");
     }
     if (key == "times") {
       rule.times = number;
@@ -67,7 +67,7 @@
     } else if (key == "retry_after") {
       rule.retry_after = Seconds(number);
     } else {
-      throw std::runtime_error("\"" + word + "\" is not understood");
+      throw std::runtime_error("cannot parse \"" + word + "\" in a fault rule");
     }
   }
   return rule;
--- a/standin/authority/script.hpp
+++ b/standin/authority/script.hpp
@@ -1,4 +1,4 @@
-// The faults of the stand-in authority, by the clock and by the request.
+// Fault injection for the simulated ACME server: rules that say which requests fail, how, how often and when.
 #pragma once
 
 #include <optional>
@@ -14,43 +14,46 @@
 using acme::Seconds;
 
 enum class Fault {
-  unreachable,       // the connection is closed at once
-  silent,            // it is taken and nothing is said
-  rate_limited,      // 429
-  unavailable,       // 503
-  wrong_json,        // 200 and nonsense
-  cut_json,          // the body ends in its middle
-  stale_nonce,       // a good nonce is refused
-  stuck,             // an order stays in processing
-  invalid_order,     // an order becomes invalid after finalize
-  other_key,         // the certificate is for another key
-  expired,           // the certificate has ended already
-  short_chain,       // the chain is the leaf alone
-  cut_after_taken,   // the request is taken and the connection closed without a response
-  reject_challenge,  // whatever was found, it is not good enough
+  unreachable,       // close the connection at once, before the TLS handshake
+  silent,            // read the request and never respond
+  rate_limited,      // respond with 429
+  unavailable,       // respond with 503
+  wrong_json,        // replace the body of the response by HTML
+  cut_json,          // truncate the body to half its length
+  stale_nonce,       // reject a valid nonce
+  stuck,             // the order stays in 'processing' after finalize
+  invalid_order,     // the order becomes 'invalid' at finalize
+  other_key,         // issue the certificate for another key
+  expired,           // issue a certificate that has already expired
+  short_chain,       // leave the intermediate out of the chain
+  cut_after_taken,   // process the request, then close the connection without a response
+  reject_challenge,  // reject a challenge that was validated
 };
 
+// The fault of that name in a rule; empty if there is none.
 std::optional<Fault> fault_named(std::string_view name);
 
+// One rule. It applies to requests of its path and time span.
 struct Rule {
   Fault fault = Fault::unavailable;
-  std::string path{};  // requests whose path begins with it; empty: all
-  int times = -1;      // so often; -1: without end
+  std::string path{};  // prefix of the request's path; empty: all requests
+  int times = -1;      // how many more times it applies; -1: unlimited
   Instant from = Instant::min(), until = Instant::max();
   Seconds retry_after{0};
-  bool as_date = false;  // Retry-After as an HTTP date
+  bool as_date = false;  // send Retry-After as an HTTP date instead of seconds
 };
 
-// "unavailable path=/order times=3 from=10 until=3600 retry_after=120 date": times in seconds after `begun`.
-// Throws std::runtime_error.
+// Parses a rule such as "unavailable path=/order times=3 from=10 until=3600 retry_after=120 date". `from` and
+// `until` are in seconds after `begun`. Throws std::runtime_error for a rule that cannot be parsed.
 Rule parse_rule(std::string_view text, Instant begun);
 
-// Rules in order; the first that applies counts as used.
+// An ordered list of rules.
 class Script {
  public:
   Script() = default;
   explicit Script(std::vector<Rule> rules) : rules_(std::move(rules)) {}
 
+  // Returns the first rule of this fault that applies and uses up one of its `times`; empty if none applies.
   std::optional<Rule> take(Fault fault, const std::string& path, Instant now);
   void add(Rule rule) { rules_.push_back(std::move(rule)); }
   void clear() { rules_.clear(); }
