--- a/standin/authority/authority.cpp
+++ b/standin/authority/authority.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // How often threads check for a stop request, and the pause between two validations of one challenge.
-constexpr int kLookForStopMs = 20;
+constexpr int kStopPollMs = 20;
 constexpr std::size_t kLongestRequest = 256 * 1024;
 
 using Session = std::unique_ptr<SSL, tls::FreeSsl>;
@@ -101,7 +101,7 @@
 void Authority::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     pollfd waiting{listener_.get(), POLLIN, 0};
-    if (::poll(&waiting, 1, kLookForStopMs) <= 0) continue;
+    if (::poll(&waiting, 1, kStopPollMs) <= 0) continue;
     const int fd = ::accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC);
     if (fd < 0) continue;
     connections_.remove_if([](const Connection& each) { return each.done.load(); });
@@ -131,12 +131,12 @@
   if (scripted(Fault::silent, path)) {
     while (!stop.stop_requested()) {
       pollfd waiting{fd.get(), POLLIN, 0};
-      if (::poll(&waiting, 1, kLookForStopMs) > 0) return;  // the client closed the connection or sent more
+      if (::poll(&waiting, 1, kStopPollMs) > 0) return;  // the client closed the connection or sent more
     }
     return;
   }
   Reply reply;
-  std::optional<Look> look;
+  std::optional<PendingChallenge> challenge;
   std::string head;
   bool cut = false;
   {
@@ -155,7 +155,7 @@
     }
     if (reply.body.empty()) {
       reply = model_.handle(method, path, request->substr(request->find("\r\n\r\n") + 4));
-      look = model_.take_look();
+      challenge = model_.take_pending_challenge();
       if (script_.take(Fault::cut_after_taken, path, now)) cut = true;
       if (script_.take(Fault::wrong_json, path, now)) reply.body = "<html>all is well</html>";
       if (script_.take(Fault::cut_json, path, now)) reply.body.resize(reply.body.size() / 2);
@@ -166,27 +166,28 @@
   for (const std::string& each : reply.headers) head += each + "\r\n";
   head += "Connection: close\r\nContent-Length: " + std::to_string(reply.body.size()) + "\r\n\r\n";
   if (!cut) write_all(session.get(), method == "HEAD" ? head : head + reply.body);
-  if (!look) return;
-  std::string wrong = look_at(*look);
-  for (int again = 1; again < setup_.options.looks && !wrong.empty() && !stop.stop_requested(); ++again) {
-    ::poll(nullptr, 0, kLookForStopMs);
-    wrong = look_at(*look);
+  if (!challenge) return;
+  std::string error = validate(*challenge);
+  for (int attempt = 1;
+       attempt < setup_.options.validation_attempts && !error.empty() && !stop.stop_requested(); ++attempt) {
+    ::poll(nullptr, 0, kStopPollMs);
+    error = validate(*challenge);
   }
   const std::lock_guard lock(mutex_);
-  model_.looked(*look, wrong);
+  model_.record_validation(*challenge, error);
 }
 
-std::string Authority::look_at(const Look& look) const {
-  if (look.type == "http-01") return look_http(look);
-  if (look.type == "tls-alpn-01") return look_tls(look);
-  return "no way to look at " + look.type;
+std::string Authority::validate(const PendingChallenge& challenge) const {
+  if (challenge.type == "http-01") return validate_http01(challenge);
+  if (challenge.type == "tls-alpn-01") return validate_tls_alpn01(challenge);
+  return "no way to look at " + challenge.type;
 }
 
-std::string Authority::look_http(const Look& look) const {
+std::string Authority::validate_http01(const PendingChallenge& challenge) const {
   const Fd fd = setup_.http01 ? connect_to(*setup_.http01) : Fd();
   if (!fd) return "no connection for http-01";
-  const std::string request =
-      "GET /.well-known/acme-challenge/" + look.token + " HTTP/1.1\r\nHost: " + look.name + "\r\n\r\n";
+  const std::string request = "GET /.well-known/acme-challenge/" + challenge.token +
+                              " HTTP/1.1\r\nHost: " + challenge.name + "\r\n\r\n";
   ::send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL);
   std::string answer;
   char piece[2048];
@@ -194,19 +195,19 @@
     answer.append(piece, static_cast<std::size_t>(n));
   }
   const bool good =
-      answer.starts_with("HTTP/1.1 200") && answer.ends_with("\r\n\r\n" + look.key_authorization);
+      answer.starts_with("HTTP/1.1 200") && answer.ends_with("\r\n\r\n" + challenge.key_authorization);
   return good ? "" : "the http-01 answer is wrong";
 }
 
 // RFC 8737, 3: the server must negotiate acme-tls/1 and present a self-signed certificate that has exactly
 // the validated name and the digest of the key authorization.
-std::string Authority::look_tls(const Look& look) const {
+std::string Authority::validate_tls_alpn01(const PendingChallenge& challenge) const {
   const Fd fd = setup_.tls_alpn ? connect_to(*setup_.tls_alpn) : Fd();
   if (!fd) return "no connection for tls-alpn-01";
   const std::unique_ptr<SSL_CTX, tls::FreeSsl> context(SSL_CTX_new(TLS_client_method()));
   const Session session(SSL_new(context.get()));
   SSL_set_fd(session.get(), fd.get());
-  SSL_set_tlsext_host_name(session.get(), look.name.c_str());
+  SSL_set_tlsext_host_name(session.get(), challenge.name.c_str());
   SSL_set_alpn_protos(session.get(),
                       reinterpret_cast<const unsigned char*>("\x0a"
                                                              "acme-tls/1"),
@@ -219,7 +220,7 @@
     return "acme-tls/1 was not chosen";
   }
   const acme::Certificate shown(SSL_get1_peer_certificate(session.get()));
-  if (!shown || acme::names_of(shown) != std::vector<std::string>{look.name})
+  if (!shown || acme::names_of(shown) != std::vector<std::string>{challenge.name})
     return "the certificate has other names";
   ASN1_OBJECT* const oid = OBJ_txt2obj("1.3.6.1.5.5.7.1.31", 1);
   const int at = X509_get_ext_by_OBJ(shown.get(), oid, -1);
@@ -230,7 +231,7 @@
   const std::string found(reinterpret_cast<const char*>(ASN1_STRING_get0_data(value)),
                           static_cast<std::size_t>(ASN1_STRING_length(value)));
   const bool good = X509_EXTENSION_get_critical(extension) == 1 &&
-                    found == std::string("\x04\x20", 2) + acme::sha256(look.key_authorization);
+                    found == std::string("\x04\x20", 2) + acme::sha256(challenge.key_authorization);
   return good ? "" : "the acmeIdentifier is wrong";
 }
 
--- a/standin/authority/authority.hpp
+++ b/standin/authority/authority.hpp
@@ -49,9 +49,9 @@
   void run(const std::stop_token& stop);
   void serve(const std::stop_token& stop, const Fd& fd);
   // These validate a challenge; they return the error, or an empty string if the challenge is valid.
-  std::string look_at(const Look& look) const;
-  std::string look_http(const Look& look) const;
-  std::string look_tls(const Look& look) const;
+  std::string validate(const PendingChallenge& challenge) const;
+  std::string validate_http01(const PendingChallenge& challenge) const;
+  std::string validate_tls_alpn01(const PendingChallenge& challenge) const;
 
   Setup setup_;
   Ca ca_;
--- a/standin/authority/model.cpp
+++ b/standin/authority/model.cpp
@@ -164,12 +164,12 @@
     const auto authorization = authorizations_.find(kind.substr(11));
     if (authorization == authorizations_.end()) return refuse(404, "malformed");
     if (request.has_payload && authorization->second.status == "pending" &&
-        authorization->second.tried.empty()) {
+        authorization->second.attempted_type.empty()) {
       ++counts_.challenges;
-      authorization->second.tried = id;
+      authorization->second.attempted_type = id;
       const std::string& token = authorization->second.token;
-      look_ = Look{authorization->first, id, authorization->second.name, token,
-                   token + "." + found->second.thumbprint};
+      pending_challenge_ = PendingChallenge{authorization->first, id, authorization->second.name, token,
+                                            token + "." + found->second.thumbprint};
     }
     return {
         200,
@@ -450,14 +450,15 @@
 Reply Model::show(const std::string& id, const Authorization& authorization) const {
   std::string challenges;
   for (const std::string& type : options_.challenges) {
-    const bool tried = authorization.tried == type;
+    const bool attempted = authorization.attempted_type == type;
     std::string status = authorization.status;
-    if (status == "pending" && tried) status = "processing";
-    if (status == "invalid" && !tried) status = "pending";
+    if (status == "pending" && attempted) status = "processing";
+    if (status == "invalid" && !attempted) status = "pending";
     challenges += (challenges.empty() ? "" : ",") + std::string("{\"type\":") + in_quotes(type) +
                   ",\"status\":\"" + status + "\",\"token\":" + in_quotes(authorization.token) +
                   ",\"url\":" + in_quotes(base_ + "/challenge/" + id + "/" + type) +
-                  (tried && !authorization.error.empty() ? ",\"error\":" + authorization.error : "") + "}";
+                  (attempted && !authorization.error.empty() ? ",\"error\":" + authorization.error : "") +
+                  "}";
   }
   return {200,
           "{\"status\":\"" + authorization.status + "\",\"identifier\":{\"type\":\"dns\",\"value\":" +
@@ -465,10 +466,10 @@
           {}};
 }
 
-void Model::looked(const Look& look, const std::string& wrong) {
-  Authorization& authorization = authorizations_.at(look.authorization);
-  std::string why = wrong;
-  if (why.empty() && script_.take(Fault::reject_challenge, "/challenge/" + look.authorization, now_())) {
+void Model::record_validation(const PendingChallenge& challenge, const std::string& error) {
+  Authorization& authorization = authorizations_.at(challenge.authorization);
+  std::string why = error;
+  if (why.empty() && script_.take(Fault::reject_challenge, "/challenge/" + challenge.authorization, now_())) {
     why = "it does not convince";
   }
   authorization.status = why.empty() ? "valid" : "invalid";
--- a/standin/authority/model.hpp
+++ b/standin/authority/model.hpp
@@ -21,7 +21,7 @@
   std::vector<std::string> challenges{"http-01", "tls-alpn-01", "dns-01"};
   // Raw MAC keys by kid; if there are any, new accounts must be bound to one (RFC 8555, 7.3.4).
   std::map<std::string, std::string> external_keys{};
-  int looks = 1;                         // validations of a challenge before it becomes invalid
+  int validation_attempts = 1;           // validations of a challenge before it becomes invalid
   bool lists_orders = true;              // account objects have the URL of their list of orders
   bool renewal_info = true;              // offer renewal information (RFC 9773)
   std::optional<acme::Window> window{};  // suggested instead of one computed from the certificate
@@ -38,7 +38,7 @@
 };
 
 // A challenge to be validated. The caller does this without holding its lock, as it connects to the client.
-struct Look {
+struct PendingChallenge {
   std::string authorization{}, type{}, name{}, token{}, key_authorization{};
 };
 
@@ -53,9 +53,11 @@
   // Handles one HTTP request.
   Reply handle(const std::string& method, const std::string& path, const std::string& body);
   // The challenge that the last request asked to validate, if any; each one is returned once.
-  std::optional<Look> take_look() { return std::exchange(look_, std::nullopt); }
-  // Records the result of a validation; an empty `wrong` means that the challenge is valid.
-  void looked(const Look& look, const std::string& wrong);
+  std::optional<PendingChallenge> take_pending_challenge() {
+    return std::exchange(pending_challenge_, std::nullopt);
+  }
+  // Records the result of a validation; an empty `error` means that the challenge is valid.
+  void record_validation(const PendingChallenge& challenge, const std::string& error);
   const Counts& counts() const { return counts_; }
   // Creates a nonce that a later request may use once.
   std::string fresh_nonce();
@@ -69,7 +71,7 @@
     acme::Budget placed{};
   };
   struct Authorization {
-    std::string account{}, name{}, status = "pending", token{}, tried{}, error{};
+    std::string account{}, name{}, status = "pending", token{}, attempted_type{}, error{};
     Instant until{};
   };
   struct Order {
@@ -108,7 +110,7 @@
   std::map<std::string, Authorization> authorizations_{};
   std::map<std::string, Issued> issued_{};  // by certificate identifier (RFC 9773, 4.1)
   std::map<std::string, acme::Budget> rejected_{}, duplicates_{};
-  std::optional<Look> look_{};
+  std::optional<PendingChallenge> pending_challenge_{};
   Counts counts_{};
   std::uint64_t last_id_ = 0;
 };
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -497,7 +497,7 @@
 // and key.
 TEST_F(Installation, KilledAtAnyStepNoOrderIsLostOrDoubled) {
   standin::Options options;
-  options.looks = 1000;  // it looks again while nobody answers (RFC 8555, 8.2)
+  options.validation_attempts = 1000;  // it looks again while nobody answers (RFC 8555, 8.2)
   Authority& there = authority(options);
   const auto spawn = [&](int die_at) {
     const pid_t pid = ::fork();
