--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -74,7 +74,7 @@
     node_options.listening.tls = any;
     node_options.listening.certificates = registry;
     standin::Node node(node_options, log);
-    standin::Authority::Setup setup;
+    standin::Authority::Config setup;
     setup.listen = any;
     setup.tls_alpn = node.address(sip::TransportKind::tls);
     setup.options.authorization_life = Seconds(0);  // every renewal is proved anew, on the port in use
--- a/standin/authority/authority.cpp
+++ b/standin/authority/authority.cpp
@@ -14,14 +14,14 @@
 
 // How often threads check for a stop request, and the pause between two validations of one challenge.
 constexpr int kStopPollMs = 20;
-constexpr std::size_t kLongestRequest = 256 * 1024;
+constexpr std::size_t kMaxRequestBytes = 256 * 1024;
 
 using Session = std::unique_ptr<SSL, tls::FreeSsl>;
 
-void set_patience(int fd, int seconds) {
-  const timeval patience{seconds, 0};
-  ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-  ::setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
+void set_socket_timeout(int fd, int seconds) {
+  const timeval timeout{seconds, 0};
+  ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  ::setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
 }
 
 std::string http_date(Instant at) {
@@ -35,18 +35,18 @@
 
 Fd connect_to(const sockaddr_in& address) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  set_patience(fd.get(), 5);
+  set_socket_timeout(fd.get(), 5);
   if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) return {};
   return fd;
 }
 
 std::optional<std::string> read_request(SSL* session) {
   std::string bytes;
-  char piece[4096];
-  while (bytes.size() < kLongestRequest) {
-    const int count = SSL_read(session, piece, sizeof piece);
+  char chunk[4096];
+  while (bytes.size() < kMaxRequestBytes) {
+    const int count = SSL_read(session, chunk, sizeof chunk);
     if (count <= 0) return std::nullopt;
-    bytes.append(piece, static_cast<std::size_t>(count));
+    bytes.append(chunk, static_cast<std::size_t>(count));
     const auto end = bytes.find("\r\n\r\n");
     if (end == std::string::npos) continue;
     const auto length = bytes.find("Content-Length: ");
@@ -63,14 +63,14 @@
 
 }  // namespace
 
-Authority::Authority(Setup setup)
-    : setup_(std::move(setup)),
-      ca_((setup_.now ? setup_.now
-                      : setup_.now =
-                            [] { return std::chrono::floor<Seconds>(std::chrono::system_clock::now()); })()),
-      listener_(listen_on(setup_.listen)),
+Authority::Authority(Config config)
+    : config_(std::move(config)),
+      ca_((config_.now ? config_.now
+                       : config_.now =
+                             [] { return std::chrono::floor<Seconds>(std::chrono::system_clock::now()); })()),
+      listener_(listen_on(config_.listen)),
       base_("https://" + address_text(bound_address(listener_))),
-      model_(base_, setup_.options, ca_, script_, setup_.now),
+      model_(base_, config_.options, ca_, script_, config_.now),
       thread_([this](const std::stop_token& stop) { run(stop); }) {
   // Clients verify the server's certificate by the system's clock, not by `now`.
   certificates_.put("self",
@@ -88,9 +88,9 @@
   script_.add(std::move(rule));
 }
 
-void Authority::clear() {
+void Authority::clear_rules() {
   const std::lock_guard lock(mutex_);
-  script_.clear();
+  script_.clear_rules();
 }
 
 Counts Authority::counts() const {
@@ -105,21 +105,21 @@
     const int fd = ::accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC);
     if (fd < 0) continue;
     connections_.remove_if([](const Connection& each) { return each.done.load(); });
-    Connection& made = connections_.emplace_back();
-    made.thread = std::jthread([this, fd, &made](const std::stop_token& told) {
-      serve(told, Fd(fd));
-      made.done = true;
+    Connection& connection = connections_.emplace_back();
+    connection.thread = std::jthread([this, fd, &connection](const std::stop_token& connection_stop) {
+      serve(connection_stop, Fd(fd));
+      connection.done = true;
     });
   }
 }
 
 void Authority::serve(const std::stop_token& stop, const Fd& fd) {
-  set_patience(fd.get(), 5);
-  const auto scripted = [&](Fault fault, const std::string& path) {
+  set_socket_timeout(fd.get(), 5);
+  const auto fault_rule = [&](Fault fault, const std::string& path) {
     const std::lock_guard lock(mutex_);
-    return script_.take(fault, path, setup_.now());
+    return script_.take(fault, path, config_.now());
   };
-  if (scripted(Fault::unreachable, "")) return;
+  if (fault_rule(Fault::unreachable, "")) return;
   const Session session(SSL_new(certificates_.server()));
   SSL_set_fd(session.get(), fd.get());
   if (SSL_accept(session.get()) != 1) return;
@@ -128,7 +128,7 @@
   const auto space = request->find(' ');
   const std::string method = request->substr(0, space);
   const std::string path = request->substr(space + 1, request->find(' ', space + 1) - space - 1);
-  if (scripted(Fault::silent, path)) {
+  if (fault_rule(Fault::silent, path)) {
     while (!stop.stop_requested()) {
       pollfd waiting{fd.get(), POLLIN, 0};
       if (::poll(&waiting, 1, kStopPollMs) > 0) return;  // the client closed the connection or sent more
@@ -141,7 +141,7 @@
   bool cut = false;
   {
     const std::lock_guard lock(mutex_);
-    const Instant now = setup_.now();
+    const Instant now = config_.now();
     for (const auto& [fault, status] : {std::pair{Fault::rate_limited, 429}, {Fault::unavailable, 503}}) {
       const auto rule = script_.take(fault, path, now);
       if (!rule || reply.body.size() > 0) continue;
@@ -169,7 +169,7 @@
   if (!challenge) return;
   std::string error = validate(*challenge);
   for (int attempt = 1;
-       attempt < setup_.options.validation_attempts && !error.empty() && !stop.stop_requested(); ++attempt) {
+       attempt < config_.options.validation_attempts && !error.empty() && !stop.stop_requested(); ++attempt) {
     ::poll(nullptr, 0, kStopPollMs);
     error = validate(*challenge);
   }
@@ -184,15 +184,15 @@
 }
 
 std::string Authority::validate_http01(const PendingChallenge& challenge) const {
-  const Fd fd = setup_.http01 ? connect_to(*setup_.http01) : Fd();
+  const Fd fd = config_.http01 ? connect_to(*config_.http01) : Fd();
   if (!fd) return "no connection for http-01";
   const std::string request = "GET /.well-known/acme-challenge/" + challenge.token +
                               " HTTP/1.1\r\nHost: " + challenge.name + "\r\n\r\n";
   ::send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL);
   std::string answer;
-  char piece[2048];
-  for (ssize_t n; (n = ::recv(fd.get(), piece, sizeof piece, 0)) > 0;) {
-    answer.append(piece, static_cast<std::size_t>(n));
+  char chunk[2048];
+  for (ssize_t n; (n = ::recv(fd.get(), chunk, sizeof chunk, 0)) > 0;) {
+    answer.append(chunk, static_cast<std::size_t>(n));
   }
   const bool good =
       answer.starts_with("HTTP/1.1 200") && answer.ends_with("\r\n\r\n" + challenge.key_authorization);
@@ -202,7 +202,7 @@
 // RFC 8737, 3: the server must negotiate acme-tls/1 and present a self-signed certificate that has exactly
 // the validated name and the digest of the key authorization.
 std::string Authority::validate_tls_alpn01(const PendingChallenge& challenge) const {
-  const Fd fd = setup_.tls_alpn ? connect_to(*setup_.tls_alpn) : Fd();
+  const Fd fd = config_.tls_alpn ? connect_to(*config_.tls_alpn) : Fd();
   if (!fd) return "no connection for tls-alpn-01";
   const std::unique_ptr<SSL_CTX, tls::FreeSsl> context(SSL_CTX_new(TLS_client_method()));
   const Session session(SSL_new(context.get()));
--- a/standin/authority/authority.hpp
+++ b/standin/authority/authority.hpp
@@ -20,7 +20,7 @@
 
 class Authority {
  public:
-  struct Setup {
+  struct Config {
     Options options{};
     sockaddr_in listen{};  // port 0: the system chooses a free port
     // Addresses at which challenges are validated, whatever the name to be validated.
@@ -28,7 +28,7 @@
     std::function<Instant()> now{};  // empty: the system's clock
   };
 
-  explicit Authority(Setup setup);
+  explicit Authority(Config config);
   ~Authority();
 
   // The directory URL, where an ACME client starts.
@@ -37,7 +37,7 @@
   const std::string& root() const { return ca_.root(); }
   Ca& ca() { return ca_; }
   void add(Rule rule);
-  void clear();  // removes all rules
+  void clear_rules();  // removes all rules
   Counts counts() const;
 
  private:
@@ -53,7 +53,7 @@
   std::string validate_http01(const PendingChallenge& challenge) const;
   std::string validate_tls_alpn01(const PendingChallenge& challenge) const;
 
-  Setup setup_;
+  Config config_;
   Ca ca_;
   tls::Registry certificates_{};
   Fd listener_;
--- a/standin/authority/main.cpp
+++ b/standin/authority/main.cpp
@@ -26,7 +26,7 @@
       "\"NAME [path=/order] [times=3] [from=S] [until=S] [retry_after=S] [date]\", any number of times");
   CLI11_PARSE(app, argc, argv);
   try {
-    standin::Authority::Setup setup;
+    standin::Authority::Config config;
     const auto address = [](const std::string& text) {
       const auto parsed = parse_address(text);
       if (!parsed || ntohl(parsed->sin_addr.s_addr) >> 24 != 127) {
@@ -34,10 +34,10 @@
       }
       return *parsed;
     };
-    setup.listen = address(listen);
-    if (!http01.empty()) setup.http01 = address(http01);
-    if (!tls_alpn.empty()) setup.tls_alpn = address(tls_alpn);
-    setup.options.lifetime = acme::Seconds(lifetime);
+    config.listen = address(listen);
+    if (!http01.empty()) config.http01 = address(http01);
+    if (!tls_alpn.empty()) config.tls_alpn = address(tls_alpn);
+    config.options.lifetime = acme::Seconds(lifetime);
     // Block the signals before the first thread starts, so that all threads inherit the mask and only
     // sigwait() below receives them.
     sigset_t set;
@@ -45,7 +45,7 @@
     sigaddset(&set, SIGTERM);
     sigaddset(&set, SIGINT);
     sigprocmask(SIG_BLOCK, &set, nullptr);
-    standin::Authority authority(setup);
+    standin::Authority authority(config);
     const auto begun = std::chrono::floor<acme::Seconds>(std::chrono::system_clock::now());
     for (const std::string& each : faults) authority.add(standin::parse_rule(each, begun));
     std::ofstream(root) << authority.root();
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -740,7 +740,7 @@
 // file up by SIGHUP and keeps the old one after a bad one.
 TEST_F(CertsProcess, KeepsItsCertificateInServiceAndTheCommandsTell) {
   const sockaddr_in tls_port = free_address();
-  Authority::Setup setup;
+  Authority::Config setup;
   setup.listen = any_port();
   setup.tls_alpn = tls_port;
   Authority there(setup);
--- a/tests/installation.hpp
+++ b/tests/installation.hpp
@@ -48,7 +48,7 @@
     settings.certificates = {{"sip", {"sip.lab.example"}, "ecdsa-p256"}};
   }
   Authority& authority(standin::Options options = {}) {
-    Authority::Setup setup;
+    Authority::Config setup;
     setup.options = std::move(options);
     setup.listen = any_port();
     setup.http01 = settings.http01;
--- a/tests/shared_certificates_test.cpp
+++ b/tests/shared_certificates_test.cpp
@@ -36,7 +36,7 @@
 class FleetCertificates : public FleetProcess {
  protected:
   FleetCertificates() {
-    standin::Authority::Setup setup;
+    standin::Authority::Config setup;
     setup.listen = any_port();
     setup.http01 = http01_;
     authority.emplace(std::move(setup));
