--- a/standin/authority/authority.cpp
+++ b/standin/authority/authority.cpp
@@ -83,7 +83,7 @@
   for (Connection& each : connections_) each.thread.request_stop();
 }
 
-void Authority::add(Rule rule) {
+void Authority::add(FaultRule rule) {
   const std::lock_guard lock(mutex_);
   script_.add(std::move(rule));
 }
@@ -117,7 +117,7 @@
   set_socket_timeout(fd.get(), 5);
   const auto fault_rule = [&](Fault fault, const std::string& path) {
     const std::lock_guard lock(mutex_);
-    return script_.take(fault, path, config_.now());
+    return script_.consume(fault, path, config_.now());
   };
   if (fault_rule(Fault::unreachable, "")) return;
   const Session session(SSL_new(certificates_.server()));
@@ -143,7 +143,7 @@
     const std::lock_guard lock(mutex_);
     const Instant now = config_.now();
     for (const auto& [fault, status] : {std::pair{Fault::rate_limited, 429}, {Fault::unavailable, 503}}) {
-      const auto rule = script_.take(fault, path, now);
+      const auto rule = script_.consume(fault, path, now);
       if (!rule || reply.body.size() > 0) continue;
       const std::string type = status == 429 ? "rateLimited" : "serverInternal";
       reply = {status, "{\"type\":\"urn:ietf:params:acme:error:" + type + "\",\"detail\":\"scripted\"}", {}};
@@ -156,9 +156,9 @@
     if (reply.body.empty()) {
       reply = model_.handle(method, path, request->substr(request->find("\r\n\r\n") + 4));
       challenge = model_.take_pending_challenge();
-      if (script_.take(Fault::cut_after_taken, path, now)) cut = true;
-      if (script_.take(Fault::wrong_json, path, now)) reply.body = "<html>all is well</html>";
-      if (script_.take(Fault::cut_json, path, now)) reply.body.resize(reply.body.size() / 2);
+      if (script_.consume(Fault::cut_after_taken, path, now)) cut = true;
+      if (script_.consume(Fault::wrong_json, path, now)) reply.body = "<html>all is well</html>";
+      if (script_.consume(Fault::cut_json, path, now)) reply.body.resize(reply.body.size() / 2);
     }
     head = "HTTP/1.1 " + std::to_string(reply.status) + " X\r\nReplay-Nonce: " + model_.fresh_nonce() +
            "\r\nDate: " + http_date(now) + "\r\n";
--- a/standin/authority/authority.hpp
+++ b/standin/authority/authority.hpp
@@ -1,6 +1,6 @@
 // A simulated ACME server on a loopback address. It serves HTTPS under its own root certificate, checks
 // nonces, URLs and signatures, validates http-01 and tls-alpn-01 challenges, and issues the requested
-// certificates. Faults are injected by the rules of a Script. Each connection has its own thread; mutex_
+// certificates. Faults are injected by the rules of a FaultScript. Each connection has its own thread; mutex_
 // guards the script and the model.
 #pragma once
 
@@ -36,7 +36,7 @@
   // The root certificates in PEM.
   const std::string& root() const { return ca_.root(); }
   Ca& ca() { return ca_; }
-  void add(Rule rule);
+  void add(FaultRule rule);
   void clear_rules();  // removes all rules
   Counts counts() const;
 
@@ -59,7 +59,7 @@
   Fd listener_;
   std::string base_;
   mutable std::mutex mutex_;
-  Script script_{};
+  FaultScript script_{};
   Model model_;
   std::list<Connection> connections_{};
   std::jthread thread_;  // declared last, so that it is joined before the members it uses are destroyed
--- a/standin/authority/main.cpp
+++ b/standin/authority/main.cpp
@@ -47,7 +47,7 @@
     sigprocmask(SIG_BLOCK, &set, nullptr);
     standin::Authority authority(config);
     const auto begun = std::chrono::floor<acme::Seconds>(std::chrono::system_clock::now());
-    for (const std::string& each : faults) authority.add(standin::parse_rule(each, begun));
+    for (const std::string& each : faults) authority.add(standin::parse_fault_rule(each, begun));
     std::ofstream(root) << authority.root();
     std::printf("directory %s, roots in %s\n", authority.directory().c_str(), root.c_str());
     std::fflush(stdout);
--- a/standin/authority/model.cpp
+++ b/standin/authority/model.cpp
@@ -102,7 +102,7 @@
   }
 };
 
-Model::Model(std::string base, Options options, Ca& ca, Script& script, std::function<Instant()> now)
+Model::Model(std::string base, Options options, Ca& ca, FaultScript& script, std::function<Instant()> now)
     : base_(std::move(base)), options_(std::move(options)), ca_(ca), script_(script), now_(std::move(now)) {}
 
 std::string Model::fresh_nonce() {
@@ -137,7 +137,8 @@
   if (!request.read(body)) return refuse(400, "malformed", "no JWS");
   if (text_in(request.head, "alg") != "ES256") return refuse(400, "badSignatureAlgorithm");
   if (text_in(request.head, "url") != base_ + path) return refuse(400, "malformed", "the url is another's");
-  if (nonces_.erase(text_in(request.head, "nonce")) == 0 || script_.take(Fault::stale_nonce, path, now_())) {
+  if (nonces_.erase(text_in(request.head, "nonce")) == 0 ||
+      script_.consume(Fault::stale_nonce, path, now_())) {
     return refuse(400, "badNonce");
   }
   if (path == "/account") return new_account(request);
@@ -377,11 +378,11 @@
   if (order.status != "ready") return refuse(403, "orderNotReady");
   const Instant now = now_();
   const std::string path = "/finalize/" + id;
-  if (script_.take(Fault::stuck, path, now)) {
+  if (script_.consume(Fault::stuck, path, now)) {
     order.status = "processing";
     return show(id, order);
   }
-  if (script_.take(Fault::invalid_order, path, now)) {
+  if (script_.consume(Fault::invalid_order, path, now)) {
     order.status = "invalid";
     order.error = "{\"type\":\"urn:ietf:params:acme:error:caa\",\"detail\":\"changed since\"}";
     return show(id, order);
@@ -389,10 +390,10 @@
   Ca::Wish wish;
   wish.begins = now - std::min(Seconds(60), options_.lifetime / 10);
   wish.ends = wish.begins + options_.lifetime;
-  if (script_.take(Fault::expired, path, now))
+  if (script_.consume(Fault::expired, path, now))
     wish.begins -= 2 * options_.lifetime, wish.ends -= 2 * options_.lifetime;
-  wish.other_key = script_.take(Fault::other_key, path, now).has_value();
-  wish.short_chain = script_.take(Fault::short_chain, path, now).has_value();
+  wish.other_key = script_.consume(Fault::other_key, path, now).has_value();
+  wish.short_chain = script_.consume(Fault::short_chain, path, now).has_value();
   auto issued = ca_.issue(decoded(text_in(request.payload, "csr")), order.names, wish);
   if (!issued.leaf) return refuse(400, "badCSR");
   order.chains = std::move(issued.chains);
@@ -469,7 +470,8 @@
 void Model::record_validation(const PendingChallenge& challenge, const std::string& error) {
   Authorization& authorization = authorizations_.at(challenge.authorization);
   std::string why = error;
-  if (why.empty() && script_.take(Fault::reject_challenge, "/challenge/" + challenge.authorization, now_())) {
+  if (why.empty() &&
+      script_.consume(Fault::reject_challenge, "/challenge/" + challenge.authorization, now_())) {
     why = "it does not convince";
   }
   authorization.status = why.empty() ? "valid" : "invalid";
--- a/standin/authority/model.hpp
+++ b/standin/authority/model.hpp
@@ -48,7 +48,7 @@
 
 class Model {
  public:
-  Model(std::string base, Options options, Ca& ca, Script& script, std::function<Instant()> now);
+  Model(std::string base, Options options, Ca& ca, FaultScript& script, std::function<Instant()> now);
 
   // Handles one HTTP request.
   Reply handle(const std::string& method, const std::string& path, const std::string& body);
@@ -102,7 +102,7 @@
   std::string base_;
   Options options_;
   Ca& ca_;
-  Script& script_;
+  FaultScript& script_;
   std::function<Instant()> now_;
   std::set<std::string> nonces_{};
   std::map<std::string, Account> accounts_{};
--- a/standin/authority/script.cpp
+++ b/standin/authority/script.cpp
@@ -7,7 +7,7 @@
 namespace quartzarch::standin {
 namespace {
 
-constexpr std::pair<std::string_view, Fault> kNames[] = {
+constexpr std::pair<std::string_view, Fault> kFaultNames[] = {
     {"unreachable", Fault::unreachable},
     {"silent", Fault::silent},
     {"rate_limited", Fault::rate_limited},
@@ -26,20 +26,20 @@
 
 }  // namespace
 
-std::optional<Fault> fault_named(std::string_view name) {
-  for (const auto& [each, fault] : kNames) {
+std::optional<Fault> parse_fault(std::string_view name) {
+  for (const auto& [each, fault] : kFaultNames) {
     if (each == name) return fault;
   }
   return std::nullopt;
 }
 
-Rule parse_rule(std::string_view text, Instant begun) {
+FaultRule parse_fault_rule(std::string_view text, Instant begun) {
   std::istringstream words{std::string(text)};
   std::string word;
   words >> word;
-  const auto fault = fault_named(word);
+  const auto fault = parse_fault(word);
   if (!fault) throw std::runtime_error("unknown fault \"" + word + "\"");
-  Rule rule;
+  FaultRule rule;
   rule.fault = *fault;
   while (words >> word) {
     const auto equals = word.find('=');
@@ -73,8 +73,8 @@
   return rule;
 }
 
-std::optional<Rule> Script::take(Fault fault, const std::string& path, Instant now) {
-  for (Rule& each : rules_) {
+std::optional<FaultRule> FaultScript::consume(Fault fault, const std::string& path, Instant now) {
+  for (FaultRule& each : rules_) {
     if (each.fault != fault || each.times == 0 || now < each.from || now >= each.until) continue;
     if (!path.starts_with(each.path)) continue;
     if (each.times > 0) --each.times;
--- a/standin/authority/script.hpp
+++ b/standin/authority/script.hpp
@@ -31,10 +31,10 @@
 };
 
 // The fault of that name in a rule; empty if there is none.
-std::optional<Fault> fault_named(std::string_view name);
+std::optional<Fault> parse_fault(std::string_view name);
 
 // One rule. It applies to requests of its path and time span.
-struct Rule {
+struct FaultRule {
   Fault fault = Fault::unavailable;
   std::string path{};  // prefix of the request's path; empty: all requests
   int times = -1;      // how many more times it applies; -1: unlimited
@@ -45,21 +45,21 @@
 
 // Parses a rule such as "unavailable path=/order times=3 from=10 until=3600 retry_after=120 date". `from` and
 // `until` are in seconds after `begun`. Throws std::runtime_error for a rule that cannot be parsed.
-Rule parse_rule(std::string_view text, Instant begun);
+FaultRule parse_fault_rule(std::string_view text, Instant begun);
 
 // An ordered list of rules.
-class Script {
+class FaultScript {
  public:
-  Script() = default;
-  explicit Script(std::vector<Rule> rules) : rules_(std::move(rules)) {}
+  FaultScript() = default;
+  explicit FaultScript(std::vector<FaultRule> rules) : rules_(std::move(rules)) {}
 
   // Returns the first rule of this fault that applies and uses up one of its `times`; empty if none applies.
-  std::optional<Rule> take(Fault fault, const std::string& path, Instant now);
-  void add(Rule rule) { rules_.push_back(std::move(rule)); }
+  std::optional<FaultRule> consume(Fault fault, const std::string& path, Instant now);
+  void add(FaultRule rule) { rules_.push_back(std::move(rule)); }
   void clear() { rules_.clear(); }
 
  private:
-  std::vector<Rule> rules_{};
+  std::vector<FaultRule> rules_{};
 };
 
 }  // namespace quartzarch::standin
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -316,7 +316,7 @@
   const std::string old = handshake(registry->server(), "").certificate;
   const Instant begun = now() + 60 * kDay;
   set(begun);
-  there.add(standin::parse_rule(GetParam(), begun));
+  there.add(standin::parse_fault_rule(GetParam(), begun));
   bool served = true;
   int orders = 0;
   run(*keeper, begun + kDay, [&] {
