--- a/standin/authority/model.cpp
+++ b/standin/authority/model.cpp
@@ -387,19 +387,19 @@
     order.error = "{\"type\":\"urn:ietf:params:acme:error:caa\",\"detail\":\"changed since\"}";
     return show(id, order);
   }
-  Ca::Wish wish;
-  wish.begins = now - std::min(Seconds(60), options_.lifetime / 10);
-  wish.ends = wish.begins + options_.lifetime;
+  Ca::CertificateSpec spec;
+  spec.begins = now - std::min(Seconds(60), options_.lifetime / 10);
+  spec.ends = spec.begins + options_.lifetime;
   if (script_.consume(Fault::expired, path, now))
-    wish.begins -= 2 * options_.lifetime, wish.ends -= 2 * options_.lifetime;
-  wish.other_key = script_.consume(Fault::other_key, path, now).has_value();
-  wish.short_chain = script_.consume(Fault::short_chain, path, now).has_value();
-  auto issued = ca_.issue(decoded(text_in(request.payload, "csr")), order.names, wish);
+    spec.begins -= 2 * options_.lifetime, spec.ends -= 2 * options_.lifetime;
+  spec.other_key = script_.consume(Fault::other_key, path, now).has_value();
+  spec.short_chain = script_.consume(Fault::short_chain, path, now).has_value();
+  auto issued = ca_.issue(decoded(text_in(request.payload, "csr")), order.names, spec);
   if (!issued.leaf) return refuse(400, "badCSR");
   order.chains = std::move(issued.chains);
   order.status = "valid";
   issued_[acme::renewal_id(issued.leaf)] = {
-      request.account, acme::der_of(issued.leaf), {wish.begins, wish.ends}};
+      request.account, acme::der_of(issued.leaf), {spec.begins, spec.ends}};
   if (options_.duplicates.most > 0) duplicates_.at(request.account + "|" + joined(order.names)).spend(now);
   ++counts_.certificates;
   return show(id, order);
