--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -77,7 +77,7 @@
     standin::Authority::Config setup;
     setup.listen = any;
     setup.tls_alpn = node.address(sip::TransportKind::tls);
-    setup.options.authorization_life = Seconds(0);  // every renewal is proved anew, on the port in use
+    setup.options.authorization_lifetime = Seconds(0);  // every renewal is proved anew, on the port in use
     standin::Authority authority(setup);
     acme::Settings settings;
     settings.directory = folder + "/certs";
--- a/standin/authority/authority.cpp
+++ b/standin/authority/authority.cpp
@@ -90,7 +90,7 @@
 
 void Authority::clear_rules() {
   const std::lock_guard lock(mutex_);
-  script_.clear_rules();
+  script_.clear();
 }
 
 Counts Authority::counts() const {
@@ -160,7 +160,7 @@
       if (script_.consume(Fault::wrong_json, path, now)) reply.body = "<html>all is well</html>";
       if (script_.consume(Fault::cut_json, path, now)) reply.body.resize(reply.body.size() / 2);
     }
-    head = "HTTP/1.1 " + std::to_string(reply.status) + " X\r\nReplay-Nonce: " + model_.fresh_nonce() +
+    head = "HTTP/1.1 " + std::to_string(reply.status) + " X\r\nReplay-Nonce: " + model_.new_nonce() +
            "\r\nDate: " + http_date(now) + "\r\n";
   }
   for (const std::string& each : reply.headers) head += each + "\r\n";
--- a/standin/authority/authority.hpp
+++ b/standin/authority/authority.hpp
@@ -37,7 +37,7 @@
   const std::string& root() const { return ca_.root(); }
   Ca& ca() { return ca_; }
   void add(FaultRule rule);
-  void clear_rules();  // removes all rules
+  void clear_rules();
   Counts counts() const;
 
  private:
--- a/standin/authority/model.cpp
+++ b/standin/authority/model.cpp
@@ -17,19 +17,20 @@
 using acme::text_in;
 using acme::texts_in;
 
-constexpr Seconds kOrderLife = std::chrono::hours(24 * 7);
+constexpr Seconds kOrderLifetime = std::chrono::hours(24 * 7);
 
-Reply refuse(int status, const std::string& type, const std::string& detail = {}) {
+Reply problem_reply(int status, const std::string& type, const std::string& detail = {}) {
   return {status,
           "{\"type\":\"urn:ietf:params:acme:error:" + type + "\",\"detail\":" + in_quotes(detail) +
               ",\"status\":" + std::to_string(status) + "}",
           {"Content-Type: application/problem+json"}};
 }
 
-std::string decoded(const std::string& text) { return acme::from_base64url(text).value_or(""); }
+std::string decode(const std::string& text) { return acme::from_base64url(text).value_or(""); }
 
 // Verifies the JWS signature `rs` (r and s, 32 bytes each) over `bytes` with the P-256 key at point (x, y).
-bool verified(const std::string& x, const std::string& y, const std::string& bytes, const std::string& rs) {
+bool verify_signature(const std::string& x, const std::string& y, const std::string& bytes,
+                      const std::string& rs) {
   if (x.size() != 32 || y.size() != 32 || rs.size() != 64) return false;
   const std::string point = "\x04" + x + y;
   OSSL_PARAM_BLD* const build = OSSL_PARAM_BLD_new();
@@ -62,13 +63,13 @@
 }
 
 // The JWK in the canonical form of RFC 7638, whose hash is the thumbprint.
-std::string canonical(const simdjson::dom::element& jwk) {
+std::string canonical_jwk(const simdjson::dom::element& jwk) {
   return "{\"crv\":\"P-256\",\"kty\":\"EC\",\"x\":\"" + text_in(jwk, "x") + "\",\"y\":\"" +
          text_in(jwk, "y") + "\"}";
 }
 
 // A key that is the same for the same set of names, whatever their order.
-std::string joined(std::vector<std::string> names) {
+std::string joined_names(std::vector<std::string> names) {
   std::sort(names.begin(), names.end());
   std::string all;
   for (const std::string& each : names) all += each + ",";
@@ -78,34 +79,35 @@
 }  // namespace
 
 struct Model::Request {
-  simdjson::dom::parser jws_parser{}, head_parser{}, payload_parser{};
-  simdjson::dom::element jws{}, head{}, payload{}, jwk{};
-  std::string sealed{}, content{}, signature{};
+  simdjson::dom::parser jws_parser{}, header_parser{}, payload_parser{};
+  simdjson::dom::element jws{}, header{}, payload{}, jwk{};
+  std::string protected_header{}, encoded_payload{}, signature{};
   bool has_payload = false, has_jwk = false;
   std::string account{};
 
   bool read(const std::string& body) {
     if (jws_parser.parse(body).get(jws) != simdjson::SUCCESS || !jws.is_object()) return false;
-    sealed = text_in(jws, "protected"), content = text_in(jws, "payload");
-    signature = decoded(text_in(jws, "signature"));
-    if (head_parser.parse(decoded(sealed)).get(head) != simdjson::SUCCESS || !head.is_object()) return false;
-    has_jwk = head["jwk"].get(jwk) == simdjson::SUCCESS;
-    const std::string text = decoded(content);
+    protected_header = text_in(jws, "protected"), encoded_payload = text_in(jws, "payload");
+    signature = decode(text_in(jws, "signature"));
+    if (header_parser.parse(decode(protected_header)).get(header) != simdjson::SUCCESS || !header.is_object())
+      return false;
+    has_jwk = header["jwk"].get(jwk) == simdjson::SUCCESS;
+    const std::string text = decode(encoded_payload);
     has_payload = !text.empty();
     return !has_payload || payload_parser.parse(text).get(payload) == simdjson::SUCCESS;
   }
   bool signed_by(const std::string& x, const std::string& y) const {
-    return verified(x, y, sealed + "." + content, signature);
+    return verify_signature(x, y, protected_header + "." + encoded_payload, signature);
   }
   bool signed_by_its_jwk() const {
-    return has_jwk && signed_by(decoded(text_in(jwk, "x")), decoded(text_in(jwk, "y")));
+    return has_jwk && signed_by(decode(text_in(jwk, "x")), decode(text_in(jwk, "y")));
   }
 };
 
 Model::Model(std::string base, Options options, Ca& ca, FaultScript& script, std::function<Instant()> now)
     : base_(std::move(base)), options_(std::move(options)), ca_(ca), script_(script), now_(std::move(now)) {}
 
-std::string Model::fresh_nonce() {
+std::string Model::new_nonce() {
   std::string made = base64url(acme::sha256("nonce" + std::to_string(acme::random_bits())));
   nonces_.insert(made);
   return made;
@@ -125,31 +127,33 @@
       resources += in_quotes(name) + ":" + in_quotes(base_ + where) + ",";
     }
     if (options_.renewal_info) resources += "\"renewalInfo\":" + in_quotes(base_ + "/renewal") + ",";
-    const std::string wants = options_.external_keys.empty() ? "false" : "true";
-    return {200, "{" + resources + "\"meta\":{\"externalAccountRequired\":" + wants + "}}", {}};
+    const std::string binding_required = options_.external_keys.empty() ? "false" : "true";
+    return {200, "{" + resources + "\"meta\":{\"externalAccountRequired\":" + binding_required + "}}", {}};
   }
   if (options_.renewal_info && path.starts_with("/renewal/")) return renewal(path.substr(9));
-  return refuse(404, "malformed", "no such resource");
+  return problem_reply(404, "malformed", "no such resource");
 }
 
 Reply Model::post(const std::string& path, const std::string& body) {
   Request request;
-  if (!request.read(body)) return refuse(400, "malformed", "no JWS");
-  if (text_in(request.head, "alg") != "ES256") return refuse(400, "badSignatureAlgorithm");
-  if (text_in(request.head, "url") != base_ + path) return refuse(400, "malformed", "the url is another's");
-  if (nonces_.erase(text_in(request.head, "nonce")) == 0 ||
+  if (!request.read(body)) return problem_reply(400, "malformed", "no JWS");
+  if (text_in(request.header, "alg") != "ES256") return problem_reply(400, "badSignatureAlgorithm");
+  if (text_in(request.header, "url") != base_ + path)
+    return problem_reply(400, "malformed", "the url is another's");
+  if (nonces_.erase(text_in(request.header, "nonce")) == 0 ||
       script_.consume(Fault::stale_nonce, path, now_())) {
-    return refuse(400, "badNonce");
+    return problem_reply(400, "badNonce");
   }
   if (path == "/account") return new_account(request);
-  const std::string kid = text_in(request.head, "kid");
+  const std::string kid = text_in(request.header, "kid");
   const auto found =
       kid.starts_with(base_ + "/account/") ? accounts_.find(kid.substr(base_.size() + 9)) : accounts_.end();
-  if (found == accounts_.end()) return refuse(400, "accountDoesNotExist");
+  if (found == accounts_.end()) return problem_reply(400, "accountDoesNotExist");
   request.account = found->first;
   if (!request.signed_by(found->second.x, found->second.y))
-    return refuse(400, "malformed", "the signature is bad");
-  if (found->second.status != "valid") return refuse(403, "unauthorized", "the account is deactivated");
+    return problem_reply(400, "malformed", "the signature is bad");
+  if (found->second.status != "valid")
+    return problem_reply(403, "unauthorized", "the account is deactivated");
   const auto last = path.rfind('/');
   const std::string kind = path.substr(0, last), id = path.substr(last + 1);
   if (path == "/order") return new_order(request);
@@ -163,7 +167,7 @@
   }
   if (kind.starts_with("/challenge/")) {
     const auto authorization = authorizations_.find(kind.substr(11));
-    if (authorization == authorizations_.end()) return refuse(404, "malformed");
+    if (authorization == authorizations_.end()) return problem_reply(404, "malformed");
     if (request.has_payload && authorization->second.status == "pending" &&
         authorization->second.attempted_type.empty()) {
       ++counts_.challenges;
@@ -179,69 +183,73 @@
   }
   if (kind == "/authorization") {
     const auto authorization = authorizations_.find(id);
-    if (authorization == authorizations_.end()) return refuse(404, "malformed");
-    return show(id, authorization->second);
+    if (authorization == authorizations_.end()) return problem_reply(404, "malformed");
+    return to_reply(id, authorization->second);
   }
   if (kind == "/order" || kind == "/finalize") {
     const auto order = orders_.find(id);
-    if (order == orders_.end() || order->second.account != request.account) return refuse(404, "malformed");
-    settle(order->second);
-    return kind == "/order" ? show(id, order->second) : finalize(order->second, id, request);
+    if (order == orders_.end() || order->second.account != request.account)
+      return problem_reply(404, "malformed");
+    update_status(order->second);
+    return kind == "/order" ? to_reply(id, order->second) : finalize(order->second, id, request);
   }
   if (kind.starts_with("/certificate")) {
     const std::string order_id = kind == "/certificate" ? id : kind.substr(13);
     const std::size_t which = kind == "/certificate" ? 0 : 1;
     const auto order = orders_.find(order_id);
-    if (order == orders_.end() || order->second.chains.size() <= which) return refuse(404, "malformed");
+    if (order == orders_.end() || order->second.chains.size() <= which)
+      return problem_reply(404, "malformed");
     Reply reply{200, order->second.chains[which], {"Content-Type: application/pem-certificate-chain"}};
     if (which == 0) {
       reply.headers.push_back("Link: <" + base_ + "/certificate/" + order_id + "/1>;rel=\"alternate\"");
     }
     return reply;
   }
-  return refuse(404, "malformed", "no such resource");
+  return problem_reply(404, "malformed", "no such resource");
 }
 
 Reply Model::new_account(const Request& request) {
-  if (!request.signed_by_its_jwk()) return refuse(400, "malformed", "the signature is bad");
-  const std::string jwk = canonical(request.jwk);
+  if (!request.signed_by_its_jwk()) return problem_reply(400, "malformed", "the signature is bad");
+  const std::string jwk = canonical_jwk(request.jwk);
   for (auto& [id, each] : accounts_) {
     if (each.jwk != jwk) continue;
     const std::string orders =
-        options_.lists_orders ? ",\"orders\":" + in_quotes(base_ + "/account/" + id + "/orders") : "";
+        options_.has_orders_url ? ",\"orders\":" + in_quotes(base_ + "/account/" + id + "/orders") : "";
     return {
         200, "{\"status\":\"" + each.status + "\"" + orders + "}", {"Location: " + base_ + "/account/" + id}};
   }
   bool only_existing = false;
   if (request.has_payload && request.payload["onlyReturnExisting"].get(only_existing) == simdjson::SUCCESS &&
       only_existing) {
-    return refuse(400, "accountDoesNotExist");
+    return problem_reply(400, "accountDoesNotExist");
   }
   if (!options_.external_keys.empty()) {
-    simdjson::dom::element binding, head;
+    simdjson::dom::element binding, header;
     simdjson::dom::parser parser;
     if (request.payload["externalAccountBinding"].get(binding) != simdjson::SUCCESS) {
-      return refuse(403, "externalAccountRequired");
+      return problem_reply(403, "externalAccountRequired");
     }
-    const std::string sealed = text_in(binding, "protected"), content = text_in(binding, "payload");
-    if (parser.parse(decoded(sealed)).get(head) != simdjson::SUCCESS) return refuse(400, "malformed");
-    const auto key = options_.external_keys.find(text_in(head, "kid"));
-    const bool good =
-        key != options_.external_keys.end() && text_in(head, "alg") == "HS256" &&
-        text_in(head, "url") == base_ + "/account" && decoded(content) == jwk &&
-        decoded(text_in(binding, "signature")) == acme::hmac_sha256(key->second, sealed + "." + content);
-    if (!good) return refuse(403, "unauthorized", "the external account binding is wrong");
+    const std::string protected_header = text_in(binding, "protected"),
+                      encoded_payload = text_in(binding, "payload");
+    if (parser.parse(decode(protected_header)).get(header) != simdjson::SUCCESS)
+      return problem_reply(400, "malformed");
+    const auto key = options_.external_keys.find(text_in(header, "kid"));
+    const bool good = key != options_.external_keys.end() && text_in(header, "alg") == "HS256" &&
+                      text_in(header, "url") == base_ + "/account" && decode(encoded_payload) == jwk &&
+                      decode(text_in(binding, "signature")) ==
+                          acme::hmac_sha256(key->second, protected_header + "." + encoded_payload);
+    if (!good) return problem_reply(403, "unauthorized", "the external account binding is wrong");
   }
   const std::string id = std::to_string(++last_id_);
   Account& made = accounts_[id];
   made.jwk = jwk;
   made.thumbprint = base64url(acme::sha256(jwk));
-  made.x = decoded(text_in(request.jwk, "x")), made.y = decoded(text_in(request.jwk, "y"));
+  made.x = decode(text_in(request.jwk, "x")), made.y = decode(text_in(request.jwk, "y"));
   if (request.has_payload) made.contact = texts_in(request.payload, "contact");
-  made.placed = acme::Budget(options_.new_orders.most, options_.new_orders.span);
+  made.new_order_budget = acme::Budget(options_.new_orders.most, options_.new_orders.span);
   ++counts_.accounts;
   const std::string orders =
-      options_.lists_orders ? ",\"orders\":" + in_quotes(base_ + "/account/" + id + "/orders") : "";
+      options_.has_orders_url ? ",\"orders\":" + in_quotes(base_ + "/account/" + id + "/orders") : "";
   return {201, "{\"status\":\"valid\"" + orders + "}", {"Location: " + base_ + "/account/" + id}};
 }
 
@@ -259,22 +267,22 @@
 Reply Model::key_change(const Request& request) {
   Account& account = accounts_.at(request.account);
   Request inner;
-  if (!inner.read(decoded(request.content)) || !inner.signed_by_its_jwk() || !inner.has_payload) {
-    return refuse(400, "malformed", "the inner JWS is bad");
+  if (!inner.read(decode(request.encoded_payload)) || !inner.signed_by_its_jwk() || !inner.has_payload) {
+    return problem_reply(400, "malformed", "the inner JWS is bad");
   }
   simdjson::dom::element old;
-  if (text_in(inner.head, "url") != base_ + "/key" ||
+  if (text_in(inner.header, "url") != base_ + "/key" ||
       text_in(inner.payload, "account") != base_ + "/account/" + request.account ||
-      inner.payload["oldKey"].get(old) != simdjson::SUCCESS || canonical(old) != account.jwk) {
-    return refuse(400, "malformed", "the inner JWS is for something else");
+      inner.payload["oldKey"].get(old) != simdjson::SUCCESS || canonical_jwk(old) != account.jwk) {
+    return problem_reply(400, "malformed", "the inner JWS is for something else");
   }
-  const std::string jwk = canonical(inner.jwk);
+  const std::string jwk = canonical_jwk(inner.jwk);
   for (const auto& [id, each] : accounts_) {
-    if (each.jwk == jwk) return refuse(409, "conflict", "the key is in use");
+    if (each.jwk == jwk) return problem_reply(409, "conflict", "the key is in use");
   }
   account.jwk = jwk;
   account.thumbprint = base64url(acme::sha256(jwk));
-  account.x = decoded(text_in(inner.jwk, "x")), account.y = decoded(text_in(inner.jwk, "y"));
+  account.x = decode(text_in(inner.jwk, "x")), account.y = decode(text_in(inner.jwk, "y"));
   return {200, "{\"status\":\"valid\"}", {}};
 }
 
@@ -283,13 +291,13 @@
   Account& account = accounts_.at(request.account);
   Order order;
   order.account = request.account;
-  order.expires = now + kOrderLife;
+  order.expires = now + kOrderLifetime;
   simdjson::dom::array identifiers;
   if (!request.has_payload || request.payload["identifiers"].get(identifiers) != simdjson::SUCCESS) {
-    return refuse(400, "malformed");
+    return problem_reply(400, "malformed");
   }
   for (const simdjson::dom::element each : identifiers) order.names.push_back(text_in(each, "value"));
-  if (order.names.empty()) return refuse(400, "malformed");
+  if (order.names.empty()) return problem_reply(400, "malformed");
   for (const std::string& name : order.names) {
     if (name.ends_with(".forbidden")) {
       return {403,
@@ -302,39 +310,41 @@
               {}};
     }
   }
-  const auto over = [&](const acme::Limit& limit, const acme::Budget& budget) {
+  const auto exceeded = [&](const acme::Limit& limit, const acme::Budget& budget) {
     return limit.most > 0 && budget.free_at(now) > now;
   };
-  const auto limited = [&](const acme::Budget& budget, const char* what) {
-    Reply reply = refuse(429, "rateLimited", what);
+  const auto rate_limited = [&](const acme::Budget& budget, const char* what) {
+    Reply reply = problem_reply(429, "rateLimited", what);
     reply.headers.push_back("Retry-After: " + std::to_string((budget.free_at(now) - now).count()));
     return reply;
   };
-  if (over(options_.new_orders, account.placed)) return limited(account.placed, "too many new orders");
-  auto& duplicates = duplicates_
-                         .try_emplace(request.account + "|" + joined(order.names), options_.duplicates.most,
-                                      options_.duplicates.span)
+  if (exceeded(options_.new_orders, account.new_order_budget))
+    return rate_limited(account.new_order_budget, "too many new orders");
+  auto& duplicates = duplicate_budgets_
+                         .try_emplace(request.account + "|" + joined_names(order.names),
+                                      options_.duplicates.most, options_.duplicates.span)
                          .first->second;
-  if (over(options_.duplicates, duplicates))
-    return limited(duplicates, "too many certificates of these names");
+  if (exceeded(options_.duplicates, duplicates))
+    return rate_limited(duplicates, "too many certificates of these names");
   for (const std::string& name : order.names) {
     auto& rejected =
-        rejected_
+        rejection_budgets_
             .try_emplace(request.account + "|" + name, options_.rejections.most, options_.rejections.span)
             .first->second;
-    if (over(options_.rejections, rejected)) return limited(rejected, "too many failed authorizations");
+    if (exceeded(options_.rejections, rejected))
+      return rate_limited(rejected, "too many failed authorizations");
   }
   if (const std::string replaces = text_in(request.payload, "replaces"); !replaces.empty()) {
     const auto old = issued_.find(replaces);
-    if (old == issued_.end()) return refuse(404, "malformed", "no such certificate");
-    if (std::exchange(old->second.replaced, true)) return refuse(409, "alreadyReplaced");
+    if (old == issued_.end()) return problem_reply(404, "malformed", "no such certificate");
+    if (std::exchange(old->second.replaced, true)) return problem_reply(409, "alreadyReplaced");
   }
-  if (options_.new_orders.most > 0) account.placed.spend(now);
+  if (options_.new_orders.most > 0) account.new_order_budget.spend(now);
   for (const std::string& name : order.names) {
     std::string id;
     for (const auto& [each_id, each] : authorizations_) {
-      const bool usable =
-          each.account == request.account && each.name == name && each.until > now && each.status == "valid";
+      const bool usable = each.account == request.account && each.name == name && each.expires > now &&
+                          each.status == "valid";
       if (usable) id = each_id;
     }
     if (id.empty()) {
@@ -345,21 +355,21 @@
                              base64url(acme::sha256("token" + std::to_string(acme::random_bits()))),
                              {},
                              {},
-                             now + kOrderLife};
+                             now + kOrderLifetime};
     }
     order.authorizations.push_back(id);
   }
   const std::string id = std::to_string(++last_id_);
   account.orders.push_back(id);
   ++counts_.orders;
-  settle(orders_[id] = order);
-  Reply reply = show(id, orders_[id]);
+  update_status(orders_[id] = order);
+  Reply reply = to_reply(id, orders_[id]);
   reply.status = 201;
   reply.headers.push_back("Location: " + base_ + "/order/" + id);
   return reply;
 }
 
-void Model::settle(Order& order) {
+void Model::update_status(Order& order) {
   if (order.status != "pending") return;
   bool all = true;
   for (const std::string& id : order.authorizations) {
@@ -375,17 +385,17 @@
 }
 
 Reply Model::finalize(Order& order, const std::string& id, const Request& request) {
-  if (order.status != "ready") return refuse(403, "orderNotReady");
+  if (order.status != "ready") return problem_reply(403, "orderNotReady");
   const Instant now = now_();
   const std::string path = "/finalize/" + id;
   if (script_.consume(Fault::stuck, path, now)) {
     order.status = "processing";
-    return show(id, order);
+    return to_reply(id, order);
   }
   if (script_.consume(Fault::invalid_order, path, now)) {
     order.status = "invalid";
     order.error = "{\"type\":\"urn:ietf:params:acme:error:caa\",\"detail\":\"changed since\"}";
-    return show(id, order);
+    return to_reply(id, order);
   }
   Ca::CertificateSpec spec;
   spec.begins = now - std::min(Seconds(60), options_.lifetime / 10);
@@ -394,34 +404,35 @@
     spec.begins -= 2 * options_.lifetime, spec.ends -= 2 * options_.lifetime;
   spec.other_key = script_.consume(Fault::other_key, path, now).has_value();
   spec.short_chain = script_.consume(Fault::short_chain, path, now).has_value();
-  auto issued = ca_.issue(decoded(text_in(request.payload, "csr")), order.names, spec);
-  if (!issued.leaf) return refuse(400, "badCSR");
+  auto issued = ca_.issue(decode(text_in(request.payload, "csr")), order.names, spec);
+  if (!issued.leaf) return problem_reply(400, "badCSR");
   order.chains = std::move(issued.chains);
   order.status = "valid";
   issued_[acme::renewal_id(issued.leaf)] = {
       request.account, acme::der_of(issued.leaf), {spec.begins, spec.ends}};
-  if (options_.duplicates.most > 0) duplicates_.at(request.account + "|" + joined(order.names)).spend(now);
+  if (options_.duplicates.most > 0)
+    duplicate_budgets_.at(request.account + "|" + joined_names(order.names)).spend(now);
   ++counts_.certificates;
-  return show(id, order);
+  return to_reply(id, order);
 }
 
 Reply Model::revoke(const Request& request) {
-  const std::string der = decoded(text_in(request.payload, "certificate"));
+  const std::string der = decode(text_in(request.payload, "certificate"));
   const auto reason = acme::number_in(request.payload, "reason", 0);
   for (auto& [id, each] : issued_) {
     if (each.der != der) continue;
-    if (each.account != request.account) return refuse(403, "unauthorized");
-    if (reason < 0 || reason > 10 || reason == 7) return refuse(400, "badRevocationReason");
-    if (std::exchange(each.revoked, true)) return refuse(400, "alreadyRevoked");
+    if (each.account != request.account) return problem_reply(403, "unauthorized");
+    if (reason < 0 || reason > 10 || reason == 7) return problem_reply(400, "badRevocationReason");
+    if (std::exchange(each.revoked, true)) return problem_reply(400, "alreadyRevoked");
     ++counts_.revoked;
     return {200, "", {}};
   }
-  return refuse(404, "malformed", "no such certificate");
+  return problem_reply(404, "malformed", "no such certificate");
 }
 
 Reply Model::renewal(const std::string& id) const {
   const auto found = issued_.find(id);
-  if (found == issued_.end()) return refuse(404, "malformed");
+  if (found == issued_.end()) return problem_reply(404, "malformed");
   const acme::Validity& validity = found->second.validity;
   const Instant end = validity.ends - validity.lifetime() / 3;
   const acme::Window window = options_.window.value_or(acme::Window{end - validity.lifetime() / 10, end});
@@ -431,7 +442,7 @@
           {"Retry-After: 86400"}};
 }
 
-Reply Model::show(const std::string& id, const Order& order) const {
+Reply Model::to_reply(const std::string& id, const Order& order) const {
   std::string names;
   for (const std::string& each : order.names) {
     names += (names.empty() ? "" : ",") + std::string("{\"type\":\"dns\",\"value\":") + in_quotes(each) + "}";
@@ -448,7 +459,7 @@
           {}};
 }
 
-Reply Model::show(const std::string& id, const Authorization& authorization) const {
+Reply Model::to_reply(const std::string& id, const Authorization& authorization) const {
   std::string challenges;
   for (const std::string& type : options_.challenges) {
     const bool attempted = authorization.attempted_type == type;
@@ -469,19 +480,19 @@
 
 void Model::record_validation(const PendingChallenge& challenge, const std::string& error) {
   Authorization& authorization = authorizations_.at(challenge.authorization);
-  std::string why = error;
-  if (why.empty() &&
+  std::string detail = error;
+  if (detail.empty() &&
       script_.consume(Fault::reject_challenge, "/challenge/" + challenge.authorization, now_())) {
-    why = "it does not convince";
+    detail = "it does not convince";
   }
-  authorization.status = why.empty() ? "valid" : "invalid";
-  authorization.until = now_() + options_.authorization_life;
-  if (why.empty()) return;
+  authorization.status = detail.empty() ? "valid" : "invalid";
+  authorization.expires = now_() + options_.authorization_lifetime;
+  if (detail.empty()) return;
   authorization.error =
-      "{\"type\":\"urn:ietf:params:acme:error:unauthorized\",\"status\":403,\"detail\":" + in_quotes(why) +
+      "{\"type\":\"urn:ietf:params:acme:error:unauthorized\",\"status\":403,\"detail\":" + in_quotes(detail) +
       "}";
   ++counts_.rejections;
-  auto& rejected = rejected_
+  auto& rejected = rejection_budgets_
                        .try_emplace(authorization.account + "|" + authorization.name,
                                     options_.rejections.most, options_.rejections.span)
                        .first->second;
--- a/standin/authority/model.hpp
+++ b/standin/authority/model.hpp
@@ -16,13 +16,13 @@
 namespace quartzarch::standin {
 
 struct Options {
-  Seconds lifetime = std::chrono::hours(24 * 90);       // of certificates
-  Seconds authorization_life = std::chrono::hours(24);  // how long a valid authorization is reused
+  Seconds lifetime = std::chrono::hours(24 * 90);           // of certificates
+  Seconds authorization_lifetime = std::chrono::hours(24);  // how long a valid authorization is reused
   std::vector<std::string> challenges{"http-01", "tls-alpn-01", "dns-01"};
   // Raw MAC keys by kid; if there are any, new accounts must be bound to one (RFC 8555, 7.3.4).
   std::map<std::string, std::string> external_keys{};
   int validation_attempts = 1;           // validations of a challenge before it becomes invalid
-  bool lists_orders = true;              // account objects have the URL of their list of orders
+  bool has_orders_url = true;            // account objects have the URL of their list of orders
   bool renewal_info = true;              // offer renewal information (RFC 9773)
   std::optional<acme::Window> window{};  // suggested instead of one computed from the certificate
   // Rate limits of one account; zero: no limit.
@@ -60,7 +60,7 @@
   void record_validation(const PendingChallenge& challenge, const std::string& error);
   const Counts& counts() const { return counts_; }
   // Creates a nonce that a later request may use once.
-  std::string fresh_nonce();
+  std::string new_nonce();
 
  private:
   struct Account {
@@ -68,11 +68,11 @@
     std::vector<std::string> contact{};
     std::string status = "valid";
     std::vector<std::string> orders{};
-    acme::Budget placed{};
+    acme::Budget new_order_budget{};
   };
   struct Authorization {
     std::string account{}, name{}, status = "pending", token{}, attempted_type{}, error{};
-    Instant until{};
+    Instant expires{};
   };
   struct Order {
     std::string account{}, status = "pending", error{};
@@ -94,10 +94,10 @@
   Reply finalize(Order& order, const std::string& id, const Request& request);
   Reply revoke(const Request& request);
   Reply renewal(const std::string& id) const;
-  Reply show(const std::string& id, const Order& order) const;
-  Reply show(const std::string& id, const Authorization& authorization) const;
+  Reply to_reply(const std::string& id, const Order& order) const;
+  Reply to_reply(const std::string& id, const Authorization& authorization) const;
   // Updates a pending order from the states of its authorizations.
-  void settle(Order& order);
+  void update_status(Order& order);
 
   std::string base_;
   Options options_;
@@ -109,7 +109,7 @@
   std::map<std::string, Order> orders_{};
   std::map<std::string, Authorization> authorizations_{};
   std::map<std::string, Issued> issued_{};  // by certificate identifier (RFC 9773, 4.1)
-  std::map<std::string, acme::Budget> rejected_{}, duplicates_{};
+  std::map<std::string, acme::Budget> rejection_budgets_{}, duplicate_budgets_{};
   std::optional<PendingChallenge> pending_challenge_{};
   Counts counts_{};
   std::uint64_t last_id_ = 0;
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -645,7 +645,7 @@
   tls_alpn = node.address(sip::TransportKind::tls);
   settings.challenges = {"tls-alpn-01"};
   standin::Options options;
-  options.authorization_life = Seconds(0);
+  options.authorization_lifetime = Seconds(0);
   Authority& there = authority(options);
   const auto keeper = this->keeper();
   ASSERT_EQ(keeper->renew_now("sip"), "") << said();
