--- a/standin/faults/history.cpp
+++ b/standin/faults/history.cpp
@@ -8,30 +8,32 @@
 namespace quartzarch::faults {
 namespace {
 
-// Beyond this the search gives up and says so: a history that needs it is too wide to be judged.
+// The search is aborted, with an error, after this many states: the history has too many concurrent
+// operations to be checked.
 constexpr std::size_t kMostTried = 4'000'000;
 constexpr std::size_t kAbsent = std::numeric_limits<std::size_t>::max();
 
 std::string text(const Operation& o) {
-  const auto value = [](const std::optional<std::string>& v) { return v ? *v : "nothing"; };
+  const auto value = [](const std::optional<std::string>& v) { return v ? *v : "no value"; };
   std::string said = "client " + std::to_string(o.client);
   if (o.did == Did::read) said += " read " + value(o.seen);
   if (o.did == Did::put) said += " put " + o.value;
   if (o.did == Did::swap) said += " put " + o.value + " for " + value(o.expected);
   if (o.refused) said += ", found " + value(o.seen);
-  if (!o.returned) said += ", no answer";
+  if (!o.returned) said += ", no reply";
   return said + " (" + std::to_string(o.invoked / std::chrono::milliseconds(1)) + " to " +
          (o.returned ? std::to_string(*o.returned / std::chrono::milliseconds(1)) : "-") + " ms)";
 }
 
-// The operations at one key, tried in every order that their times allow.
+// Searches for a valid sequential order of the operations at one key among all orders that their times allow.
 class Search {
  public:
   explicit Search(std::vector<Operation> operations) : operations_(std::move(operations)) {
     for (std::size_t i = 0; i < operations_.size(); ++i) {
       if (operations_[i].did != Did::read) writer_[operations_[i].value] = i;
     }
-    // What anybody saw tells a write's revision, also of one that got no answer.
+    // The revision of a write is taken from every operation that returned it or its value, so it may be known
+    // for a write without a reply too.
     revision_.assign(operations_.size(), 0);
     for (std::size_t i = 0; i < operations_.size(); ++i) {
       const Operation& o = operations_[i];
@@ -42,7 +44,7 @@
       if (by == writer_.end()) continue;
       reg::Revision& known = revision_[by->second];
       if (known != 0 && known != o.revision && wrong_.empty()) {
-        wrong_ = *shown + " was shown at revision " + std::to_string(known) + " and at " +
+        wrong_ = *shown + " was returned at revision " + std::to_string(known) + " and at " +
                  std::to_string(o.revision);
       }
       known = o.revision;
@@ -68,7 +70,7 @@
         const auto then = apply(state, event.operation);
         if (then) {
           done[event.operation] = true;
-          if (tried.size() > kMostTried) return "too wide to be judged";
+          if (tried.size() > kMostTried) return "too many concurrent operations to check the history";
           if (tried.insert(memory(done, *then)).second) {
             path.push_back({at, state});
             state = *then;
@@ -81,11 +83,11 @@
         at = event.next;
         continue;
       }
-      // It has returned, and nothing that was tried lets it have happened by now.
+      // This operation has returned, but no order on this path lets it take effect before that. Backtrack.
       if (path.size() >= deepest) {
         deepest = path.size();
         stuck = text(operations_[event.operation]) + " after " +
-                (state == kAbsent ? std::string("nothing was written") : text(operations_[state]));
+                (state == kAbsent ? std::string("no write") : text(operations_[state]));
       }
       if (path.empty()) return stuck;
       at = path.back().event;
@@ -99,13 +101,14 @@
   }
 
  private:
+  // A call or a return of an operation, in a doubly linked list in the order of time.
   struct Event {
     std::size_t operation = 0;
     bool call = false;
-    std::size_t other = 0;  // the return of a call
+    std::size_t other = 0;  // for a call: the index of its return
     std::size_t next = 0, previous = 0;
   };
-  static constexpr std::size_t kEnd = 0;  // the list is a ring through its head
+  static constexpr std::size_t kEnd = 0;  // index of the head of the circular list
 
   void arrange() {
     struct At {
@@ -118,7 +121,7 @@
       order.push_back({operations_[i].invoked, true, i});
       order.push_back({operations_[i].returned.value_or(Time::max()), false, i});
     }
-    // At one moment calls come first: the two are taken to overlap.
+    // At equal times calls come before returns, so that the two operations count as concurrent.
     std::stable_sort(order.begin(), order.end(), [](const At& a, const At& b) {
       return a.time != b.time ? a.time < b.time : a.call && !b.call;
     });
@@ -152,7 +155,8 @@
     put_back(call);
   }
 
-  // The state is the write whose value is there. Nothing: it cannot have happened then.
+  // Applies an operation to a state, which is the index of the write whose value the key has. Returns the new
+  // state; empty if the operation cannot have taken effect in that state.
   std::optional<std::size_t> apply(std::size_t state, std::size_t number) const {
     const Operation& o = operations_[number];
     const auto is = [&](const std::optional<std::string>& value) {
@@ -165,13 +169,14 @@
     }
     if (o.did == Did::swap && !is(o.expected)) {
       if (o.returned) return std::nullopt;
-      return state;  // it was refused, and nobody heard of it
+      return state;  // it was refused, but the reply was lost
     }
     const bool order_known = state != kAbsent && revision_[state] != 0 && revision_[number] != 0;
     if (order_known && revision_[number] <= revision_[state]) return std::nullopt;
     return number;
   }
 
+  // The entry in the cache of visited states.
   static std::string memory(const std::vector<bool>& done, std::size_t state) {
     std::string bits((done.size() + 7) / 8 + sizeof state, '\0');
     for (std::size_t i = 0; i < done.size(); ++i) {
@@ -208,8 +213,8 @@
   }
   std::map<std::string, std::vector<Operation>> by_key;
   for (const Operation& o : operations_) {
-    // What got no answer says nothing, but for a write whose value somebody saw: one that nobody saw can be
-    // left out of any order that holds with it.
+    // Skips operations without a reply, except writes whose value was seen. An unseen write can be left out:
+    // any valid order that contains it is also valid without it.
     if (!o.returned && (o.did == Did::read || seen.count(o.value) == 0)) continue;
     by_key[o.key].push_back(o);
   }
@@ -273,7 +278,7 @@
   Operation& operation = history_.at(place);
   const bool read = operation.did == Did::read;
   const bool found = reply->code == reg::Code::ok || (read && reply->code == reg::Code::absent);
-  // Anything else than done or refused for the value's sake is none of a register's answers here.
+  // Any other code is not a result of the operation, so it counts as unanswered.
   if (!found && reply->code != reg::Code::changed) return;
   operation.returned = now;
   operation.refused = reply->code == reg::Code::changed;
--- a/standin/faults/history.hpp
+++ b/standin/faults/history.hpp
@@ -1,6 +1,7 @@
-// What clients did at the register and what they saw of it, and a judge that reads this alone: could one
-// register, doing one thing at a time, have shown it (Herlihy and Wing, Linearizability, 1990)? The search is
-// Wing and Gong's with Lowe's memory of what was tried (Testing for linearizability, 2016), key by key.
+// A history of the operations of clients at the replicated register, with a checker for linearizability:
+// whether a single register that executes one operation at a time could have returned the same results
+// (Herlihy and Wing, Linearizability, 1990). The checker uses Wing and Gong's search with Lowe's cache of
+// visited states (Testing for linearizability, 2016), for each key separately.
 #pragma once
 
 #include <functional>
@@ -15,39 +16,40 @@
 
 namespace quartzarch::faults {
 
-enum class Did { read, put, swap };  // swap: a put that expects a value
+enum class Did { read, put, swap };  // swap: compare-and-set
 
 struct Operation {
   unsigned client = 0;
   Did did{};
   std::string key{};
-  std::string value{};                    // written; no value is written twice in a history
-  std::optional<std::string> expected{};  // swap: nothing means that there must be none
+  std::string value{};                    // written; unique within a history
+  std::optional<std::string> expected{};  // by a swap; empty: the key must be absent
   Time invoked{};
-  // Nothing: no answer came. It may have happened, also later, or never will.
+  // Empty: there was no reply, so the operation may have taken effect at any time after `invoked`, or never.
   std::optional<Time> returned{};
-  bool refused = false;               // swap: it found another value
-  std::optional<std::string> seen{};  // by a read or a refused swap; nothing: there was none
-  reg::Revision revision = 0;         // of the value written or seen; 0: not told
+  bool refused = false;               // a swap that found another value
+  std::optional<std::string> seen{};  // by a read or a refused swap; empty: the key was absent
+  reg::Revision revision = 0;         // of the value written or seen; 0: unknown
 };
 
 class History {
  public:
-  // The place of the operation, for end().
+  // Adds an operation without a reply; returns its index, for at().
   std::size_t begin(Operation operation);
   Operation& at(std::size_t place) { return operations_[place]; }
   const std::vector<Operation>& operations() const { return operations_; }
   std::size_t answered() const;
 
-  // What no register could have shown, in one line; empty: one could.
+  // Checks the history. Returns the first violation in one line; empty if the history is linearizable.
   std::string judge() const;
 
  private:
   std::vector<Operation> operations_;
 };
 
-// One client that reads, puts and swaps at a few keys, one thing after the other, and writes its history.
-// Used in virtual time and over sockets: `ask` is the register's client there.
+// A client that reads, puts and swaps a few keys at random, one operation at a time, and records the history.
+// It works in virtual time and over sockets: `ask` sends a command by the client of the respective
+// environment.
 class Recorder {
  public:
   using Ask = std::function<void(reg::Command, reg::ClientProtocol::Done)>;
@@ -56,12 +58,14 @@
 
   Recorder(History& history, unsigned client, Ask ask, std::uint64_t seed);
 
-  // Begins the next operation, if none is under way. `now`: one clock for all clients of the history.
+  // Starts the next operation unless one is in flight. `now` reads a clock that is common to all clients of
+  // the history.
   void step(const std::function<Time()>& now);
-  // A read of that key, for the end: nothing may be lost that was acknowledged.
+  // Reads that key. Used at the end of a test, to detect the loss of acknowledged writes.
   void read(const std::function<Time()>& now, unsigned key);
+  // Whether an operation is in flight.
   bool busy() const { return busy_; }
-  // The client died: what was under way stays without an answer.
+  // Simulates a crash of the client: the operation in flight stays without a reply.
   void forget();
 
  private:
--- a/standin/faults/memory_disk.hpp
+++ b/standin/faults/memory_disk.hpp
@@ -1,5 +1,5 @@
-// A voter's storage in memory: it outlives the voter's node as a disk outlives a process, and fails, loses or
-// keeps what was on its way when it is told to.
+// A voter's storage in memory, for simulations. It outlives the voter's node as a disk outlives a process.
+// Tests can make the next write fail, with or without its effect, and erase the content.
 #pragma once
 
 #include <algorithm>
@@ -11,11 +11,12 @@
 
 class MemoryDisk : public reg::Storage {
  public:
-  enum class Fault { none, before, after };  // of the next write: it fails, and is not there, or is
+  enum class Fault { none, before, after };  // the next write fails before or after it takes effect
 
   void fail_next(Fault fault) { fault_ = fault; }
+  // Erases the content.
   void lose() { kept_ = {}; }
-  // Whether it has failed as told since the last look.
+  // Whether a requested failure has occurred since the previous call.
   bool failed_as_told() { return std::exchange(failed_, false); }
 
   Loaded load() override { return kept_; }
@@ -26,7 +27,8 @@
     write([&] { kept_.vote = vote; });
   }
   void append(std::uint64_t first_index, const std::vector<reg::LogEntry>& entries) override {
-    if (first_index != next_index()) throw reg::StorageError("an entry does not follow the last one");
+    if (first_index != next_index())
+      throw reg::StorageError("the index of an appended entry does not follow the last one");
     write([&] { kept_.entries.insert(kept_.entries.end(), entries.begin(), entries.end()); });
   }
   void truncate(std::uint64_t from_index) override {
@@ -56,7 +58,7 @@
     const Fault fault = std::exchange(fault_, Fault::none);
     if (fault != Fault::before) step();
     failed_ = failed_ || fault != Fault::none;
-    if (fault != Fault::none) throw reg::StorageError("the disk failed, as it was told to");
+    if (fault != Fault::none) throw reg::StorageError("simulated disk failure");
   }
 
   Loaded kept_;
--- a/standin/faults/relay.cpp
+++ b/standin/faults/relay.cpp
@@ -12,15 +12,16 @@
 namespace quartzarch::faults {
 namespace {
 
-constexpr std::size_t kMost = 1u << 20;  // waiting each way, then its sender has to wait
+constexpr std::size_t kMost = 1u << 20;  // buffered bytes per direction; beyond it the sender is not read
 
+// Closes with RST instead of FIN, by a zero linger time.
 void hang_up(Fd& fd) {
   const linger hard{1, 0};
   ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
   fd.reset();
 }
 
-// False if the other end is gone.
+// Returns false if the connection failed; `ended` is set if the peer closed it.
 bool read_some(const Fd& from, std::string& to, bool& ended) {
   char bytes[65536];
   const ssize_t n = ::recv(from.get(), bytes, sizeof bytes, MSG_DONTWAIT);
@@ -29,6 +30,7 @@
   return n >= 0 || errno == EAGAIN || errno == EINTR;
 }
 
+// Sends up to `most` bytes and removes them from the buffer; returns false if the connection failed.
 bool write_some(const Fd& to, std::string& from, std::size_t most) {
   if (from.empty()) return true;
   const ssize_t n = ::send(to.get(), from.data(), std::min(from.size(), most), MSG_DONTWAIT | MSG_NOSIGNAL);
--- a/standin/faults/relay.hpp
+++ b/standin/faults/relay.hpp
@@ -1,5 +1,6 @@
-// What stands on the links between processes: bytes are passed on, held, trickled, or connections cut, each
-// way by itself. A thread of its own with poll(2); told what to do by any thread.
+// A TCP proxy that injects faults on the link between two processes: it forwards, holds back or slows down
+// bytes and resets connections. Holding back works for each direction separately. It runs on its own thread
+// with poll(2) and can be controlled from any thread.
 #pragma once
 
 #include <netinet/in.h>
@@ -18,11 +19,11 @@
 
 namespace quartzarch::faults {
 
-enum class Way : std::uint8_t { there = 1, back = 2, both = 3 };  // from who connects, and to it
+enum class Way : std::uint8_t { there = 1, back = 2, both = 3 };  // from the connecting side, and to it
 
 class Relay {
  public:
-  // Listens on loopback at a port of its own and connects on to `target`.
+  // Listens on a free loopback port and forwards each connection to `target`.
   explicit Relay(const sockaddr_in& target);
   ~Relay();
   Relay(const Relay&) = delete;
@@ -30,15 +31,15 @@
 
   sockaddr_in address() const { return address_; }
 
-  // Nothing passes that way; connections stay, and what was on its way waits and arrives after `pass`.
+  // Forwards nothing in that direction. Connections stay open; the bytes are kept and delivered after pass().
   void hold(Way way) { held_ = held_ | static_cast<std::uint8_t>(way); }
-  // All open connections are reset, in the middle of a frame maybe, and new ones closed at once.
+  // Resets all open connections, possibly within a frame, and every new one at once.
   void refuse() { refusing_ = true, reset_now_ = true; }
-  // Open connections are reset once; new ones pass.
+  // Resets all open connections once; new ones are forwarded.
   void reset() { reset_now_ = true; }
-  // One byte a millisecond each way.
+  // Forwards one byte per millisecond in each direction.
   void trickle() { trickling_ = true; }
-  // As at the beginning.
+  // Ends hold(), refuse() and trickle().
   void pass() { held_ = 0, refusing_ = false, trickling_ = false; }
 
  private:
--- a/standin/faults/skewed_clock.cpp
+++ b/standin/faults/skewed_clock.cpp
@@ -1,10 +1,10 @@
-// A clock that is wrong, for a process that the tests start: preloaded, it takes the place of the C library's
+// A library that gives a process under test wrong clocks. Loaded by LD_PRELOAD, it replaces the C library's
 // clock_gettime. QUARTZARCH_SKEW names a file of two numbers, which may change while the process runs:
 //
 //     int64  microseconds that the wall clock is ahead (behind, if negative)
-//     double the rate at which the steady clocks run; counted from the first look at them
+//     double rate of the monotonic clocks, applied to the time since the process first read them
 //
-// No file, or a short one: the clocks are right.
+// Without the file, or if it is too short, the clocks are correct.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -24,6 +24,7 @@
   std::atomic<double> rate;
 };
 
+// The mapped file; null if there is none.
 const Skew* skew() {
   static const Skew* const mapped = []() -> const Skew* {
     const char* const path = std::getenv("QUARTZARCH_SKEW");
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -21,8 +21,9 @@
 constexpr Duration kEffectEvery = milliseconds(70);
 constexpr Duration kRecordEvery = milliseconds(250);
 constexpr Duration kCountEvery = milliseconds(300);
-constexpr Duration kBreakTold = milliseconds(150);  // until a client sees that its connection broke
+constexpr Duration kBreakTold = milliseconds(150);  // until a client notices that its connection broke
 
+// The simulation: an event queue in virtual time, the simulated processes, the network and the checks.
 class World {
  public:
   explicit World(const WorldSettings& settings) : settings_(settings), random_(settings.seed) {
@@ -67,7 +68,7 @@
         seen_.settled_after = now_ - healed;
       }
     }
-    if (fault_.empty() && !all_held()) fault("a duty has no holder although all is healed");
+    if (fault_.empty() && !all_held()) fault("a duty has no holder after all faults ended");
     if (fault_.empty()) check_counter();
     judge_history();
     if (!fault_.empty()) seen_.fault = fault_;
@@ -75,6 +76,7 @@
   }
 
  private:
+  // A simulated clock: its offset from the virtual time and its rate.
   struct Clock {
     Duration offset{};
     double rate = 1;
@@ -94,13 +96,14 @@
     MemoryDisk disk;
     std::unique_ptr<reg::Node> node;
     std::unique_ptr<reg::Service> service;
-    unsigned life = 0;  // counts its starts: what belongs to an earlier one is dropped
+    unsigned life = 0;  // number of its starts; events of an earlier start are dropped
     Time stopped_until{};
     reg::Revision checked = 0;
     bool joining = false;
-    std::string told{};  // of the timeline
+    std::string told{};  // last state in the timeline
   };
 
+  // A duty that a controller is holding.
   struct Work {
     reg::Token token = 0;
     Time next_effect{};
@@ -120,7 +123,7 @@
     bool counting = false;
     std::unique_ptr<Recorder> recorder;
     Time next_record{};
-    std::deque<std::function<void()>> held_up;  // came while it was stopped
+    std::deque<std::function<void()>> held_up;  // events that arrived during a pause
   };
 
   struct Event {
@@ -130,7 +133,7 @@
     bool operator<(const Event& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
   };
 
-  // ---- Time and chance
+  // ---- Virtual time and random choices
 
   void at(Time when, std::function<void()> step) {
     events_.push({std::max(when, now_), ++order_, std::move(step)});
@@ -145,7 +148,7 @@
   int draw(int most) { return std::uniform_int_distribution<int>(0, most - 1)(random_); }
   bool chance(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
   Clock draw_clock() {
-    // Any two differ by at most the drift.
+    // The rates of any two clocks differ by at most the drift.
     const double rate =
         1 + (std::uniform_real_distribution<double>(0, 1)(random_) - 0.5) * settings_.drift * 0.95;
     return {milliseconds(draw(100000)), rate};
@@ -164,18 +167,18 @@
                    what.c_str());
     }
   }
-  // What a voter shows of itself since the last look.
+  // Writes the voter's state to the timeline if it has changed.
   void tell_state(Voter& voter) const {
     if (!settings_.timeline || !voter.node) return;
     const auto status = voter.node->status();
     std::string text = address(voter.number) + " " + std::to_string(voter.id) +
                        (status.leader ? " leads term " : " term ") + std::to_string(status.term) + ", voters";
     for (const auto& each : status.voters)
-      text += " " + std::to_string(each.id) + (each.votes ? "" : " without a vote");
-    if (!status.voters_committed) text += ", not agreed";
+      text += " " + std::to_string(each.id) + (each.votes ? "" : " (non-voting)");
+    if (!status.voters_committed) text += ", not committed";
     if (text == voter.told) return;
     voter.told = text;
-    tell(text + ", log " + std::to_string(status.last_index) + ", agreed " +
+    tell(text + ", log " + std::to_string(status.last_index) + ", committed " +
          std::to_string(status.commit_index));
   }
 
@@ -204,7 +207,7 @@
     try {
       voter.node = std::make_unique<reg::Node>(settings, voter.disk, voter, random_(), voter.clock.at(now_));
     } catch (const std::exception& error) {
-      return fault(std::string("a voter does not start again: ") + error.what());
+      return fault(std::string("a voter failed to restart: ") + error.what());
     }
     voter.service =
         std::make_unique<reg::Service>(*voter.node, [this, &voter](std::uint64_t client, std::string bytes) {
@@ -214,7 +217,7 @@
   }
 
   void kill(Voter& voter) {
-    tell("voter " + address(voter.number) + " ends");
+    tell("voter " + address(voter.number) + " crashes");
     ++voter.life;
     voter.service.reset();
     voter.node.reset();
@@ -228,7 +231,7 @@
       voter.service->tick(voter.clock.at(now_));
       tell_state(voter);
       if (voter.node->failed()) {
-        if (!voter.disk.failed_as_told()) fault("a voter failed although its disk did not");
+        if (!voter.disk.failed_as_told()) fault("a voter failed without a disk failure");
         kill(voter);
         at(now_ + milliseconds(500), [this, &voter] {
           if (!voter.node) start(voter, false);
@@ -240,8 +243,8 @@
     at(now_ + kStep, [this, &voter] { step(voter); });
   }
 
-  // What an operator does for a voter that came back with an empty disk: the old identity goes, the new one
-  // comes, one after the other at the leader.
+  // Does what an operator does for a voter that restarted with an empty disk: the leader removes the old
+  // voter id, then adds the new one, as two membership changes.
   void join(Voter& voter) {
     for (auto& other : voters_) {
       if (!other->node || !other->node->leads() || now_ < other->stopped_until || other.get() == &voter)
@@ -390,7 +393,8 @@
       to_voter(controller, std::move(bytes));
   }
 
-  // A duty's work acts on something outside, and may be held up between its look at the lease and the write.
+  // The holder of a duty writes to an external resource. The write can be delayed after the check of the
+  // lease, so the resource has to reject writes with an older fencing token.
   void effect(Controller& controller, const std::string& duty, Work& work) {
     work.next_effect = now_ + kEffectEvery;
     const auto token = controller.leases->holds(controller.clock.at(now_), duty);
@@ -404,13 +408,13 @@
       }
       ++seen_.effects;
       if (written < newest)
-        return fault("an effect of an older holding of " + duty + " came after one of a newer");
+        return fault("an effect of an older holding of " + duty + " was applied after one of a newer");
       newest = written;
     });
   }
 
-  // A shared counter by compare-and-set: what was acknowledged must be in it at the end, and what is read
-  // must never be older than what somebody was told before.
+  // Increments a shared counter by compare-and-set. All acknowledged increments must be in it at the end, and
+  // a read must never be older than a revision that a client already knew when the read began.
   void count(Controller& controller) {
     controller.next_count = now_ + kCountEvery;
     controller.counting = true;
@@ -425,7 +429,8 @@
           if (controller.life != life) return;
           controller.counting = false;
           if (!reply) return;
-          if (reply->revision < told_before) fault("a read is older than what was told before it began");
+          if (reply->revision < told_before)
+            fault("a read returned an older revision than one known before it began");
           told_ = std::max(told_, reply->revision);
           reg::Command put;
           put.op = reg::Op::put;
@@ -444,7 +449,7 @@
         });
   }
 
-  // ---- Connections between controllers and voters: in order, until they break
+  // ---- Connections between controllers and voters: messages arrive in order until a connection breaks
 
   void to_voter(Controller& controller, std::string bytes) {
     ++seen_.messages;
@@ -480,9 +485,9 @@
     link::LinkMessage message;
     std::size_t length = 0;
     if (link::decode(bytes, message, length) != link::Taken::whole)
-      return fault("a client's frame cannot be read");
+      return fault("a voter could not decode a client's frame");
     if (!voter.service->received(voter.clock.at(now_), client_id(controller, connection), message))
-      fault("a client's frame was turned away");
+      fault("a voter rejected a client's frame");
   }
 
   static std::uint64_t client_id(const Controller& controller, unsigned connection) {
@@ -515,7 +520,7 @@
     std::size_t length = 0;
     if (link::decode(bytes, message, length) != link::Taken::whole ||
         !controller.access->received(controller.clock.at(now_), message)) {
-      fault("a voter's frame cannot be read");
+      fault("a client could not decode a voter's frame");
     }
   }
 
@@ -534,7 +539,8 @@
   void break_connection(Controller& controller) {
     if (controller.connected_to < 0) return;
     if (settings_.flapping)
-      tell(name(controller) + " breaks with " + address(static_cast<unsigned>(controller.connected_to)));
+      tell(name(controller) + " loses its connection to " +
+           address(static_cast<unsigned>(controller.connected_to)));
     close_at_voter(controller);
     controller.connected_to = -1;
     const unsigned connection = ++controller.connection, life = controller.life;
@@ -569,7 +575,7 @@
         if (!voter->node || !voter->node->leads() || now_ < voter->stopped_until) continue;
         const reg::VoterId to = chance(0.5) ? 0 : voters_[static_cast<unsigned>(draw(3))]->id;
         const bool begun = voter->node->transfer_leadership(voter->clock.at(now_), to);
-        if (begun) tell(address(voter->number) + " hands over to " + std::to_string(to));
+        if (begun) tell(address(voter->number) + " transfers leadership to " + std::to_string(to));
         seen_.hand_overs += begun;
       }
       draw_hand_over();
@@ -594,20 +600,22 @@
       return;
     }
     switch (settings_.stops_only || settings_.voters_only ? 12 : draw(13)) {
-      case 0:  // a voter dies and starts again
+      case 0:  // a voter crashes and restarts
         kill(voter);
         at(until, [this, &voter] {
           if (!voter.node) start(voter, false);
         });
         break;
-      case 1:  // stands still and goes on
+      case 1:  // a voter pauses
         voter.stopped_until = std::max(voter.stopped_until, until);
         break;
-      case 2:
-        tell("the disk of voter " + address(voter.number) + " fails next");
+      case 2:  // a voter's next disk write fails
+        tell("the disk of voter " + address(voter.number) + " fails at the next write");
         voter.disk.fail_next(chance(0.5) ? MemoryDisk::Fault::before : MemoryDisk::Fault::after);
         break;
-      case 3:  // loses its disk: only one at a time, or what was acknowledged may be gone with a majority
+      case 3:
+        // A voter loses its disk. Only one at a time: without the disks of a majority, acknowledged writes
+        // may be lost.
         if (std::any_of(voters_.begin(), voters_.end(), [](const auto& v) { return v->joining || !v->node; }))
           break;
         kill(voter);
@@ -618,10 +626,10 @@
         start(voter, false);
         break;
       case 4:
-      case 5:  // a controller stands still: longer than its lease at times
+      case 5:  // a controller pauses, sometimes for longer than its lease
         controller.stopped_until = std::max(controller.stopped_until, until);
         break;
-      case 6:  // is killed and starts again
+      case 6:  // a controller crashes and restarts
         close_if_connected(controller);
         controller.leases.reset();
         ++controller.life;
@@ -629,7 +637,7 @@
           if (!controller.leases) start(controller);
         });
         break;
-      case 7:
+      case 7:  // a controller drains its duties and rejoins later
         if (controller.leases) {
           controller.leases->leave(controller.clock.at(now_),
                                    "c" + std::to_string(draw(static_cast<int>(settings_.controllers))));
@@ -638,7 +646,7 @@
           });
         }
         break;
-      case 8:
+      case 8:  // an operator's command
         operate();
         break;
       default:
@@ -673,7 +681,7 @@
     });
   }
 
-  // One party from all others, both ways or one way, or each link by chance.
+  // Partitions one voter or controller from all others: in both directions, in one, or each link at random.
   void cut(Duration length) {
     const auto parties = static_cast<unsigned>(cut_.size());
     const auto one = static_cast<unsigned>(draw(static_cast<int>(parties)));
@@ -706,7 +714,7 @@
     }
   }
 
-  // Until it was done: the leader may change under it.
+  // Retries until the command is committed, as the leader may change in the meantime.
   void unpause(const std::string& name) {
     for (auto& voter : voters_) {
       if (!voter->node || !voter->node->leads()) continue;
@@ -740,9 +748,9 @@
     for (unsigned i = 0; i < settings_.duties; ++i) unpause(duty_name(i));
   }
 
-  // ---- What must hold
+  // ---- Invariants
 
-  // All voters made the same change at each revision.
+  // All voters must have applied the same change at each revision.
   void check_applied(Voter& voter) {
     const reg::State& state = voter.node->state();
     if (state.revision() == voter.checked) return;
@@ -758,8 +766,8 @@
     }
   }
 
-  // By the world's one clock: nobody holds what another holds. A process that stands still believes nothing;
-  // it looks at its clock first when it goes on.
+  // At any virtual time a duty has at most one holder. Paused processes do not count: a process checks its
+  // clock first when it resumes.
   void check_holders() {
     if (settings_.third_cut_off && now_ - holders_checked_ < milliseconds(50)) return;
     holders_checked_ = now_;
@@ -780,13 +788,12 @@
     }
   }
 
-  // What was acknowledged before is seen by the reads after the healing, or the history cannot be.
+  // The history must be linearizable. This includes that reads after the faults see all acknowledged writes.
   void judge_history() {
     seen_.history = history_.answered();
     const std::string wrong = history_.judge();
     if (!wrong.empty() && fault_.empty())
-      fault_ =
-          "no one register shows this history: " + wrong + " (seed " + std::to_string(settings_.seed) + ")";
+      fault_ = "the history is not linearizable: " + wrong + " (seed " + std::to_string(settings_.seed) + ")";
   }
 
   bool all_held() {
@@ -807,10 +814,10 @@
       if (!reply.items.empty()) kept = std::stoull(reply.items.front().value);
     }
     if (kept < seen_.increments) {
-      fault("an acknowledged write is gone: " + std::to_string(kept) + " of " +
+      fault("acknowledged increments are lost: the counter is " + std::to_string(kept) + " after " +
             std::to_string(seen_.increments));
     }
-    if (kept > seen_.increments + unknown_) fault("a write was done twice");
+    if (kept > seen_.increments + unknown_) fault("an increment was applied twice");
   }
 
   WorldSettings settings_;
@@ -823,14 +830,14 @@
   reg::Voters first_voters_;
   reg::VoterId last_identity_ = 0;
   Time join_again_{};
-  std::vector<std::vector<bool>> cut_;  // from, to
+  std::vector<std::vector<bool>> cut_;  // cut_[from][to]: messages on this link are dropped
   Time holders_checked_{};
   std::map<unsigned, Time> last_up_, last_down_;
   std::map<std::string, reg::Token> newest_token_;
   std::map<std::string, Time> free_since_;
   std::map<reg::Revision, std::string> changes_;
   reg::Revision told_ = 0;
-  std::uint64_t unknown_ = 0;  // writes of the counter without an answer
+  std::uint64_t unknown_ = 0;  // increments without a reply, which may have been applied
   bool healed_ = false;
   History history_;
   std::string fault_;
--- a/standin/faults/world.hpp
+++ b/standin/faults/world.hpp
@@ -1,6 +1,7 @@
-// A fleet in virtual time: the real voters, clients and lease managers on a network and clocks of the world's
-// own. A walk draws losses, delays, cuts, stops, deaths, disk losses and operators' wishes from its seed;
-// what is seen is judged as it happens, and a fault is told with the seed that shows it again.
+// A deterministic simulation of a fleet in virtual time. It runs the production voters, register clients and
+// lease managers on a simulated network and simulated clocks. A random walk derives from its seed the lost
+// and delayed messages, partitions, pauses, crashes, disk losses, leadership transfers and operator commands.
+// The invariants are checked after every event; a violation is reported with the seed that reproduces it.
 #pragma once
 
 #include <cstdint>
@@ -18,47 +19,51 @@
   unsigned voters = 3;
   unsigned controllers = 5;
   unsigned duties = 3;
-  Duration length = std::chrono::seconds(40);  // with faults; then all is healed and has to settle
+  // How long faults are injected. Then all faults end, and every duty must get a holder within `settling`.
+  Duration length = std::chrono::seconds(40);
   Duration settling = std::chrono::seconds(20);
   Duration ttl = std::chrono::milliseconds(1500);
-  double drift = 0.05;  // clocks run up to so much apart, and the lease allows for it
+  double drift = 0.05;  // largest difference between the rates of two clocks, and what the lease allows for
   double faults_a_second = 1.5;
-  double loss = 0.01;
-  double late = 0.004;       // share of messages that come up to 3 s late, overtaken by others
-  bool voters_only = false;  // all faults are deaths of voters, and cuts
-  bool stops_only = false;   // all faults are controllers that stand still, and cuts
-  bool hand_overs = true;    // leaders are told to hand over in order, every second and a half or so
-  // For fleets to be measured: no other faults, but every third controller cut off from all voters from 10 s
-  // on for 30 s; who holds is looked at once in 50 ms.
+  double loss = 0.01;        // share of the messages between voters that are lost
+  double late = 0.004;       // share of messages that are delayed by up to 3 s and overtaken by others
+  bool voters_only = false;  // only crashes of voters and partitions
+  bool stops_only = false;   // only pauses of controllers and partitions
+  bool hand_overs = true;    // planned leadership transfers, every 1.5 s on average
+  // For benchmarks of large fleets: the only fault is that every third controller is partitioned from all
+  // voters from 10 s to 40 s. To save time the holders are checked only once in 50 ms.
   bool third_cut_off = false;
-  // No other faults, but the links of all controllers to all voters are cut for 200 ms, whole for 200 ms, and
-  // so on to the end.
+  // The only fault is that the links between all controllers and all voters are alternately down for 200 ms
+  // and up for 200 ms until the end.
   bool flapping = false;
-  std::FILE* timeline = nullptr;  // where faults, leaders and changes of voters are told, line by line
+  std::FILE* timeline = nullptr;  // log of faults, leaders and voter changes, one per line; null: none
+  // Deliberate defects, to show that the checks detect them.
   reg::Defects defects{};
-  bool judges_history_alone = false;  // nothing but what the clients did and saw
-  bool forgets_vote = false;
-  bool counts_from_answer = false;
-  bool resource_takes_all = false;  // the place that a duty writes to looks at no token
+  bool judges_history_alone = false;  // checks only the history of the clients
+  bool forgets_vote = false;          // voters do not store their votes
+  bool counts_from_answer = false;    // leases start at the reply instead of the request
+  bool resource_takes_all = false;    // the resource that duties write to ignores fencing tokens
 };
 
+// The result of a walk.
 struct Seen {
-  std::string fault{};                             // empty: nothing wrong was seen
-  std::uint64_t effects = 0, refused_effects = 0;  // at the place that duties write to
-  std::uint64_t history = 0;                       // operations at the register that got an answer
-  std::uint64_t increments = 0;                    // of the shared counter, acknowledged
-  std::uint64_t holdings = 0;                      // taken up
+  std::string fault{};                             // the first violated invariant; empty: none
+  std::uint64_t effects = 0, refused_effects = 0;  // writes at the resource that duties write to
+  std::uint64_t history = 0;                       // operations at the register that got a reply
+  std::uint64_t increments = 0;                    // acknowledged increments of the shared counter
+  std::uint64_t holdings = 0;                      // times that a controller became holder of a duty
   std::uint64_t faults = 0;
-  std::uint64_t hand_overs = 0;  // of the leadership, begun
+  std::uint64_t hand_overs = 0;  // leadership transfers that were started
   std::uint64_t messages = 0, bytes = 0;
-  std::uint64_t leader_messages = 0, leader_bytes = 0;  // sent by it
-  std::uint64_t duty_messages = 0;  // of those the lease managers': sessions, renewals, acquiring, handing on
+  std::uint64_t leader_messages = 0, leader_bytes = 0;  // sent by the leader
+  std::uint64_t duty_messages =
+      0;  // requests of the lease managers: sessions, acquisitions, renewals, releases
   std::uint64_t client_messages = 0, client_bytes = 0;  // sent by controllers
-  std::vector<Duration> gaps{};                         // without a holder, duty by duty, each time
-  Duration settled_after{};                             // all duties held again, from the healing on
+  std::vector<Duration> gaps{};                         // each period in which a duty had no holder
+  Duration settled_after{};  // from the end of the faults until all duties had holders
 };
 
-// Runs one walk to its end or to the first fault.
+// Runs one walk to its end or to the first violation.
 Seen walk(const WorldSettings& settings);
 
 }  // namespace quartzarch::faults
