--- a/standin/faults/skewed_clock.cpp
+++ b/standin/faults/skewed_clock.cpp
@@ -25,7 +25,7 @@
 };
 
 // The mapped file; null if there is none.
-const Skew* skew() {
+const Skew* mapped_skew() {
   static const Skew* const mapped = []() -> const Skew* {
     const char* const path = std::getenv("QUARTZARCH_SKEW");
     const int fd = path ? ::open(path, O_RDONLY | O_CLOEXEC) : -1;
@@ -49,14 +49,14 @@
 
 extern "C" int clock_gettime(clockid_t clock, timespec* at) noexcept {
   const long failed = ::syscall(SYS_clock_gettime, clock, at);
-  const Skew* const wrong = failed == 0 ? skew() : nullptr;
-  if (!wrong) return static_cast<int>(failed);
+  const Skew* const skew = failed == 0 ? mapped_skew() : nullptr;
+  if (!skew) return static_cast<int>(failed);
   if (clock == CLOCK_REALTIME) {
-    *at = from_nanoseconds(nanoseconds(*at) + wrong->wall_us.load() * 1000);
+    *at = from_nanoseconds(nanoseconds(*at) + skew->wall_us.load() * 1000);
   } else if (clock == CLOCK_MONOTONIC || clock == CLOCK_BOOTTIME) {
-    static const std::int64_t began = nanoseconds(*at);
-    const auto passed = static_cast<double>(nanoseconds(*at) - began);
-    *at = from_nanoseconds(began + static_cast<std::int64_t>(passed * wrong->rate.load()));
+    static const std::int64_t start = nanoseconds(*at);
+    const auto elapsed = static_cast<double>(nanoseconds(*at) - start);
+    *at = from_nanoseconds(start + static_cast<std::int64_t>(elapsed * skew->rate.load()));
   }
   return 0;
 }
