--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -231,7 +231,7 @@
       voter.service->tick(voter.clock.at(now_));
       tell_state(voter);
       if (voter.node->failed()) {
-        if (!voter.disk.failed_as_told()) fault("a voter failed without a disk failure");
+        if (!voter.disk.take_injected_failure()) fault("a voter failed without a disk failure");
         kill(voter);
         at(now_ + milliseconds(500), [this, &voter] {
           if (!voter.node) start(voter, false);
@@ -611,7 +611,7 @@
         break;
       case 2:  // a voter's next disk write fails
         tell("the disk of voter " + address(voter.number) + " fails at the next write");
-        voter.disk.fail_next(chance(0.5) ? MemoryDisk::Fault::before : MemoryDisk::Fault::after);
+        voter.disk.fail_next_write(chance(0.5) ? MemoryDisk::Fault::before : MemoryDisk::Fault::after);
         break;
       case 3:
         // A voter loses its disk. Only one at a time: without the disks of a majority, acknowledged writes
@@ -620,7 +620,7 @@
           break;
         kill(voter);
         tell("voter " + address(voter.number) + " loses its disk");
-        voter.disk.lose();
+        voter.disk.erase();
         voter.id = ++last_identity_;
         voter.joining = true;
         start(voter, false);
@@ -737,7 +737,7 @@
     settings_.loss = 0;
     for (auto& voter : voters_) {
       voter->stopped_until = now_;
-      voter->disk.fail_next(MemoryDisk::Fault::none);
+      voter->disk.fail_next_write(MemoryDisk::Fault::none);
       if (!voter->node) start(*voter, false);
     }
     for (auto& controller : controllers_) {
