--- a/bench/duty.cpp
+++ b/bench/duty.cpp
@@ -248,7 +248,7 @@
     children_.erase(name);
   }
   void cut(const std::string& name, bool cut) {
-    for (const auto& relay : relays_.at(name)) cut ? relay->hold(faults::Way::both) : relay->pass();
+    for (const auto& relay : relays_.at(name)) cut ? relay->hold(faults::Direction::both) : relay->restore();
   }
   std::vector<Effect> effects() const {
     std::ifstream file(directory_ + "/effects");
--- a/standin/faults/relay.cpp
+++ b/standin/faults/relay.cpp
@@ -12,12 +12,13 @@
 namespace quartzarch::faults {
 namespace {
 
-constexpr std::size_t kMost = 1u << 20;  // buffered bytes per direction; beyond it the sender is not read
+// Buffered bytes per direction; while the buffer is full the sender is not read.
+constexpr std::size_t kMaxBuffered = 1u << 20;
 
 // Closes with RST instead of FIN, by a zero linger time.
-void hang_up(Fd& fd) {
-  const linger hard{1, 0};
-  ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+void reset_connection(Fd& fd) {
+  const linger no_linger{1, 0};
+  ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &no_linger, sizeof no_linger);
   fd.reset();
 }
 
@@ -48,64 +49,71 @@
 }
 
 Relay::~Relay() {
-  ending_ = true;
+  stopping_ = true;
   thread_.join();
 }
 
 void Relay::run() {
-  while (!ending_) {
+  while (!stopping_) {
     if (reset_now_.exchange(false)) {
-      for (Pipe& pipe : pipes_) hang_up(pipe.near), hang_up(pipe.far);
-      pipes_.clear();
+      for (Connection& connection : connections_)
+        reset_connection(connection.client), reset_connection(connection.target);
+      connections_.clear();
     }
     std::vector<pollfd> polled = {{acceptor_.get(), POLLIN, 0}};
     const std::uint8_t held = held_;
-    for (const Pipe& pipe : pipes_) {
+    for (const Connection& connection : connections_) {
       const auto interest = [](const std::string& in, bool ended, const std::string& out, bool may_write) {
-        return static_cast<short>((in.size() < kMost && !ended ? POLLIN : 0) |
+        return static_cast<short>((in.size() < kMaxBuffered && !ended ? POLLIN : 0) |
                                   (!out.empty() && may_write ? POLLOUT : 0));
       };
-      polled.push_back({pipe.near.get(), interest(pipe.there, pipe.near_ended, pipe.back, !(held & 2)), 0});
-      polled.push_back({pipe.far.get(), interest(pipe.back, pipe.far_ended, pipe.there, !(held & 1)), 0});
+      polled.push_back(
+          {connection.client.get(),
+           interest(connection.to_target, connection.client_closed, connection.from_target, !(held & 2)), 0});
+      polled.push_back(
+          {connection.target.get(),
+           interest(connection.from_target, connection.target_closed, connection.to_target, !(held & 1)), 0});
     }
     ::poll(polled.data(), polled.size(), trickling_ ? 1 : 5);
     std::size_t at = 1;
-    for (auto each = pipes_.begin(); each != pipes_.end(); at += 2) {
-      const bool goes_on = pump(*each, polled[at].revents, polled[at + 1].revents);
-      if (goes_on) {
+    for (auto each = connections_.begin(); each != connections_.end(); at += 2) {
+      const bool still_open = pump(*each, polled[at].revents, polled[at + 1].revents);
+      if (still_open) {
         ++each;
         continue;
       }
-      hang_up(each->near);
-      hang_up(each->far);
-      each = pipes_.erase(each);
+      reset_connection(each->client);
+      reset_connection(each->target);
+      each = connections_.erase(each);
     }
     if (!(polled[0].revents & POLLIN)) continue;
-    Fd near(::accept4(acceptor_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
-    if (!near) continue;
+    Fd client(::accept4(acceptor_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
+    if (!client) continue;
     if (refusing_) {
-      hang_up(near);
+      reset_connection(client);
       continue;
     }
-    Fd far(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    ::connect(far.get(), reinterpret_cast<const sockaddr*>(&target_), sizeof target_);
-    pipes_.push_back({std::move(near), std::move(far), {}, {}, false, false});
+    Fd target(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+    ::connect(target.get(), reinterpret_cast<const sockaddr*>(&target_), sizeof target_);
+    connections_.push_back({std::move(client), std::move(target), {}, {}, false, false});
   }
 }
 
-bool Relay::pump(Pipe& pipe, short near_events, short far_events) {
+bool Relay::pump(Connection& connection, short client_events, short target_events) {
   constexpr short kRead = POLLIN | POLLHUP | POLLERR;
-  if ((near_events & kRead) && !pipe.near_ended && !read_some(pipe.near, pipe.there, pipe.near_ended))
+  if ((client_events & kRead) && !connection.client_closed &&
+      !read_some(connection.client, connection.to_target, connection.client_closed))
     return false;
-  if ((far_events & kRead) && !pipe.far_ended && !read_some(pipe.far, pipe.back, pipe.far_ended))
+  if ((target_events & kRead) && !connection.target_closed &&
+      !read_some(connection.target, connection.from_target, connection.target_closed))
     return false;
-  const std::size_t most = trickling_ ? 1 : kMost;
+  const std::size_t most = trickling_ ? 1 : kMaxBuffered;
   const std::uint8_t held = held_;
-  if (!(held & 1) && !write_some(pipe.far, pipe.there, most)) return false;
-  if (!(held & 2) && !write_some(pipe.near, pipe.back, most)) return false;
-  const bool there_over = pipe.near_ended && pipe.there.empty();
-  const bool back_over = pipe.far_ended && pipe.back.empty();
-  return !there_over && !back_over;
+  if (!(held & 1) && !write_some(connection.target, connection.to_target, most)) return false;
+  if (!(held & 2) && !write_some(connection.client, connection.from_target, most)) return false;
+  const bool to_target_done = connection.client_closed && connection.to_target.empty();
+  const bool from_target_done = connection.target_closed && connection.from_target.empty();
+  return !to_target_done && !from_target_done;
 }
 
 }  // namespace quartzarch::faults
--- a/standin/faults/relay.hpp
+++ b/standin/faults/relay.hpp
@@ -19,7 +19,8 @@
 
 namespace quartzarch::faults {
 
-enum class Way : std::uint8_t { there = 1, back = 2, both = 3 };  // from the connecting side, and to it
+// `to_target`: from the connecting process to the target.
+enum class Direction : std::uint8_t { to_target = 1, from_target = 2, both = 3 };
 
 class Relay {
  public:
@@ -31,8 +32,9 @@
 
   sockaddr_in address() const { return address_; }
 
-  // Forwards nothing in that direction. Connections stay open; the bytes are kept and delivered after pass().
-  void hold(Way way) { held_ = held_ | static_cast<std::uint8_t>(way); }
+  // Forwards nothing in that direction. Connections stay open; the bytes are kept and delivered after
+  // restore().
+  void hold(Direction direction) { held_ = held_ | static_cast<std::uint8_t>(direction); }
   // Resets all open connections, possibly within a frame, and every new one at once.
   void refuse() { refusing_ = true, reset_now_ = true; }
   // Resets all open connections once; new ones are forwarded.
@@ -40,22 +42,22 @@
   // Forwards one byte per millisecond in each direction.
   void trickle() { trickling_ = true; }
   // Ends hold(), refuse() and trickle().
-  void pass() { held_ = 0, refusing_ = false, trickling_ = false; }
+  void restore() { held_ = 0, refusing_ = false, trickling_ = false; }
 
  private:
-  struct Pipe {
-    Fd near{}, far{};
-    std::string there{}, back{};
-    bool near_ended = false, far_ended = false;
+  struct Connection {
+    Fd client{}, target{};
+    std::string to_target{}, from_target{};
+    bool client_closed = false, target_closed = false;
   };
   void run();
-  bool pump(Pipe& pipe, short near_events, short far_events);
+  bool pump(Connection& connection, short client_events, short target_events);
 
   sockaddr_in target_{}, address_{};
   Fd acceptor_;
-  std::list<Pipe> pipes_;
+  std::list<Connection> connections_;
   std::atomic<std::uint8_t> held_{0};
-  std::atomic<bool> refusing_{false}, reset_now_{false}, trickling_{false}, ending_{false};
+  std::atomic<bool> refusing_{false}, reset_now_{false}, trickling_{false}, stopping_{false};
   std::thread thread_;
 };
 
--- a/tests/duty_faults_test.cpp
+++ b/tests/duty_faults_test.cpp
@@ -59,9 +59,9 @@
     for (int i = 0; i < kVoters; ++i) link(who, voter(i)).trickle();
   }
   wait_for_effects(100);
-  for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).hold(faults::Way::both);
+  for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).hold(faults::Direction::both);
   wait_for_successor("h1");
-  for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).pass();
+  for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).restore();
   wait_for_effects(20);
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
--- a/tests/duty_history_test.cpp
+++ b/tests/duty_history_test.cpp
@@ -95,16 +95,16 @@
         injected_faults_ += " delay what clients send";
         std::vector<std::string> clients(everybody.begin() + 3, everybody.end());
         all(clients, [&](const std::string& who) {
-          links(who, [](faults::Relay& relay) { relay.hold(faults::Way::there); });
+          links(who, [](faults::Relay& relay) { relay.hold(faults::Direction::to_target); });
         });
         return [=, this] {
-          all(clients, [&](const std::string& who) { links(who, [](faults::Relay& r) { r.pass(); }); });
+          all(clients, [&](const std::string& who) { links(who, [](faults::Relay& r) { r.restore(); }); });
         };
       }
       case 4:
         injected_faults_ += " delay what " + victim + " receives";
-        links(victim, [](faults::Relay& relay) { relay.hold(faults::Way::back); });
-        return [=, this] { links(victim, [](faults::Relay& relay) { relay.pass(); }); };
+        links(victim, [](faults::Relay& relay) { relay.hold(faults::Direction::from_target); });
+        return [=, this] { links(victim, [](faults::Relay& relay) { relay.restore(); }); };
       case 5:
         injected_faults_ += " break all connections";
         all(everybody, [&](const std::string& who) { links(who, [](faults::Relay& r) { r.reset(); }); });
@@ -124,7 +124,7 @@
         });
         return [=, this] {
           all(everybody, [&](const std::string& who) {
-            if (who != victim) link(who, victim).pass();
+            if (who != victim) link(who, victim).restore();
           });
         };
     }
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -238,7 +238,7 @@
 // Renewals arrive at the voters, but no replies come back. The holder knows of no renewal and has to stop.
 TEST_F(Duties, AHolderThatReceivesNoRepliesStops) {
   start_with_two_holders();
-  for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).hold(faults::Way::back);
+  for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).hold(faults::Direction::from_target);
   EXPECT_EQ(wait_for_successor("h1"), "h2");
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
--- a/tests/fleet_process.hpp
+++ b/tests/fleet_process.hpp
@@ -61,7 +61,7 @@
   void cut_off(const std::string& who, bool cut) {
     for (auto& [ends, relay] : relays_) {
       const bool of = ends.substr(0, ends.size() - 1) == who || ends.substr(ends.size() - 1) == who;
-      if (of) cut ? relay->hold(faults::Way::both) : relay->pass();
+      if (of) cut ? relay->hold(faults::Direction::both) : relay->restore();
     }
   }
 
