--- a/standin/faults/history.cpp
+++ b/standin/faults/history.cpp
@@ -10,41 +10,41 @@
 
 // The search is aborted, with an error, after this many states: the history has too many concurrent
 // operations to be checked.
-constexpr std::size_t kMostTried = 4'000'000;
+constexpr std::size_t kMaxVisited = 4'000'000;
 constexpr std::size_t kAbsent = std::numeric_limits<std::size_t>::max();
 
-std::string text(const Operation& o) {
+std::string describe(const Operation& o) {
   const auto value = [](const std::optional<std::string>& v) { return v ? *v : "no value"; };
-  std::string said = "client " + std::to_string(o.client);
-  if (o.did == Did::read) said += " read " + value(o.seen);
-  if (o.did == Did::put) said += " put " + o.value;
-  if (o.did == Did::swap) said += " put " + o.value + " for " + value(o.expected);
-  if (o.refused) said += ", found " + value(o.seen);
-  if (!o.returned) said += ", no reply";
-  return said + " (" + std::to_string(o.invoked / std::chrono::milliseconds(1)) + " to " +
+  std::string description = "client " + std::to_string(o.client);
+  if (o.kind == OperationKind::read) description += " read " + value(o.seen);
+  if (o.kind == OperationKind::put) description += " put " + o.value;
+  if (o.kind == OperationKind::swap) description += " put " + o.value + " for " + value(o.expected);
+  if (o.refused) description += ", found " + value(o.seen);
+  if (!o.returned) description += ", no reply";
+  return description + " (" + std::to_string(o.invoked / std::chrono::milliseconds(1)) + " to " +
          (o.returned ? std::to_string(*o.returned / std::chrono::milliseconds(1)) : "-") + " ms)";
 }
 
 // Searches for a valid sequential order of the operations at one key among all orders that their times allow.
-class Search {
+class LinearizabilitySearch {
  public:
-  explicit Search(std::vector<Operation> operations) : operations_(std::move(operations)) {
+  explicit LinearizabilitySearch(std::vector<Operation> operations) : operations_(std::move(operations)) {
     for (std::size_t i = 0; i < operations_.size(); ++i) {
-      if (operations_[i].did != Did::read) writer_[operations_[i].value] = i;
+      if (operations_[i].kind != OperationKind::read) write_of_value_[operations_[i].value] = i;
     }
     // The revision of a write is taken from every operation that returned it or its value, so it may be known
     // for a write without a reply too.
     revision_.assign(operations_.size(), 0);
     for (std::size_t i = 0; i < operations_.size(); ++i) {
       const Operation& o = operations_[i];
-      const bool wrote = o.did != Did::read && !o.refused;
-      const std::optional<std::string>& shown = wrote ? std::optional<std::string>(o.value) : o.seen;
-      if (o.revision == 0 || !shown) continue;
-      const auto by = writer_.find(*shown);
-      if (by == writer_.end()) continue;
+      const bool wrote = o.kind != OperationKind::read && !o.refused;
+      const std::optional<std::string>& value = wrote ? std::optional<std::string>(o.value) : o.seen;
+      if (o.revision == 0 || !value) continue;
+      const auto by = write_of_value_.find(*value);
+      if (by == write_of_value_.end()) continue;
       reg::Revision& known = revision_[by->second];
-      if (known != 0 && known != o.revision && wrong_.empty()) {
-        wrong_ = *shown + " was returned at revision " + std::to_string(known) + " and at " +
+      if (known != 0 && known != o.revision && error_.empty()) {
+        error_ = *value + " was returned at revision " + std::to_string(known) + " and at " +
                  std::to_string(o.revision);
       }
       known = o.revision;
@@ -52,29 +52,29 @@
   }
 
   std::string run() {
-    if (!wrong_.empty()) return wrong_;
-    arrange();
+    if (!error_.empty()) return error_;
+    build_events();
     std::vector<bool> done(operations_.size(), false);
-    std::unordered_set<std::string> tried;
+    std::unordered_set<std::string> visited;
     struct Step {
       std::size_t event;
       std::size_t state;
     };
     std::vector<Step> path;
-    std::size_t state = kAbsent, deepest = 0;
-    std::string stuck;
+    std::size_t state = kAbsent, longest_path = 0;
+    std::string violation;
     std::size_t at = events_[0].next;
     while (events_[0].next != kEnd) {
       const Event& event = events_[at];
       if (event.call) {
-        const auto then = apply(state, event.operation);
-        if (then) {
+        const auto next_state = apply(state, event.operation);
+        if (next_state) {
           done[event.operation] = true;
-          if (tried.size() > kMostTried) return "too many concurrent operations to check the history";
-          if (tried.insert(memory(done, *then)).second) {
+          if (visited.size() > kMaxVisited) return "too many concurrent operations to check the history";
+          if (visited.insert(cache_key(done, *next_state)).second) {
             path.push_back({at, state});
-            state = *then;
-            lift(at);
+            state = *next_state;
+            remove_operation(at);
             at = events_[0].next;
             continue;
           }
@@ -84,17 +84,17 @@
         continue;
       }
       // This operation has returned, but no order on this path lets it take effect before that. Backtrack.
-      if (path.size() >= deepest) {
-        deepest = path.size();
-        stuck = text(operations_[event.operation]) + " after " +
-                (state == kAbsent ? std::string("no write") : text(operations_[state]));
+      if (path.size() >= longest_path) {
+        longest_path = path.size();
+        violation = describe(operations_[event.operation]) + " after " +
+                    (state == kAbsent ? std::string("no write") : describe(operations_[state]));
       }
-      if (path.empty()) return stuck;
+      if (path.empty()) return violation;
       at = path.back().event;
       done[events_[at].operation] = false;
       state = path.back().state;
       path.pop_back();
-      unlift(at);
+      restore_operation(at);
       at = events_[at].next;
     }
     return {};
@@ -110,7 +110,7 @@
   };
   static constexpr std::size_t kEnd = 0;  // index of the head of the circular list
 
-  void arrange() {
+  void build_events() {
     struct At {
       Time time;
       bool call;
@@ -138,21 +138,21 @@
     events_[0].next = events_.size() > 1 ? 1 : 0;
     events_[0].previous = events_.size() - 1;
   }
-  void take_out(std::size_t at) {
+  void unlink_event(std::size_t at) {
     events_[events_[at].previous].next = events_[at].next;
     events_[events_[at].next].previous = events_[at].previous;
   }
-  void put_back(std::size_t at) {
+  void relink_event(std::size_t at) {
     events_[events_[at].previous].next = at;
     events_[events_[at].next].previous = at;
   }
-  void lift(std::size_t call) {
-    take_out(call);
-    take_out(events_[call].other);
+  void remove_operation(std::size_t call) {
+    unlink_event(call);
+    unlink_event(events_[call].other);
   }
-  void unlift(std::size_t call) {
-    put_back(events_[call].other);
-    put_back(call);
+  void restore_operation(std::size_t call) {
+    relink_event(events_[call].other);
+    relink_event(call);
   }
 
   // Applies an operation to a state, which is the index of the write whose value the key has. Returns the new
@@ -162,12 +162,12 @@
     const auto is = [&](const std::optional<std::string>& value) {
       return value ? state != kAbsent && operations_[state].value == *value : state == kAbsent;
     };
-    if (o.did == Did::read || o.refused) {
+    if (o.kind == OperationKind::read || o.refused) {
       if (!is(o.seen)) return std::nullopt;
       if (o.refused && o.seen == o.expected) return std::nullopt;
       return state;
     }
-    if (o.did == Did::swap && !is(o.expected)) {
+    if (o.kind == OperationKind::swap && !is(o.expected)) {
       if (o.returned) return std::nullopt;
       return state;  // it was refused, but the reply was lost
     }
@@ -177,7 +177,7 @@
   }
 
   // The entry in the cache of visited states.
-  static std::string memory(const std::vector<bool>& done, std::size_t state) {
+  static std::string cache_key(const std::vector<bool>& done, std::size_t state) {
     std::string bits((done.size() + 7) / 8 + sizeof state, '\0');
     for (std::size_t i = 0; i < done.size(); ++i) {
       if (done[i]) bits[i / 8] = static_cast<char>(bits[i / 8] | 1 << i % 8);
@@ -188,10 +188,10 @@
   }
 
   std::vector<Operation> operations_;
-  std::map<std::string, std::size_t> writer_;
+  std::map<std::string, std::size_t> write_of_value_;
   std::vector<reg::Revision> revision_;
   std::vector<Event> events_;
-  std::string wrong_;
+  std::string error_;
 };
 
 }  // namespace
@@ -206,7 +206,7 @@
                                                 [](const Operation& o) { return o.returned.has_value(); }));
 }
 
-std::string History::judge() const {
+std::string History::check() const {
   std::set<std::string> seen;
   for (const Operation& o : operations_) {
     if (o.seen) seen.insert(*o.seen);
@@ -215,12 +215,12 @@
   for (const Operation& o : operations_) {
     // Skips operations without a reply, except writes whose value was seen. An unseen write can be left out:
     // any valid order that contains it is also valid without it.
-    if (!o.returned && (o.did == Did::read || seen.count(o.value) == 0)) continue;
+    if (!o.returned && (o.kind == OperationKind::read || seen.count(o.value) == 0)) continue;
     by_key[o.key].push_back(o);
   }
   for (auto& [key, operations] : by_key) {
-    const std::string wrong = Search(std::move(operations)).run();
-    if (!wrong.empty()) return key + ": " + wrong;
+    const std::string violation = LinearizabilitySearch(std::move(operations)).run();
+    if (!violation.empty()) return key + ": " + violation;
   }
   return {};
 }
@@ -234,13 +234,15 @@
   if (busy_) return;
   Operation operation;
   operation.key = key(static_cast<unsigned>(random_() % kKeys));
-  const auto known = seen_.find(operation.key);
-  const auto kind = random_() % 10;
-  operation.did = kind < 4 ? Did::read : kind < 6 || known == seen_.end() ? Did::put : Did::swap;
-  if (operation.did != Did::read) {
+  const auto known = known_.find(operation.key);
+  const auto roll = random_() % 10;
+  operation.kind = roll < 4                            ? OperationKind::read
+                   : roll < 6 || known == known_.end() ? OperationKind::put
+                                                       : OperationKind::swap;
+  if (operation.kind != OperationKind::read) {
     operation.value = "c" + std::to_string(client_) + "." + std::to_string(++written_);
   }
-  if (operation.did == Did::swap) operation.expected = known->second.value;
+  if (operation.kind == OperationKind::swap) operation.expected = known->second.value;
   ask(now, std::move(operation));
 }
 
@@ -250,46 +252,47 @@
   ask(now, std::move(operation));
 }
 
-void Recorder::forget() {
+void Recorder::abandon() {
   busy_ = false;
-  seen_.clear();
-  ++life_;
+  known_.clear();
+  ++incarnation_;
 }
 
 void Recorder::ask(const std::function<Time()>& now, Operation operation) {
   reg::Command command;
-  command.op = operation.did == Did::read ? reg::Op::read : reg::Op::put;
+  command.op = operation.kind == OperationKind::read ? reg::Op::read : reg::Op::put;
   command.name = operation.key;
   command.value = operation.value;
-  if (operation.did == Did::swap) command.expected = seen_.at(operation.key).revision;
+  if (operation.kind == OperationKind::swap) command.expected = known_.at(operation.key).revision;
   operation.client = client_;
   operation.invoked = now();
   busy_ = true;
-  const std::size_t place = history_.begin(std::move(operation));
-  ask_(std::move(command), [this, now, place, life = life_](const std::optional<reg::Reply>& reply) {
-    if (life != life_) return;
-    answered(now(), place, reply);
-  });
+  const std::size_t index = history_.begin(std::move(operation));
+  ask_(std::move(command),
+       [this, now, index, incarnation = incarnation_](const std::optional<reg::Reply>& reply) {
+         if (incarnation != incarnation_) return;
+         answered(now(), index, reply);
+       });
 }
 
-void Recorder::answered(Time now, std::size_t place, const std::optional<reg::Reply>& reply) {
+void Recorder::answered(Time now, std::size_t index, const std::optional<reg::Reply>& reply) {
   busy_ = false;
   if (!reply) return;
-  Operation& operation = history_.at(place);
-  const bool read = operation.did == Did::read;
+  Operation& operation = history_.at(index);
+  const bool read = operation.kind == OperationKind::read;
   const bool found = reply->code == reg::Code::ok || (read && reply->code == reg::Code::absent);
   // Any other code is not a result of the operation, so it counts as unanswered.
   if (!found && reply->code != reg::Code::changed) return;
   operation.returned = now;
   operation.refused = reply->code == reg::Code::changed;
-  Seen& seen = seen_[operation.key];
+  KnownValue& known = known_[operation.key];
   if (read || operation.refused) {
-    seen = {};
-    if (!reply->items.empty()) seen = {reply->items.front().value, reply->items.front().revision};
-    operation.seen = seen.value;
-    operation.revision = seen.revision;
+    known = {};
+    if (!reply->items.empty()) known = {reply->items.front().value, reply->items.front().revision};
+    operation.seen = known.value;
+    operation.revision = known.revision;
   } else {
-    seen = {operation.value, reply->revision};
+    known = {operation.value, reply->revision};
     operation.revision = reply->revision;
   }
 }
--- a/standin/faults/history.hpp
+++ b/standin/faults/history.hpp
@@ -16,11 +16,11 @@
 
 namespace quartzarch::faults {
 
-enum class Did { read, put, swap };  // swap: compare-and-set
+enum class OperationKind { read, put, swap };  // swap: compare-and-set
 
 struct Operation {
   unsigned client = 0;
-  Did did{};
+  OperationKind kind{};
   std::string key{};
   std::string value{};                    // written; unique within a history
   std::optional<std::string> expected{};  // by a swap; empty: the key must be absent
@@ -36,12 +36,12 @@
  public:
   // Adds an operation without a reply; returns its index, for at().
   std::size_t begin(Operation operation);
-  Operation& at(std::size_t place) { return operations_[place]; }
+  Operation& at(std::size_t index) { return operations_[index]; }
   const std::vector<Operation>& operations() const { return operations_; }
   std::size_t answered() const;
 
   // Checks the history. Returns the first violation in one line; empty if the history is linearizable.
-  std::string judge() const;
+  std::string check() const;
 
  private:
   std::vector<Operation> operations_;
@@ -66,13 +66,13 @@
   // Whether an operation is in flight.
   bool busy() const { return busy_; }
   // Simulates a crash of the client: the operation in flight stays without a reply.
-  void forget();
+  void abandon();
 
  private:
   void ask(const std::function<Time()>& now, Operation operation);
-  void answered(Time now, std::size_t place, const std::optional<reg::Reply>& reply);
+  void answered(Time now, std::size_t index, const std::optional<reg::Reply>& reply);
 
-  struct Seen {
+  struct KnownValue {
     std::optional<std::string> value{};
     reg::Revision revision = 0;
   };
@@ -81,9 +81,9 @@
   unsigned client_;
   Ask ask_;
   std::mt19937_64 random_;
-  std::map<std::string, Seen> seen_;
+  std::map<std::string, KnownValue> known_;
   bool busy_ = false;
-  unsigned life_ = 0;
+  unsigned incarnation_ = 0;
   unsigned written_ = 0;
 };
 
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -308,7 +308,7 @@
       };
       controller.recorder = std::make_unique<Recorder>(history_, controller.number, ask, random_());
     }
-    controller.recorder->forget();
+    controller.recorder->abandon();
     controller.held_up.clear();
     controller.counting = false;
     duty::Settings settings;
@@ -791,7 +791,7 @@
   // The history must be linearizable. This includes that reads after the faults see all acknowledged writes.
   void judge_history() {
     seen_.history = history_.answered();
-    const std::string wrong = history_.judge();
+    const std::string wrong = history_.check();
     if (!wrong.empty() && fault_.empty())
       fault_ = "the history is not linearizable: " + wrong + " (seed " + std::to_string(settings_.seed) + ")";
   }
--- a/tests/duty_history_test.cpp
+++ b/tests/duty_history_test.cpp
@@ -158,7 +158,7 @@
   read_all();
   const std::string context =
       "QUARTZARCH_SEED=" + std::to_string(seed) + " reproduces these faults:" + injected_faults_;
-  EXPECT_EQ(history_.judge(), "") << context;
+  EXPECT_EQ(history_.check(), "") << context;
   EXPECT_EQ(find_interleaving(read_effects()), "") << context;
   EXPECT_GT(history_.answered(), history_.operations().size() / 2) << context;
   std::printf("%zu operations, %zu with an answer\n", history_.operations().size(), history_.answered());
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -113,11 +113,11 @@
 
 // ---- The checker of histories, on small ones
 
-faults::Operation did(faults::Did what, const char* value, int from, int to) {
+faults::Operation did(faults::OperationKind what, const char* value, int from, int to) {
   faults::Operation o;
-  o.did = what;
+  o.kind = what;
   o.key = "k";
-  (what == faults::Did::read ? o.seen.emplace() : o.value) = value;
+  (what == faults::OperationKind::read ? o.seen.emplace() : o.value) = value;
   o.invoked = Time{from};
   if (to > 0) o.returned = Time{to};
   return o;
@@ -125,27 +125,35 @@
 std::string check_history(const std::vector<faults::Operation>& operations) {
   faults::History history;
   for (const auto& each : operations) history.begin(each);
-  return history.judge();
+  return history.check();
 }
 
 TEST(History, IsCheckedForLinearizability) {
-  using faults::Did;
-  const auto a = did(Did::put, "a", 0, 10), b = did(Did::put, "b", 20, 30);
-  EXPECT_EQ(check_history({a, b, did(Did::read, "b", 40, 50)}), "");
-  EXPECT_NE(check_history({a, b, did(Did::read, "a", 40, 50)}), "") << "older than the last completed write";
-  EXPECT_EQ(check_history({a, b, did(Did::read, "a", 25, 50)}), "") << "concurrent with the write";
-  EXPECT_NE(check_history({a, b, did(Did::read, "b", 22, 24), did(Did::read, "a", 25, 28)}), "")
+  using faults::OperationKind;
+  const auto a = did(OperationKind::put, "a", 0, 10), b = did(OperationKind::put, "b", 20, 30);
+  EXPECT_EQ(check_history({a, b, did(OperationKind::read, "b", 40, 50)}), "");
+  EXPECT_NE(check_history({a, b, did(OperationKind::read, "a", 40, 50)}), "")
+      << "older than the last completed write";
+  EXPECT_EQ(check_history({a, b, did(OperationKind::read, "a", 25, 50)}), "") << "concurrent with the write";
+  EXPECT_NE(
+      check_history({a, b, did(OperationKind::read, "b", 22, 24), did(OperationKind::read, "a", 25, 28)}), "")
       << "a later read returns an older value";
-  const auto lost = did(Did::put, "c", 60, 0);
-  EXPECT_EQ(check_history({a, lost, did(Did::read, "a", 70, 80), did(Did::read, "c", 90, 95)}), "") << "late";
-  EXPECT_NE(check_history({a, lost, did(Did::read, "c", 70, 80), did(Did::read, "a", 90, 95)}), "");
-  EXPECT_NE(check_history({a, did(Did::read, "c", 40, 50)}), "") << "a value that was never written";
-  auto swap = did(Did::swap, "d", 40, 50), other = did(Did::swap, "e", 45, 55);
+  const auto lost = did(OperationKind::put, "c", 60, 0);
+  EXPECT_EQ(
+      check_history({a, lost, did(OperationKind::read, "a", 70, 80), did(OperationKind::read, "c", 90, 95)}),
+      "")
+      << "late";
+  EXPECT_NE(
+      check_history({a, lost, did(OperationKind::read, "c", 70, 80), did(OperationKind::read, "a", 90, 95)}),
+      "");
+  EXPECT_NE(check_history({a, did(OperationKind::read, "c", 40, 50)}), "")
+      << "a value that was never written";
+  auto swap = did(OperationKind::swap, "d", 40, 50), other = did(OperationKind::swap, "e", 45, 55);
   swap.expected = other.expected = "a";
   EXPECT_NE(check_history({a, swap, other}), "") << "both replaced the same value";
   other.refused = true, other.seen = "d";
   EXPECT_EQ(check_history({a, swap, other}), "");
-  auto early = did(Did::put, "f", 0, 10), late = did(Did::put, "g", 20, 30);
+  auto early = did(OperationKind::put, "f", 0, 10), late = did(OperationKind::put, "g", 20, 30);
   early.revision = 9, late.revision = 8;
   EXPECT_NE(check_history({early, late}), "") << "revisions never decrease";
 }
