--- a/bench/duty.cpp
+++ b/bench/duty.cpp
@@ -37,22 +37,22 @@
   std::uint64_t faults = 0, overlaps = 0, no_fence = 0, naive_lease = 0, effects = 0, lost = 0;
   std::vector<double> gaps;
   for (std::uint64_t seed = 1; seed <= count; ++seed) {
-    faults::WorldSettings settings;
+    faults::SimulationSettings settings;
     settings.seed = seed;
-    settings.faults_a_second = 3;
-    settings.late = 0.02;
-    const faults::Seen seen = faults::walk(settings);
+    settings.faults_per_second = 3;
+    settings.late_share = 0.02;
+    const faults::WalkResult seen = faults::walk(settings);
     faults += seen.faults;
     effects += seen.effects;
-    overlaps += seen.fault.find("two hold") != std::string::npos ||
-                seen.fault.find("older holding") != std::string::npos;
-    lost += seen.fault.find("acknowledged") != std::string::npos;
+    overlaps += seen.violation.find("two hold") != std::string::npos ||
+                seen.violation.find("older holding") != std::string::npos;
+    lost += seen.violation.find("acknowledged") != std::string::npos;
     for (const Duration gap : seen.gaps) gaps.push_back(ms(gap));
-    settings.resource_takes_all = true;
-    no_fence += !faults::walk(settings).fault.empty();
-    settings.resource_takes_all = false;
-    settings.counts_from_answer = settings.stops_only = true;
-    naive_lease += !faults::walk(settings).fault.empty();
+    settings.resource_ignores_tokens = true;
+    no_fence += !faults::walk(settings).violation.empty();
+    settings.resource_ignores_tokens = false;
+    settings.lease_from_reply = settings.controller_pauses_only = true;
+    naive_lease += !faults::walk(settings).violation.empty();
   }
   figures.add("walks", static_cast<double>(count),
               "60 s of a fleet each: 3 voters, 5 controllers, 3 duties, leases of 1.5 s");
@@ -153,22 +153,22 @@
 
 // A large fleet in virtual time; the middle 30 s of 50 without a third of its controllers.
 void large_fleet(Figures& figures, bool quick) {
-  faults::WorldSettings settings;
+  faults::SimulationSettings settings;
   settings.controllers = quick ? 60 : 300;
   settings.duties = quick ? 16 : 64;
   settings.ttl = milliseconds(3000);
-  settings.length = std::chrono::seconds(50);
-  settings.settling = std::chrono::seconds(10);
-  settings.third_cut_off = true;
-  settings.loss = settings.late = 0;
-  const faults::Seen seen = faults::walk(settings);
+  settings.fault_phase = std::chrono::seconds(50);
+  settings.settle_timeout = std::chrono::seconds(10);
+  settings.partition_third = true;
+  settings.loss_share = settings.late_share = 0;
+  const faults::WalkResult seen = faults::walk(settings);
   const double length = 60;
   std::vector<double> gaps;
   for (const Duration gap : seen.gaps) gaps.push_back(ms(gap));
   figures.add("fleet_controllers", settings.controllers,
               "virtual time, leases of 3 s, a third cut off for 30 s");
   figures.add("fleet_duties", settings.duties);
-  figures.add("fleet_faults", !seen.fault.empty(), seen.fault.c_str());
+  figures.add("fleet_faults", !seen.violation.empty(), seen.violation.c_str());
   figures.add("fleet_messages_a_controller_s",
               static_cast<double>(seen.client_messages) / length / settings.controllers, "sent by it");
   figures.add("fleet_duty_messages_a_controller_s",
--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -26,7 +26,7 @@
 // The simulation: an event queue in virtual time, the simulated processes, the network and the checks.
 class World {
  public:
-  explicit World(const WorldSettings& settings) : settings_(settings), random_(settings.seed) {
+  explicit World(const SimulationSettings& settings) : settings_(settings), random_(settings.seed) {
     const unsigned parties = settings_.voters + settings_.controllers;
     cut_.assign(parties, std::vector<bool>(parties, false));
     for (unsigned i = 0; i < settings_.voters; ++i) {
@@ -45,34 +45,34 @@
     }
   }
 
-  Seen run() {
+  WalkResult run() {
     for (auto& voter : voters_) step(*voter);
     for (auto& controller : controllers_) step(*controller);
-    if (settings_.third_cut_off) {
+    if (settings_.partition_third) {
       cut_third(true, seconds(10));
       cut_third(false, seconds(40));
-    } else if (settings_.flapping) {
+    } else if (settings_.flapping_links) {
       flap(true);
     } else {
       draw_fault();
-      if (settings_.hand_overs) draw_hand_over();
+      if (settings_.leadership_transfers) draw_hand_over();
     }
-    while (now_ < settings_.length && fault_.empty()) next_event();
+    while (now_ < settings_.fault_phase && fault_.empty()) next_event();
     heal();
     const Time healed = now_;
     bool settled = false;
-    while (now_ < healed + settings_.settling && fault_.empty()) {
+    while (now_ < healed + settings_.settle_timeout && fault_.empty()) {
       next_event();
       if (!settled && all_held()) {
         settled = true;
-        seen_.settled_after = now_ - healed;
+        result_.settling_time = now_ - healed;
       }
     }
     if (fault_.empty() && !all_held()) fault("a duty has no holder after all faults ended");
     if (fault_.empty()) check_counter();
     judge_history();
-    if (!fault_.empty()) seen_.fault = fault_;
-    return std::move(seen_);
+    if (!fault_.empty()) result_.violation = fault_;
+    return std::move(result_);
   }
 
  private:
@@ -154,7 +154,7 @@
     return {milliseconds(draw(100000)), rate};
   }
   Duration draw_delay() {
-    if (!healed_ && chance(settings_.late)) return milliseconds(200 + draw(3000));
+    if (!healed_ && chance(settings_.late_share)) return milliseconds(200 + draw(3000));
     return Duration{500 + draw(9500)};
   }
 
@@ -183,7 +183,7 @@
   }
 
   void fault(const std::string& what) {
-    if (!fault_.empty() || settings_.judges_history_alone) return;
+    if (!fault_.empty() || settings_.check_history_only) return;
     fault_ = what + " (at " + std::to_string(now_ / milliseconds(1)) + " ms, seed " +
              std::to_string(settings_.seed) + ")";
   }
@@ -270,14 +270,14 @@
   }
 
   void between_voters(Voter& from, reg::VoterId to, std::string bytes) {
-    ++seen_.messages;
-    seen_.bytes += bytes.size();
-    if (from.node && from.node->leads()) ++seen_.leader_messages, seen_.leader_bytes += bytes.size();
+    ++result_.messages;
+    result_.bytes += bytes.size();
+    if (from.node && from.node->leads()) ++result_.leader_messages, result_.leader_bytes += bytes.size();
     const auto found =
         std::find_if(voters_.begin(), voters_.end(), [&](const auto& v) { return v->id == to; });
     if (found == voters_.end()) return;
     Voter& target = **found;
-    if (cut_[from.number][target.number] || chance(settings_.loss)) return;
+    if (cut_[from.number][target.number] || chance(settings_.loss_share)) return;
     at(now_ + draw_delay(),
        [this, &target, to, from_id = from.id, number = from.number, bytes = std::move(bytes)] {
          if (!target.node || target.id != to || cut_[number][target.number]) return;
@@ -318,7 +318,7 @@
     settings.drift = settings_.drift;
     settings.min_back_off = milliseconds(300);
     settings.max_back_off = milliseconds(2000);
-    settings.lease_from_reply = settings_.counts_from_answer;
+    settings.lease_from_reply = settings_.lease_from_reply;
     std::vector<duty::DutySettings> duties;
     for (unsigned i = 0; i < settings_.duties; ++i) duties.push_back({duty_name(i), true, {}});
     controller.leases = std::make_unique<duty::LeaseManager>(settings, duties, random_());
@@ -348,7 +348,7 @@
     const Time local = controller.clock.at(now_);
     const unsigned life = controller.life;
     for (auto& request : controller.leases->due(local)) {
-      ++seen_.duty_messages;
+      ++result_.duty_messages;
       controller.access->ask(
           local, std::move(request.command),
           [this, &controller, life, id = request.id](const std::optional<reg::Reply>& reply) {
@@ -368,7 +368,7 @@
                 : std::string(" ends: ") + duty::end_reason_text(action.reason)) +
            " token " + std::to_string(action.token));
       if (action.kind == duty::Action::Kind::begin) {
-        ++seen_.holdings;
+        ++result_.holdings;
         controller.works[action.duty] = {action.token, now_, std::nullopt};
       } else if (const auto work = controller.works.find(action.duty); work != controller.works.end()) {
         work->second.ends_at = now_ + milliseconds(draw(100));
@@ -384,7 +384,7 @@
       if (now_ >= work.next_effect) effect(controller, duty, work);
       ++each;
     }
-    if (now_ >= controller.next_record && !settings_.third_cut_off) {
+    if (now_ >= controller.next_record && !settings_.partition_third) {
       controller.next_record = now_ + kRecordEvery;
       controller.recorder->step([this] { return now_; });
     }
@@ -402,11 +402,11 @@
     const Duration on_way = chance(0.02) ? milliseconds(draw(4000)) : Duration{500 + draw(3000)};
     at(now_ + on_way, [this, duty, written = *token] {
       reg::Token& newest = newest_token_[duty];
-      if (written < newest && !settings_.resource_takes_all) {
-        ++seen_.refused_effects;
+      if (written < newest && !settings_.resource_ignores_tokens) {
+        ++result_.rejected_effects;
         return;
       }
-      ++seen_.effects;
+      ++result_.effects;
       if (written < newest)
         return fault("an effect of an older holding of " + duty + " was applied after one of a newer");
       newest = written;
@@ -442,7 +442,7 @@
           controller.access->ask(controller.clock.at(now_), put,
                                  [this, &controller, life](const std::optional<reg::Reply>& written) {
                                    if (written) --unknown_;
-                                   if (written && written->code == reg::Code::ok) ++seen_.increments;
+                                   if (written && written->code == reg::Code::ok) ++result_.increments;
                                    if (written) told_ = std::max(told_, written->revision);
                                    if (controller.life == life) controller.counting = false;
                                  });
@@ -452,10 +452,10 @@
   // ---- Connections between controllers and voters: messages arrive in order until a connection breaks
 
   void to_voter(Controller& controller, std::string bytes) {
-    ++seen_.messages;
-    seen_.bytes += bytes.size();
-    ++seen_.client_messages;
-    seen_.client_bytes += bytes.size();
+    ++result_.messages;
+    result_.bytes += bytes.size();
+    ++result_.client_messages;
+    result_.client_bytes += bytes.size();
     const std::string target = controller.access->voter();
     for (auto& each : voters_) {
       if (address(each->number) != target) continue;
@@ -495,9 +495,9 @@
   }
 
   void to_client(Voter& voter, std::uint64_t client, std::string bytes) {
-    ++seen_.messages;
-    seen_.bytes += bytes.size();
-    if (voter.node && voter.node->leads()) ++seen_.leader_messages, seen_.leader_bytes += bytes.size();
+    ++result_.messages;
+    result_.bytes += bytes.size();
+    if (voter.node && voter.node->leads()) ++result_.leader_messages, result_.leader_bytes += bytes.size();
     Controller& controller = *controllers_[client >> 32];
     const auto connection = static_cast<unsigned>(client);
     if (controller.connection != connection) return;
@@ -538,7 +538,7 @@
 
   void break_connection(Controller& controller) {
     if (controller.connected_to < 0) return;
-    if (settings_.flapping)
+    if (settings_.flapping_links)
       tell(name(controller) + " loses its connection to " +
            address(static_cast<unsigned>(controller.connected_to)));
     close_at_voter(controller);
@@ -560,9 +560,9 @@
   // ---- Faults
 
   void draw_fault() {
-    at(now_ + Duration{1000 + draw(static_cast<int>(2e6 / settings_.faults_a_second))}, [this] {
-      if (now_ >= settings_.length) return;
-      ++seen_.faults;
+    at(now_ + Duration{1000 + draw(static_cast<int>(2e6 / settings_.faults_per_second))}, [this] {
+      if (now_ >= settings_.fault_phase) return;
+      ++result_.faults;
       inject();
       draw_fault();
     });
@@ -570,13 +570,13 @@
 
   void draw_hand_over() {
     at(now_ + milliseconds(200 + draw(2600)), [this] {
-      if (now_ >= settings_.length) return;
+      if (now_ >= settings_.fault_phase) return;
       for (auto& voter : voters_) {
         if (!voter->node || !voter->node->leads() || now_ < voter->stopped_until) continue;
         const reg::VoterId to = chance(0.5) ? 0 : voters_[static_cast<unsigned>(draw(3))]->id;
         const bool begun = voter->node->transfer_leadership(voter->clock.at(now_), to);
         if (begun) tell(address(voter->number) + " transfers leadership to " + std::to_string(to));
-        seen_.hand_overs += begun;
+        result_.leadership_transfers += begun;
       }
       draw_hand_over();
     });
@@ -588,18 +588,18 @@
         *controllers_[static_cast<unsigned>(draw(static_cast<int>(settings_.controllers)))];
     const Duration length = milliseconds(50 + draw(4000));
     const auto until = now_ + length;
-    if (settings_.voters_only && chance(0.8)) {
+    if (settings_.voter_faults_only && chance(0.8)) {
       kill(voter);
       at(now_ + milliseconds(20 + draw(200)), [this, &voter] {
         if (!voter.node) start(voter, false);
       });
       return;
     }
-    if (settings_.stops_only && chance(0.8)) {
+    if (settings_.controller_pauses_only && chance(0.8)) {
       controller.stopped_until = std::max(controller.stopped_until, until);
       return;
     }
-    switch (settings_.stops_only || settings_.voters_only ? 12 : draw(13)) {
+    switch (settings_.controller_pauses_only || settings_.voter_faults_only ? 12 : draw(13)) {
       case 0:  // a voter crashes and restarts
         kill(voter);
         at(until, [this, &voter] {
@@ -666,7 +666,7 @@
         cut_[party][voter] = cut_[voter][party] = cut;
     }
     at(now_ + milliseconds(200), [this, cut] {
-      if (now_ < settings_.length) flap(!cut);
+      if (now_ < settings_.fault_phase) flap(!cut);
     });
   }
 
@@ -734,7 +734,7 @@
   void heal() {
     healed_ = true;
     for (auto& row : cut_) std::fill(row.begin(), row.end(), false);
-    settings_.loss = 0;
+    settings_.loss_share = 0;
     for (auto& voter : voters_) {
       voter->stopped_until = now_;
       voter->disk.fail_next_write(MemoryDisk::Fault::none);
@@ -769,7 +769,7 @@
   // At any virtual time a duty has at most one holder. Paused processes do not count: a process checks its
   // clock first when it resumes.
   void check_holders() {
-    if (settings_.third_cut_off && now_ - holders_checked_ < milliseconds(50)) return;
+    if (settings_.partition_third && now_ - holders_checked_ < milliseconds(50)) return;
     holders_checked_ = now_;
     for (unsigned i = 0; i < settings_.duties; ++i) {
       const std::string duty = duty_name(i);
@@ -782,7 +782,7 @@
       Time& free_since = free_since_[duty];
       if (holders == 0 && free_since == Time{}) free_since = now_;
       if (holders > 0 && free_since != Time{}) {
-        seen_.gaps.push_back(now_ - free_since);
+        result_.gaps.push_back(now_ - free_since);
         free_since = Time{};
       }
     }
@@ -790,7 +790,7 @@
 
   // The history must be linearizable. This includes that reads after the faults see all acknowledged writes.
   void judge_history() {
-    seen_.history = history_.answered();
+    result_.answered_operations = history_.answered();
     const std::string wrong = history_.check();
     if (!wrong.empty() && fault_.empty())
       fault_ = "the history is not linearizable: " + wrong + " (seed " + std::to_string(settings_.seed) + ")";
@@ -813,14 +813,14 @@
       const reg::Reply reply = copy.apply(read);
       if (!reply.items.empty()) kept = std::stoull(reply.items.front().value);
     }
-    if (kept < seen_.increments) {
+    if (kept < result_.increments) {
       fault("acknowledged increments are lost: the counter is " + std::to_string(kept) + " after " +
-            std::to_string(seen_.increments));
+            std::to_string(result_.increments));
     }
-    if (kept > seen_.increments + unknown_) fault("an increment was applied twice");
+    if (kept > result_.increments + unknown_) fault("an increment was applied twice");
   }
 
-  WorldSettings settings_;
+  SimulationSettings settings_;
   std::mt19937_64 random_;
   Time now_{};
   std::uint64_t order_ = 0;
@@ -841,11 +841,11 @@
   bool healed_ = false;
   History history_;
   std::string fault_;
-  Seen seen_;
+  WalkResult result_;
 };
 
 }  // namespace
 
-Seen walk(const WorldSettings& settings) { return World(settings).run(); }
+WalkResult walk(const SimulationSettings& settings) { return World(settings).run(); }
 
 }  // namespace quartzarch::faults
--- a/standin/faults/world.hpp
+++ b/standin/faults/world.hpp
@@ -14,56 +14,56 @@
 
 namespace quartzarch::faults {
 
-struct WorldSettings {
+struct SimulationSettings {
   std::uint64_t seed = 1;
   unsigned voters = 3;
   unsigned controllers = 5;
   unsigned duties = 3;
-  // How long faults are injected. Then all faults end, and every duty must get a holder within `settling`.
-  Duration length = std::chrono::seconds(40);
-  Duration settling = std::chrono::seconds(20);
+  // How long faults are injected. Then all faults end and every duty must get a holder within settle_timeout.
+  Duration fault_phase = std::chrono::seconds(40);
+  Duration settle_timeout = std::chrono::seconds(20);
   Duration ttl = std::chrono::milliseconds(1500);
   double drift = 0.05;  // largest difference between the rates of two clocks, and what the lease allows for
-  double faults_a_second = 1.5;
-  double loss = 0.01;        // share of the messages between voters that are lost
-  double late = 0.004;       // share of messages that are delayed by up to 3 s and overtaken by others
-  bool voters_only = false;  // only crashes of voters and partitions
-  bool stops_only = false;   // only pauses of controllers and partitions
-  bool hand_overs = true;    // planned leadership transfers, every 1.5 s on average
+  double faults_per_second = 1.5;
+  double loss_share = 0.01;        // share of the messages between voters that are lost
+  double late_share = 0.004;       // share of messages that are delayed by up to 3 s and overtaken by others
+  bool voter_faults_only = false;  // only crashes of voters and partitions
+  bool controller_pauses_only = false;  // only pauses of controllers and partitions
+  bool leadership_transfers = true;     // planned leadership transfers, every 1.5 s on average
   // For benchmarks of large fleets: the only fault is that every third controller is partitioned from all
   // voters from 10 s to 40 s. To save time the holders are checked only once in 50 ms.
-  bool third_cut_off = false;
+  bool partition_third = false;
   // The only fault is that the links between all controllers and all voters are alternately down for 200 ms
   // and up for 200 ms until the end.
-  bool flapping = false;
+  bool flapping_links = false;
   std::FILE* timeline = nullptr;  // log of faults, leaders and voter changes, one per line; null: none
   // Deliberate defects, to show that the checks detect them.
   reg::Defects defects{};
-  bool judges_history_alone = false;  // checks only the history of the clients
-  bool forgets_vote = false;          // voters do not store their votes
-  bool counts_from_answer = false;    // leases start at the reply instead of the request
-  bool resource_takes_all = false;    // the resource that duties write to ignores fencing tokens
+  bool check_history_only = false;       // checks only the history of the clients
+  bool forgets_vote = false;             // voters do not store their votes
+  bool lease_from_reply = false;         // leases start at the reply instead of the request
+  bool resource_ignores_tokens = false;  // the resource that duties write to ignores fencing tokens
 };
 
 // The result of a walk.
-struct Seen {
-  std::string fault{};                             // the first violated invariant; empty: none
-  std::uint64_t effects = 0, refused_effects = 0;  // writes at the resource that duties write to
-  std::uint64_t history = 0;                       // operations at the register that got a reply
-  std::uint64_t increments = 0;                    // acknowledged increments of the shared counter
-  std::uint64_t holdings = 0;                      // times that a controller became holder of a duty
+struct WalkResult {
+  std::string violation{};                          // the first violated invariant; empty: none
+  std::uint64_t effects = 0, rejected_effects = 0;  // writes at the resource that duties write to
+  std::uint64_t answered_operations = 0;            // operations at the register that got a reply
+  std::uint64_t increments = 0;                     // acknowledged increments of the shared counter
+  std::uint64_t holdings = 0;                       // times that a controller became holder of a duty
   std::uint64_t faults = 0;
-  std::uint64_t hand_overs = 0;  // leadership transfers that were started
+  std::uint64_t leadership_transfers = 0;  // leadership transfers that were started
   std::uint64_t messages = 0, bytes = 0;
   std::uint64_t leader_messages = 0, leader_bytes = 0;  // sent by the leader
   std::uint64_t duty_messages =
       0;  // requests of the lease managers: sessions, acquisitions, renewals, releases
   std::uint64_t client_messages = 0, client_bytes = 0;  // sent by controllers
   std::vector<Duration> gaps{};                         // each period in which a duty had no holder
-  Duration settled_after{};  // from the end of the faults until all duties had holders
+  Duration settling_time{};  // from the end of the faults until all duties had holders
 };
 
 // Runs one walk to its end or to the first violation.
-Seen walk(const WorldSettings& settings);
+WalkResult walk(const SimulationSettings& settings);
 
 }  // namespace quartzarch::faults
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -23,7 +23,7 @@
 namespace quartzarch::test {
 namespace {
 
-using faults::WorldSettings;
+using faults::SimulationSettings;
 using std::chrono::milliseconds;
 
 // QUARTZARCH_SEED replays one walk and prints its timeline; QUARTZARCH_WALKS sets the number of walks.
@@ -39,19 +39,19 @@
   for (std::uint64_t seed = 1; seed <= walks; ++seed) seeds.push_back(seed);
   if (replay != 0) seeds = {replay};
   for (const std::uint64_t seed : seeds) {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.seed = seed;
     settings.voters = seed % 4 == 0 ? 5 : 3;
-    settings.faults_a_second = seed % 2 == 0 ? 2 : 4;
-    settings.late = seed % 3 == 0 ? 0.02 : 0.004;
-    settings.voters_only = seed % 10 == 0;
-    settings.stops_only = seed % 10 == 5;
+    settings.faults_per_second = seed % 2 == 0 ? 2 : 4;
+    settings.late_share = seed % 3 == 0 ? 0.02 : 0.004;
+    settings.voter_faults_only = seed % 10 == 0;
+    settings.controller_pauses_only = seed % 10 == 5;
     if (replay != 0) settings.timeline = stdout;
-    const faults::Seen seen = faults::walk(settings);
-    ASSERT_EQ(seen.fault, "") << "QUARTZARCH_SEED=" << seed << " reproduces it";
+    const faults::WalkResult seen = faults::walk(settings);
+    ASSERT_EQ(seen.violation, "") << "QUARTZARCH_SEED=" << seed << " reproduces it";
     EXPECT_GT(seen.effects, 100u) << seed;
     EXPECT_GT(seen.increments, 5u) << seed;
-    EXPECT_GT(seen.history, 100u) << seed;
+    EXPECT_GT(seen.answered_operations, 100u) << seed;
   }
 }
 
@@ -59,13 +59,13 @@
 // either renewed in the 200 ms between two cuts or lost. The bound is stated in docs/duties.md.
 TEST(Walk, FlappingLinksRarelyChangeTheHolder) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.seed = seed;
-    settings.length = std::chrono::seconds(60);
-    settings.flapping = true;
-    settings.loss = settings.late = 0;
-    const faults::Seen seen = faults::walk(settings);
-    ASSERT_EQ(seen.fault, "") << seed;
+    settings.fault_phase = std::chrono::seconds(60);
+    settings.flapping_links = true;
+    settings.loss_share = settings.late_share = 0;
+    const faults::WalkResult seen = faults::walk(settings);
+    ASSERT_EQ(seen.violation, "") << seed;
     EXPECT_LE(seen.holdings, 3 * 10u) << "three duties; seed " << seed;
   }
 }
@@ -160,7 +160,7 @@
 
 struct Defect {
   const char* name;
-  void (*seed)(WorldSettings&);
+  void (*seed)(SimulationSettings&);
   friend std::ostream& operator<<(std::ostream& to, const Defect& defect) { return to << defect.name; }
 };
 
@@ -170,13 +170,13 @@
 // at faults among voters only.
 TEST_P(Defects, IsDetected) {
   for (std::uint64_t walks = 1; walks <= 150; ++walks) {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.seed = walks;
-    settings.faults_a_second = 4;
-    settings.hand_overs =
+    settings.faults_per_second = 4;
+    settings.leadership_transfers =
         false;  // with a defective disk the library may abort before a checker reports the defect
     GetParam().seed(settings);
-    const std::string fault = faults::walk(settings).fault;
+    const std::string fault = faults::walk(settings).violation;
     if (fault.empty()) continue;
     std::printf("%s: detected after %llu walks: %s\n", GetParam().name,
                 static_cast<unsigned long long>(walks), fault.c_str());
@@ -188,17 +188,19 @@
 INSTANTIATE_TEST_SUITE_P(
     Walk, Defects,
     ::testing::Values(
-        Defect{"no_fence", [](WorldSettings& w) { w.resource_takes_all = true; }},
+        Defect{"no_fence", [](SimulationSettings& w) { w.resource_ignores_tokens = true; }},
         Defect{"lease_counts_from_answer",
-               [](WorldSettings& w) { w.counts_from_answer = true, w.stops_only = true; }},
+               [](SimulationSettings& w) { w.lease_from_reply = true, w.controller_pauses_only = true; }},
         Defect{"vote_not_kept",
-               [](WorldSettings& w) { w.forgets_vote = true, w.voters_only = true, w.faults_a_second = 12; }},
-        Defect{"snapshot_forgets_tokens", [](WorldSettings& w) { w.defects.drops_free_duties = true; }},
+               [](SimulationSettings& w) {
+                 w.forgets_vote = true, w.voter_faults_only = true, w.faults_per_second = 12;
+               }},
+        Defect{"snapshot_forgets_tokens", [](SimulationSettings& w) { w.defects.drops_free_duties = true; }},
         Defect{"reads_aside",
-               [](WorldSettings& w) { w.defects.reads_locally = true, w.judges_history_alone = true; }},
+               [](SimulationSettings& w) { w.defects.reads_locally = true, w.check_history_only = true; }},
         Defect{"open_renews_nothing",
-               [](WorldSettings& w) {
-                 w.defects.repeated_open_not_renewed = true, w.late = 0.06, w.ttl = milliseconds(800);
+               [](SimulationSettings& w) {
+                 w.defects.repeated_open_not_renewed = true, w.late_share = 0.06, w.ttl = milliseconds(800);
                }}),
     [](const auto& each) { return std::string(each.param.name); });
 
