--- a/standin/faults/world.cpp
+++ b/standin/faults/world.cpp
@@ -17,61 +17,61 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kStep = milliseconds(20);
-constexpr Duration kEffectEvery = milliseconds(70);
-constexpr Duration kRecordEvery = milliseconds(250);
-constexpr Duration kCountEvery = milliseconds(300);
-constexpr Duration kBreakTold = milliseconds(150);  // until a client notices that its connection broke
+constexpr Duration kVoterTick = milliseconds(20);
+constexpr Duration kEffectInterval = milliseconds(70);
+constexpr Duration kHistoryInterval = milliseconds(250);
+constexpr Duration kCounterInterval = milliseconds(300);
+constexpr Duration kDisconnectDelay = milliseconds(150);  // until a client notices that its connection broke
 
 // The simulation: an event queue in virtual time, the simulated processes, the network and the checks.
-class World {
+class FleetSimulation {
  public:
-  explicit World(const SimulationSettings& settings) : settings_(settings), random_(settings.seed) {
-    const unsigned parties = settings_.voters + settings_.controllers;
-    cut_.assign(parties, std::vector<bool>(parties, false));
+  explicit FleetSimulation(const SimulationSettings& settings) : settings_(settings), random_(settings.seed) {
+    const unsigned endpoints = settings_.voters + settings_.controllers;
+    blocked_.assign(endpoints, std::vector<bool>(endpoints, false));
     for (unsigned i = 0; i < settings_.voters; ++i) {
       Voter& voter = *voters_.emplace_back(std::make_unique<Voter>());
       voter.number = i;
-      voter.id = ++last_identity_;
-      voter.clock = draw_clock();
-      first_voters_.push_back({voter.id, address(i), true});
+      voter.id = ++last_voter_id_;
+      voter.clock = random_clock();
+      initial_voters_.push_back({voter.id, address(i), true});
     }
     for (auto& voter : voters_) start(*voter, true);
     for (unsigned i = 0; i < settings_.controllers; ++i) {
       Controller& controller = *controllers_.emplace_back(std::make_unique<Controller>());
       controller.number = i;
-      controller.clock = draw_clock();
+      controller.clock = random_clock();
       start(controller);
     }
   }
 
   WalkResult run() {
-    for (auto& voter : voters_) step(*voter);
-    for (auto& controller : controllers_) step(*controller);
+    for (auto& voter : voters_) tick(*voter);
+    for (auto& controller : controllers_) tick(*controller);
     if (settings_.partition_third) {
-      cut_third(true, seconds(10));
-      cut_third(false, seconds(40));
+      set_third_partitioned(true, seconds(10));
+      set_third_partitioned(false, seconds(40));
     } else if (settings_.flapping_links) {
-      flap(true);
+      toggle_links(true);
     } else {
-      draw_fault();
-      if (settings_.leadership_transfers) draw_hand_over();
+      schedule_fault();
+      if (settings_.leadership_transfers) schedule_leadership_transfer();
     }
-    while (now_ < settings_.fault_phase && fault_.empty()) next_event();
+    while (now_ < settings_.fault_phase && violation_.empty()) next_event();
     heal();
     const Time healed = now_;
     bool settled = false;
-    while (now_ < healed + settings_.settle_timeout && fault_.empty()) {
+    while (now_ < healed + settings_.settle_timeout && violation_.empty()) {
       next_event();
       if (!settled && all_held()) {
         settled = true;
         result_.settling_time = now_ - healed;
       }
     }
-    if (fault_.empty() && !all_held()) fault("a duty has no holder after all faults ended");
-    if (fault_.empty()) check_counter();
-    judge_history();
-    if (!fault_.empty()) result_.violation = fault_;
+    if (violation_.empty() && !all_held()) report_violation("a duty has no holder after all faults ended");
+    if (violation_.empty()) check_counter();
+    check_history();
+    if (!violation_.empty()) result_.violation = violation_;
     return std::move(result_);
   }
 
@@ -87,24 +87,24 @@
 
   struct Voter : reg::Transport {
     void send(reg::VoterId to, const std::string&, std::string bytes) override {
-      world->between_voters(*this, to, std::move(bytes));
+      simulation->send_between_voters(*this, to, std::move(bytes));
     }
-    World* world = nullptr;
+    FleetSimulation* simulation = nullptr;
     unsigned number = 0;
     reg::VoterId id = 0;
     Clock clock;
     MemoryDisk disk;
     std::unique_ptr<reg::Node> node;
     std::unique_ptr<reg::Service> service;
-    unsigned life = 0;  // number of its starts; events of an earlier start are dropped
-    Time stopped_until{};
-    reg::Revision checked = 0;
+    unsigned incarnation = 0;  // number of its starts; events of an earlier start are dropped
+    Time paused_until{};
+    reg::Revision checked_revision = 0;
     bool joining = false;
-    std::string told{};  // last state in the timeline
+    std::string last_logged_state{};  // as written to the timeline
   };
 
   // A duty that a controller is holding.
-  struct Work {
+  struct HeldDuty {
     reg::Token token = 0;
     Time next_effect{};
     std::optional<Time> ends_at{};
@@ -112,18 +112,18 @@
   struct Controller {
     unsigned number = 0;
     Clock clock;
-    unsigned life = 0;
+    unsigned incarnation = 0;
     unsigned connection = 0;
     int connected_to = -1;
-    Time stopped_until{};
+    Time paused_until{};
     std::unique_ptr<duty::LeaseManager> leases;
-    std::unique_ptr<reg::ClientProtocol> access;
-    std::map<std::string, Work> works;
-    Time next_count{};
-    bool counting = false;
+    std::unique_ptr<reg::ClientProtocol> client;
+    std::map<std::string, HeldDuty> held_duties;
+    Time next_increment{};
+    bool incrementing = false;
     std::unique_ptr<Recorder> recorder;
-    Time next_record{};
-    std::deque<std::function<void()>> held_up;  // events that arrived during a pause
+    Time next_operation{};
+    std::deque<std::function<void()>> deferred_events;  // events that arrived during a pause
   };
 
   struct Event {
@@ -135,8 +135,8 @@
 
   // ---- Virtual time and random choices
 
-  void at(Time when, std::function<void()> step) {
-    events_.push({std::max(when, now_), ++order_, std::move(step)});
+  void schedule(Time when, std::function<void()> step) {
+    events_.push({std::max(when, now_), ++last_order_, std::move(step)});
   }
   void next_event() {
     Event event = events_.top();
@@ -145,30 +145,30 @@
     event.step();
     check_holders();
   }
-  int draw(int most) { return std::uniform_int_distribution<int>(0, most - 1)(random_); }
+  int random_below(int limit) { return std::uniform_int_distribution<int>(0, limit - 1)(random_); }
   bool chance(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
-  Clock draw_clock() {
+  Clock random_clock() {
     // The rates of any two clocks differ by at most the drift.
     const double rate =
         1 + (std::uniform_real_distribution<double>(0, 1)(random_) - 0.5) * settings_.drift * 0.95;
-    return {milliseconds(draw(100000)), rate};
+    return {milliseconds(random_below(100000)), rate};
   }
-  Duration draw_delay() {
-    if (!healed_ && chance(settings_.late_share)) return milliseconds(200 + draw(3000));
-    return Duration{500 + draw(9500)};
+  Duration random_delay() {
+    if (!healed_ && chance(settings_.late_share)) return milliseconds(200 + random_below(3000));
+    return Duration{500 + random_below(9500)};
   }
 
   static std::string address(unsigned number) { return "v" + std::to_string(number); }
   static std::string duty_name(unsigned number) { return "d" + std::to_string(number); }
 
-  void tell(const std::string& what) const {
+  void log(const std::string& what) const {
     if (settings_.timeline) {
       std::fprintf(settings_.timeline, "%7lld ms %s\n", static_cast<long long>(now_ / milliseconds(1)),
                    what.c_str());
     }
   }
   // Writes the voter's state to the timeline if it has changed.
-  void tell_state(Voter& voter) const {
+  void log_state(Voter& voter) const {
     if (!settings_.timeline || !voter.node) return;
     const auto status = voter.node->status();
     std::string text = address(voter.number) + " " + std::to_string(voter.id) +
@@ -176,27 +176,27 @@
     for (const auto& each : status.voters)
       text += " " + std::to_string(each.id) + (each.votes ? "" : " (non-voting)");
     if (!status.voters_committed) text += ", not committed";
-    if (text == voter.told) return;
-    voter.told = text;
-    tell(text + ", log " + std::to_string(status.last_index) + ", committed " +
-         std::to_string(status.commit_index));
+    if (text == voter.last_logged_state) return;
+    voter.last_logged_state = text;
+    log(text + ", log " + std::to_string(status.last_index) + ", committed " +
+        std::to_string(status.commit_index));
   }
 
-  void fault(const std::string& what) {
-    if (!fault_.empty() || settings_.check_history_only) return;
-    fault_ = what + " (at " + std::to_string(now_ / milliseconds(1)) + " ms, seed " +
-             std::to_string(settings_.seed) + ")";
+  void report_violation(const std::string& what) {
+    if (!violation_.empty() || settings_.check_history_only) return;
+    violation_ = what + " (at " + std::to_string(now_ / milliseconds(1)) + " ms, seed " +
+                 std::to_string(settings_.seed) + ")";
   }
 
   // ---- Voters
 
   void start(Voter& voter, bool first) {
-    voter.world = this;
-    ++voter.life;
+    voter.simulation = this;
+    ++voter.incarnation;
     reg::NodeSettings settings;
     settings.id = voter.id;
     settings.address = address(voter.number);
-    if (first) settings.initial_voters = first_voters_;
+    if (first) settings.initial_voters = initial_voters_;
     settings.election = milliseconds(300);
     settings.heartbeat = milliseconds(60);
     settings.snapshot_after = 64;
@@ -207,18 +207,18 @@
     try {
       voter.node = std::make_unique<reg::Node>(settings, voter.disk, voter, random_(), voter.clock.at(now_));
     } catch (const std::exception& error) {
-      return fault(std::string("a voter failed to restart: ") + error.what());
+      return report_violation(std::string("a voter failed to restart: ") + error.what());
     }
     voter.service =
         std::make_unique<reg::Service>(*voter.node, [this, &voter](std::uint64_t client, std::string bytes) {
-          to_client(voter, client, std::move(bytes));
+          send_to_client(voter, client, std::move(bytes));
         });
     voter.node->on_applied([this, &voter] { check_applied(voter); });
   }
 
   void kill(Voter& voter) {
-    tell("voter " + address(voter.number) + " crashes");
-    ++voter.life;
+    log("voter " + address(voter.number) + " crashes");
+    ++voter.incarnation;
     voter.service.reset();
     voter.node.reset();
     for (auto& controller : controllers_) {
@@ -226,28 +226,28 @@
     }
   }
 
-  void step(Voter& voter) {
-    if (voter.node && now_ >= voter.stopped_until) {
+  void tick(Voter& voter) {
+    if (voter.node && now_ >= voter.paused_until) {
       voter.service->tick(voter.clock.at(now_));
-      tell_state(voter);
+      log_state(voter);
       if (voter.node->failed()) {
-        if (!voter.disk.take_injected_failure()) fault("a voter failed without a disk failure");
+        if (!voter.disk.take_injected_failure()) report_violation("a voter failed without a disk failure");
         kill(voter);
-        at(now_ + milliseconds(500), [this, &voter] {
+        schedule(now_ + milliseconds(500), [this, &voter] {
           if (!voter.node) start(voter, false);
         });
       } else if (voter.joining) {
         join(voter);
       }
     }
-    at(now_ + kStep, [this, &voter] { step(voter); });
+    schedule(now_ + kVoterTick, [this, &voter] { tick(voter); });
   }
 
   // Does what an operator does for a voter that restarted with an empty disk: the leader removes the old
   // voter id, then adds the new one, as two membership changes.
   void join(Voter& voter) {
     for (auto& other : voters_) {
-      if (!other->node || !other->node->leads() || now_ < other->stopped_until || other.get() == &voter)
+      if (!other->node || !other->node->leads() || now_ < other->paused_until || other.get() == &voter)
         continue;
       const auto status = other->node->status();
       bool known = false;
@@ -257,8 +257,8 @@
         if (each.address == address(voter.number) && each.id != voter.id) old = each.id;
       }
       if (known) voter.joining = false;
-      if (known || now_ < join_again_) return;
-      join_again_ = now_ + seconds(1);
+      if (known || now_ < next_join_) return;
+      next_join_ = now_ + seconds(1);
       const Time local = other->clock.at(now_);
       if (old != 0) {
         other->node->remove_voter(local, old, [](const std::string&) {});
@@ -269,7 +269,7 @@
     }
   }
 
-  void between_voters(Voter& from, reg::VoterId to, std::string bytes) {
+  void send_between_voters(Voter& from, reg::VoterId to, std::string bytes) {
     ++result_.messages;
     result_.bytes += bytes.size();
     if (from.node && from.node->leads()) ++result_.leader_messages, result_.leader_bytes += bytes.size();
@@ -277,43 +277,43 @@
         std::find_if(voters_.begin(), voters_.end(), [&](const auto& v) { return v->id == to; });
     if (found == voters_.end()) return;
     Voter& target = **found;
-    if (cut_[from.number][target.number] || chance(settings_.loss_share)) return;
-    at(now_ + draw_delay(),
-       [this, &target, to, from_id = from.id, number = from.number, bytes = std::move(bytes)] {
-         if (!target.node || target.id != to || cut_[number][target.number]) return;
-         if (now_ < target.stopped_until) {
-           at(target.stopped_until, [this, &target, to, from_id, number, bytes] {
-             if (target.node && target.id == to)
+    if (blocked_[from.number][target.number] || chance(settings_.loss_share)) return;
+    schedule(now_ + random_delay(),
+             [this, &target, to, from_id = from.id, number = from.number, bytes = std::move(bytes)] {
+               if (!target.node || target.id != to || blocked_[number][target.number]) return;
+               if (now_ < target.paused_until) {
+                 schedule(target.paused_until, [this, &target, to, from_id, number, bytes] {
+                   if (target.node && target.id == to)
+                     target.node->receive(target.clock.at(now_), from_id, address(number), bytes);
+                 });
+                 return;
+               }
                target.node->receive(target.clock.at(now_), from_id, address(number), bytes);
-           });
-           return;
-         }
-         target.node->receive(target.clock.at(now_), from_id, address(number), bytes);
-       });
+             });
   }
 
   // ---- Controllers
 
   std::string name(const Controller& controller) const { return "c" + std::to_string(controller.number); }
-  unsigned party(const Controller& controller) const { return settings_.voters + controller.number; }
+  unsigned endpoint(const Controller& controller) const { return settings_.voters + controller.number; }
 
   void start(Controller& controller) {
-    ++controller.life;
+    ++controller.incarnation;
     ++controller.connection;
     controller.connected_to = -1;
-    controller.works.clear();
+    controller.held_duties.clear();
     if (!controller.recorder) {
       const auto ask = [this, &controller](reg::Command command, reg::ClientProtocol::Done done) {
-        controller.access->ask(controller.clock.at(now_), std::move(command), std::move(done));
+        controller.client->ask(controller.clock.at(now_), std::move(command), std::move(done));
       };
       controller.recorder = std::make_unique<Recorder>(history_, controller.number, ask, random_());
     }
     controller.recorder->abandon();
-    controller.held_up.clear();
-    controller.counting = false;
+    controller.deferred_events.clear();
+    controller.incrementing = false;
     duty::Settings settings;
     settings.name = name(controller);
-    settings.incarnation = (std::uint64_t{controller.life} << 32) + 1;
+    settings.incarnation = (std::uint64_t{controller.incarnation} << 32) + 1;
     settings.ttl = settings_.ttl;
     settings.drift = settings_.drift;
     settings.min_back_off = milliseconds(300);
@@ -322,10 +322,10 @@
     std::vector<duty::DutySettings> duties;
     for (unsigned i = 0; i < settings_.duties; ++i) duties.push_back({duty_name(i), true, {}});
     controller.leases = std::make_unique<duty::LeaseManager>(settings, duties, random_());
-    reg::ClientProtocol::Settings access;
-    for (unsigned i = 0; i < settings_.voters; ++i) access.voters.push_back(address(i));
-    controller.access = std::make_unique<reg::ClientProtocol>(access, random_());
-    controller.access->watch(
+    reg::ClientProtocol::Settings client_settings;
+    for (unsigned i = 0; i < settings_.voters; ++i) client_settings.voters.push_back(address(i));
+    controller.client = std::make_unique<reg::ClientProtocol>(client_settings, random_());
+    controller.client->watch(
         std::string(reg::kDutyPrefix), [this, &controller](reg::Revision, const auto& changes, bool) {
           for (const reg::Change& change : changes) {
             if (!change.value) continue;
@@ -336,23 +336,23 @@
         });
   }
 
-  void step(Controller& controller) {
-    if (controller.leases && now_ >= controller.stopped_until) {
-      for (auto& held : std::exchange(controller.held_up, {})) held();
-      drive(controller);
+  void tick(Controller& controller) {
+    if (controller.leases && now_ >= controller.paused_until) {
+      for (auto& event : std::exchange(controller.deferred_events, {})) event();
+      run_controller(controller);
     }
-    at(now_ + kStep / 2, [this, &controller] { step(controller); });
+    schedule(now_ + kVoterTick / 2, [this, &controller] { tick(controller); });
   }
 
-  void drive(Controller& controller) {
+  void run_controller(Controller& controller) {
     const Time local = controller.clock.at(now_);
-    const unsigned life = controller.life;
+    const unsigned incarnation = controller.incarnation;
     for (auto& request : controller.leases->due(local)) {
       ++result_.duty_messages;
-      controller.access->ask(
+      controller.client->ask(
           local, std::move(request.command),
-          [this, &controller, life, id = request.id](const std::optional<reg::Reply>& reply) {
-            if (controller.life != life) return;
+          [this, &controller, incarnation, id = request.id](const std::optional<reg::Reply>& reply) {
+            if (controller.incarnation != incarnation) return;
             const Time then = controller.clock.at(now_);
             if (reply) {
               controller.leases->on_reply(then, id, *reply);
@@ -362,45 +362,47 @@
           });
     }
     for (const duty::Action& action : controller.leases->take_actions()) {
-      tell(name(controller) + " " + action.duty +
-           (action.kind == duty::Action::Kind::begin
-                ? " begins"
-                : std::string(" ends: ") + duty::end_reason_text(action.reason)) +
-           " token " + std::to_string(action.token));
+      log(name(controller) + " " + action.duty +
+          (action.kind == duty::Action::Kind::begin
+               ? " begins"
+               : std::string(" ends: ") + duty::end_reason_text(action.reason)) +
+          " token " + std::to_string(action.token));
       if (action.kind == duty::Action::Kind::begin) {
         ++result_.holdings;
-        controller.works[action.duty] = {action.token, now_, std::nullopt};
-      } else if (const auto work = controller.works.find(action.duty); work != controller.works.end()) {
-        work->second.ends_at = now_ + milliseconds(draw(100));
+        controller.held_duties[action.duty] = {action.token, now_, std::nullopt};
+      } else if (const auto held = controller.held_duties.find(action.duty);
+                 held != controller.held_duties.end()) {
+        held->second.ends_at = now_ + milliseconds(random_below(100));
       }
     }
-    for (auto each = controller.works.begin(); each != controller.works.end();) {
-      auto& [duty, work] = *each;
-      if (work.ends_at && now_ >= *work.ends_at) {
-        controller.leases->ended(local, duty, work.token, false);
-        each = controller.works.erase(each);
+    for (auto each = controller.held_duties.begin(); each != controller.held_duties.end();) {
+      auto& [duty, held] = *each;
+      if (held.ends_at && now_ >= *held.ends_at) {
+        controller.leases->ended(local, duty, held.token, false);
+        each = controller.held_duties.erase(each);
         continue;
       }
-      if (now_ >= work.next_effect) effect(controller, duty, work);
+      if (now_ >= held.next_effect) write_effect(controller, duty, held);
       ++each;
     }
-    if (now_ >= controller.next_record && !settings_.partition_third) {
-      controller.next_record = now_ + kRecordEvery;
+    if (now_ >= controller.next_operation && !settings_.partition_third) {
+      controller.next_operation = now_ + kHistoryInterval;
       controller.recorder->step([this] { return now_; });
     }
-    if (now_ >= controller.next_count && !controller.counting) count(controller);
-    for (std::string& bytes : controller.access->due(controller.clock.at(now_)))
-      to_voter(controller, std::move(bytes));
+    if (now_ >= controller.next_increment && !controller.incrementing) increment_counter(controller);
+    for (std::string& bytes : controller.client->due(controller.clock.at(now_)))
+      send_to_voter(controller, std::move(bytes));
   }
 
   // The holder of a duty writes to an external resource. The write can be delayed after the check of the
   // lease, so the resource has to reject writes with an older fencing token.
-  void effect(Controller& controller, const std::string& duty, Work& work) {
-    work.next_effect = now_ + kEffectEvery;
+  void write_effect(Controller& controller, const std::string& duty, HeldDuty& held) {
+    held.next_effect = now_ + kEffectInterval;
     const auto token = controller.leases->holds(controller.clock.at(now_), duty);
     if (!token) return;
-    const Duration on_way = chance(0.02) ? milliseconds(draw(4000)) : Duration{500 + draw(3000)};
-    at(now_ + on_way, [this, duty, written = *token] {
+    const Duration delay =
+        chance(0.02) ? milliseconds(random_below(4000)) : Duration{500 + random_below(3000)};
+    schedule(now_ + delay, [this, duty, written = *token] {
       reg::Token& newest = newest_token_[duty];
       if (written < newest && !settings_.resource_ignores_tokens) {
         ++result_.rejected_effects;
@@ -408,130 +410,139 @@
       }
       ++result_.effects;
       if (written < newest)
-        return fault("an effect of an older holding of " + duty + " was applied after one of a newer");
+        return report_violation("an effect of an older holding of " + duty +
+                                " was applied after one of a newer");
       newest = written;
     });
   }
 
   // Increments a shared counter by compare-and-set. All acknowledged increments must be in it at the end, and
   // a read must never be older than a revision that a client already knew when the read began.
-  void count(Controller& controller) {
-    controller.next_count = now_ + kCountEvery;
-    controller.counting = true;
-    const unsigned life = controller.life;
-    const reg::Revision told_before = told_;
+  void increment_counter(Controller& controller) {
+    controller.next_increment = now_ + kCounterInterval;
+    controller.incrementing = true;
+    const unsigned incarnation = controller.incarnation;
+    const reg::Revision known_before = newest_known_revision_;
     reg::Command read;
     read.op = reg::Op::read;
     read.name = "count";
-    controller.access->ask(
+    controller.client->ask(
         controller.clock.at(now_), read,
-        [this, &controller, life, told_before](const std::optional<reg::Reply>& reply) {
-          if (controller.life != life) return;
-          controller.counting = false;
+        [this, &controller, incarnation, known_before](const std::optional<reg::Reply>& reply) {
+          if (controller.incarnation != incarnation) return;
+          controller.incrementing = false;
           if (!reply) return;
-          if (reply->revision < told_before)
-            fault("a read returned an older revision than one known before it began");
-          told_ = std::max(told_, reply->revision);
+          if (reply->revision < known_before)
+            report_violation("a read returned an older revision than one known before it began");
+          newest_known_revision_ = std::max(newest_known_revision_, reply->revision);
           reg::Command put;
           put.op = reg::Op::put;
           put.name = "count";
           put.expected = reply->items.empty() ? 0 : reply->items.front().revision;
           put.value = std::to_string(reply->items.empty() ? 1 : std::stoull(reply->items.front().value) + 1);
-          controller.counting = true;
-          ++unknown_;
-          controller.access->ask(controller.clock.at(now_), put,
-                                 [this, &controller, life](const std::optional<reg::Reply>& written) {
-                                   if (written) --unknown_;
+          controller.incrementing = true;
+          ++unanswered_increments_;
+          controller.client->ask(controller.clock.at(now_), put,
+                                 [this, &controller, incarnation](const std::optional<reg::Reply>& written) {
+                                   if (written) --unanswered_increments_;
                                    if (written && written->code == reg::Code::ok) ++result_.increments;
-                                   if (written) told_ = std::max(told_, written->revision);
-                                   if (controller.life == life) controller.counting = false;
+                                   if (written)
+                                     newest_known_revision_ =
+                                         std::max(newest_known_revision_, written->revision);
+                                   if (controller.incarnation == incarnation) controller.incrementing = false;
                                  });
         });
   }
 
   // ---- Connections between controllers and voters: messages arrive in order until a connection breaks
 
-  void to_voter(Controller& controller, std::string bytes) {
+  void send_to_voter(Controller& controller, std::string bytes) {
     ++result_.messages;
     result_.bytes += bytes.size();
     ++result_.client_messages;
     result_.client_bytes += bytes.size();
-    const std::string target = controller.access->voter();
+    const std::string target = controller.client->voter();
     for (auto& each : voters_) {
       if (address(each->number) != target) continue;
       if (controller.connected_to != static_cast<int>(each->number)) {
-        if (controller.connected_to >= 0) close_at_voter(controller);
+        if (controller.connected_to >= 0) disconnect_from_voter(controller);
         controller.connected_to = static_cast<int>(each->number);
         ++controller.connection;
-        last_up_[controller.number] = last_down_[controller.number] = now_;
+        last_arrival_at_voter_[controller.number] = last_arrival_at_client_[controller.number] = now_;
       }
-      if (cut_[party(controller)][each->number] || !each->node) return break_connection(controller);
+      if (blocked_[endpoint(controller)][each->number] || !each->node) return break_connection(controller);
       Voter& voter = *each;
-      ordered(controller, true,
-              [this, &controller, &voter, bytes = std::move(bytes), connection = controller.connection,
-               life = voter.life] { at_voter(controller, voter, bytes, connection, life); });
+      schedule_in_order(controller, true,
+                        [this, &controller, &voter, bytes = std::move(bytes),
+                         connection = controller.connection, incarnation = voter.incarnation] {
+                          deliver_to_voter(controller, voter, bytes, connection, incarnation);
+                        });
     }
   }
 
-  void at_voter(Controller& controller, Voter& voter, const std::string& bytes, unsigned connection,
-                unsigned life) {
-    if (!voter.node || voter.life != life || controller.connection != connection) return;
-    if (now_ < voter.stopped_until) {
-      at(voter.stopped_until, [this, &controller, &voter, bytes, connection, life] {
-        at_voter(controller, voter, bytes, connection, life);
+  void deliver_to_voter(Controller& controller, Voter& voter, const std::string& bytes, unsigned connection,
+                        unsigned incarnation) {
+    if (!voter.node || voter.incarnation != incarnation || controller.connection != connection) return;
+    if (now_ < voter.paused_until) {
+      schedule(voter.paused_until, [this, &controller, &voter, bytes, connection, incarnation] {
+        deliver_to_voter(controller, voter, bytes, connection, incarnation);
       });
       return;
     }
     link::LinkMessage message;
     std::size_t length = 0;
     if (link::decode(bytes, message, length) != link::Taken::whole)
-      return fault("a voter could not decode a client's frame");
+      return report_violation("a voter could not decode a client's frame");
     if (!voter.service->received(voter.clock.at(now_), client_id(controller, connection), message))
-      fault("a voter rejected a client's frame");
+      report_violation("a voter rejected a client's frame");
   }
 
   static std::uint64_t client_id(const Controller& controller, unsigned connection) {
     return std::uint64_t{controller.number} << 32 | connection;
   }
 
-  void to_client(Voter& voter, std::uint64_t client, std::string bytes) {
+  void send_to_client(Voter& voter, std::uint64_t client, std::string bytes) {
     ++result_.messages;
     result_.bytes += bytes.size();
     if (voter.node && voter.node->leads()) ++result_.leader_messages, result_.leader_bytes += bytes.size();
     Controller& controller = *controllers_[client >> 32];
     const auto connection = static_cast<unsigned>(client);
     if (controller.connection != connection) return;
-    if (cut_[voter.number][party(controller)]) return break_connection(controller);
-    ordered(controller, false,
-            [this, &controller, connection, bytes = std::move(bytes), life = controller.life] {
-              arrive(controller, connection, life, bytes);
-            });
-  }
-
-  void arrive(Controller& controller, unsigned connection, unsigned life, const std::string& bytes) {
-    if (controller.life != life) return;
-    if (now_ < controller.stopped_until) {
-      controller.held_up.push_back(
-          [this, &controller, connection, life, bytes] { arrive(controller, connection, life, bytes); });
+    if (blocked_[voter.number][endpoint(controller)]) return break_connection(controller);
+    schedule_in_order(
+        controller, false,
+        [this, &controller, connection, bytes = std::move(bytes), incarnation = controller.incarnation] {
+          deliver_to_client(controller, connection, incarnation, bytes);
+        });
+  }
+
+  void deliver_to_client(Controller& controller, unsigned connection, unsigned incarnation,
+                         const std::string& bytes) {
+    if (controller.incarnation != incarnation) return;
+    if (now_ < controller.paused_until) {
+      controller.deferred_events.push_back([this, &controller, connection, incarnation, bytes] {
+        deliver_to_client(controller, connection, incarnation, bytes);
+      });
       return;
     }
     if (controller.connection != connection) return;
     link::LinkMessage message;
     std::size_t length = 0;
     if (link::decode(bytes, message, length) != link::Taken::whole ||
-        !controller.access->received(controller.clock.at(now_), message)) {
-      fault("a client could not decode a voter's frame");
+        !controller.client->received(controller.clock.at(now_), message)) {
+      report_violation("a client could not decode a voter's frame");
     }
   }
 
   template <typename Step>
-  void ordered(Controller& controller, bool up, Step step) {
-    Time& last = up ? last_up_[controller.number] : last_down_[controller.number];
-    last = std::max(last + Duration{1}, now_ + draw_delay());
-    at(last, std::move(step));
+  void schedule_in_order(Controller& controller, bool to_voter, Step step) {
+    Time& last =
+        to_voter ? last_arrival_at_voter_[controller.number] : last_arrival_at_client_[controller.number];
+    last = std::max(last + Duration{1}, now_ + random_delay());
+    schedule(last, std::move(step));
   }
 
-  void close_at_voter(Controller& controller) {
+  void disconnect_from_voter(Controller& controller) {
     Voter& voter = *voters_[static_cast<unsigned>(controller.connected_to)];
     if (voter.service) voter.service->client_disconnected(client_id(controller, controller.connection));
   }
@@ -539,78 +550,79 @@
   void break_connection(Controller& controller) {
     if (controller.connected_to < 0) return;
     if (settings_.flapping_links)
-      tell(name(controller) + " loses its connection to " +
-           address(static_cast<unsigned>(controller.connected_to)));
-    close_at_voter(controller);
+      log(name(controller) + " loses its connection to " +
+          address(static_cast<unsigned>(controller.connected_to)));
+    disconnect_from_voter(controller);
     controller.connected_to = -1;
-    const unsigned connection = ++controller.connection, life = controller.life;
-    at(now_ + kBreakTold, [this, &controller, connection, life] {
-      const auto tell = [this, &controller, connection, life] {
-        if (controller.life == life && controller.connection == connection && controller.access)
-          controller.access->disconnected(controller.clock.at(now_));
+    const unsigned connection = ++controller.connection, incarnation = controller.incarnation;
+    schedule(now_ + kDisconnectDelay, [this, &controller, connection, incarnation] {
+      const auto notify_client = [this, &controller, connection, incarnation] {
+        if (controller.incarnation == incarnation && controller.connection == connection && controller.client)
+          controller.client->disconnected(controller.clock.at(now_));
       };
-      if (now_ < controller.stopped_until) {
-        controller.held_up.push_back(tell);
+      if (now_ < controller.paused_until) {
+        controller.deferred_events.push_back(notify_client);
       } else {
-        tell();
+        notify_client();
       }
     });
   }
 
   // ---- Faults
 
-  void draw_fault() {
-    at(now_ + Duration{1000 + draw(static_cast<int>(2e6 / settings_.faults_per_second))}, [this] {
-      if (now_ >= settings_.fault_phase) return;
-      ++result_.faults;
-      inject();
-      draw_fault();
-    });
+  void schedule_fault() {
+    schedule(now_ + Duration{1000 + random_below(static_cast<int>(2e6 / settings_.faults_per_second))},
+             [this] {
+               if (now_ >= settings_.fault_phase) return;
+               ++result_.faults;
+               inject_fault();
+               schedule_fault();
+             });
   }
 
-  void draw_hand_over() {
-    at(now_ + milliseconds(200 + draw(2600)), [this] {
+  void schedule_leadership_transfer() {
+    schedule(now_ + milliseconds(200 + random_below(2600)), [this] {
       if (now_ >= settings_.fault_phase) return;
       for (auto& voter : voters_) {
-        if (!voter->node || !voter->node->leads() || now_ < voter->stopped_until) continue;
-        const reg::VoterId to = chance(0.5) ? 0 : voters_[static_cast<unsigned>(draw(3))]->id;
+        if (!voter->node || !voter->node->leads() || now_ < voter->paused_until) continue;
+        const reg::VoterId to = chance(0.5) ? 0 : voters_[static_cast<unsigned>(random_below(3))]->id;
         const bool begun = voter->node->transfer_leadership(voter->clock.at(now_), to);
-        if (begun) tell(address(voter->number) + " transfers leadership to " + std::to_string(to));
+        if (begun) log(address(voter->number) + " transfers leadership to " + std::to_string(to));
         result_.leadership_transfers += begun;
       }
-      draw_hand_over();
+      schedule_leadership_transfer();
     });
   }
 
-  void inject() {
-    Voter& voter = *voters_[static_cast<unsigned>(draw(static_cast<int>(settings_.voters)))];
+  void inject_fault() {
+    Voter& voter = *voters_[static_cast<unsigned>(random_below(static_cast<int>(settings_.voters)))];
     Controller& controller =
-        *controllers_[static_cast<unsigned>(draw(static_cast<int>(settings_.controllers)))];
-    const Duration length = milliseconds(50 + draw(4000));
+        *controllers_[static_cast<unsigned>(random_below(static_cast<int>(settings_.controllers)))];
+    const Duration length = milliseconds(50 + random_below(4000));
     const auto until = now_ + length;
     if (settings_.voter_faults_only && chance(0.8)) {
       kill(voter);
-      at(now_ + milliseconds(20 + draw(200)), [this, &voter] {
+      schedule(now_ + milliseconds(20 + random_below(200)), [this, &voter] {
         if (!voter.node) start(voter, false);
       });
       return;
     }
     if (settings_.controller_pauses_only && chance(0.8)) {
-      controller.stopped_until = std::max(controller.stopped_until, until);
+      controller.paused_until = std::max(controller.paused_until, until);
       return;
     }
-    switch (settings_.controller_pauses_only || settings_.voter_faults_only ? 12 : draw(13)) {
+    switch (settings_.controller_pauses_only || settings_.voter_faults_only ? 12 : random_below(13)) {
       case 0:  // a voter crashes and restarts
         kill(voter);
-        at(until, [this, &voter] {
+        schedule(until, [this, &voter] {
           if (!voter.node) start(voter, false);
         });
         break;
       case 1:  // a voter pauses
-        voter.stopped_until = std::max(voter.stopped_until, until);
+        voter.paused_until = std::max(voter.paused_until, until);
         break;
       case 2:  // a voter's next disk write fails
-        tell("the disk of voter " + address(voter.number) + " fails at the next write");
+        log("the disk of voter " + address(voter.number) + " fails at the next write");
         voter.disk.fail_next_write(chance(0.5) ? MemoryDisk::Fault::before : MemoryDisk::Fault::after);
         break;
       case 3:
@@ -619,103 +631,104 @@
         if (std::any_of(voters_.begin(), voters_.end(), [](const auto& v) { return v->joining || !v->node; }))
           break;
         kill(voter);
-        tell("voter " + address(voter.number) + " loses its disk");
+        log("voter " + address(voter.number) + " loses its disk");
         voter.disk.erase();
-        voter.id = ++last_identity_;
+        voter.id = ++last_voter_id_;
         voter.joining = true;
         start(voter, false);
         break;
       case 4:
       case 5:  // a controller pauses, sometimes for longer than its lease
-        controller.stopped_until = std::max(controller.stopped_until, until);
+        controller.paused_until = std::max(controller.paused_until, until);
         break;
       case 6:  // a controller crashes and restarts
         close_if_connected(controller);
         controller.leases.reset();
-        ++controller.life;
-        at(until, [this, &controller] {
+        ++controller.incarnation;
+        schedule(until, [this, &controller] {
           if (!controller.leases) start(controller);
         });
         break;
       case 7:  // a controller drains its duties and rejoins later
         if (controller.leases) {
-          controller.leases->leave(controller.clock.at(now_),
-                                   "c" + std::to_string(draw(static_cast<int>(settings_.controllers))));
-          at(until, [&controller] {
+          controller.leases->leave(
+              controller.clock.at(now_),
+              "c" + std::to_string(random_below(static_cast<int>(settings_.controllers))));
+          schedule(until, [&controller] {
             if (controller.leases) controller.leases->rejoin();
           });
         }
         break;
       case 8:  // an operator's command
-        operate();
+        issue_operator_command();
         break;
       default:
-        cut(length);
+        isolate_endpoint(length);
     }
   }
 
   void close_if_connected(Controller& controller) {
-    if (controller.connected_to >= 0) close_at_voter(controller);
+    if (controller.connected_to >= 0) disconnect_from_voter(controller);
     controller.connected_to = -1;
     ++controller.connection;
   }
 
-  void flap(bool cut) {
-    for (unsigned party = settings_.voters; party < cut_.size(); ++party) {
+  void toggle_links(bool cut) {
+    for (unsigned endpoint = settings_.voters; endpoint < blocked_.size(); ++endpoint) {
       for (unsigned voter = 0; voter < settings_.voters; ++voter)
-        cut_[party][voter] = cut_[voter][party] = cut;
+        blocked_[endpoint][voter] = blocked_[voter][endpoint] = cut;
     }
-    at(now_ + milliseconds(200), [this, cut] {
-      if (now_ < settings_.fault_phase) flap(!cut);
+    schedule(now_ + milliseconds(200), [this, cut] {
+      if (now_ < settings_.fault_phase) toggle_links(!cut);
     });
   }
 
-  void cut_third(bool cut, Time when) {
-    at(when, [this, cut] {
+  void set_third_partitioned(bool cut, Time when) {
+    schedule(when, [this, cut] {
       for (auto& controller : controllers_) {
         if (controller->number % 3 != 0) continue;
         for (unsigned voter = 0; voter < settings_.voters; ++voter) {
-          cut_[party(*controller)][voter] = cut_[voter][party(*controller)] = cut;
+          blocked_[endpoint(*controller)][voter] = blocked_[voter][endpoint(*controller)] = cut;
         }
       }
     });
   }
 
   // Partitions one voter or controller from all others: in both directions, in one, or each link at random.
-  void cut(Duration length) {
-    const auto parties = static_cast<unsigned>(cut_.size());
-    const auto one = static_cast<unsigned>(draw(static_cast<int>(parties)));
-    const int how = draw(4);
+  void isolate_endpoint(Duration length) {
+    const auto endpoints = static_cast<unsigned>(blocked_.size());
+    const auto one = static_cast<unsigned>(random_below(static_cast<int>(endpoints)));
+    const int how = random_below(4);
     std::vector<std::pair<unsigned, unsigned>> links;
-    for (unsigned other = 0; other < parties; ++other) {
+    for (unsigned other = 0; other < endpoints; ++other) {
       if (how == 3 && chance(0.5)) continue;
       if (how != 1) links.emplace_back(one, other);
       if (how != 2) links.emplace_back(other, one);
     }
-    for (const auto& [from, to] : links) cut_[from][to] = true;
-    at(now_ + length, [this, links] {
-      for (const auto& [from, to] : links) cut_[from][to] = false;
+    for (const auto& [from, to] : links) blocked_[from][to] = true;
+    schedule(now_ + length, [this, links] {
+      for (const auto& [from, to] : links) blocked_[from][to] = false;
     });
   }
 
-  void operate() {
+  void issue_operator_command() {
     for (auto& voter : voters_) {
       if (!voter->node || !voter->node->leads()) continue;
       reg::Command command;
       command.op = chance(0.5) ? reg::Op::pause : reg::Op::move;
-      command.name = duty_name(static_cast<unsigned>(draw(static_cast<int>(settings_.duties))));
+      command.name = duty_name(static_cast<unsigned>(random_below(static_cast<int>(settings_.duties))));
       command.number = 1;
       if (command.op == reg::Op::move)
-        command.value = "c" + std::to_string(draw(static_cast<int>(settings_.controllers)));
+        command.value = "c" + std::to_string(random_below(static_cast<int>(settings_.controllers)));
       voter->node->propose(voter->clock.at(now_), {command}, {[](reg::Outcome, const reg::Reply&) {}});
       if (command.op == reg::Op::pause)
-        at(now_ + milliseconds(draw(3000)), [this, name = command.name] { unpause(name); });
+        schedule(now_ + milliseconds(random_below(3000)), [this, name = command.name] { resume_duty(name); });
       return;
     }
   }
 
   // Retries until the command is committed, as the leader may change in the meantime.
-  void unpause(const std::string& name) {
+  void resume_duty(const std::string& name) {
     for (auto& voter : voters_) {
       if (!voter->node || !voter->node->leads()) continue;
       reg::Command command;
@@ -724,28 +737,28 @@
       voter->node->propose(voter->clock.at(now_), {command},
                            {[this, name](reg::Outcome outcome, const reg::Reply&) {
                              if (outcome != reg::Outcome::done)
-                               at(now_ + milliseconds(200), [this, name] { unpause(name); });
+                               schedule(now_ + milliseconds(200), [this, name] { resume_duty(name); });
                            }});
       return;
     }
-    at(now_ + milliseconds(200), [this, name] { unpause(name); });
+    schedule(now_ + milliseconds(200), [this, name] { resume_duty(name); });
   }
 
   void heal() {
     healed_ = true;
-    for (auto& row : cut_) std::fill(row.begin(), row.end(), false);
+    for (auto& row : blocked_) std::fill(row.begin(), row.end(), false);
     settings_.loss_share = 0;
     for (auto& voter : voters_) {
-      voter->stopped_until = now_;
+      voter->paused_until = now_;
       voter->disk.fail_next_write(MemoryDisk::Fault::none);
       if (!voter->node) start(*voter, false);
     }
     for (auto& controller : controllers_) {
-      controller->stopped_until = now_;
+      controller->paused_until = now_;
       if (!controller->leases) start(*controller);
       controller->leases->rejoin();
     }
-    for (unsigned i = 0; i < settings_.duties; ++i) unpause(duty_name(i));
+    for (unsigned i = 0; i < settings_.duties; ++i) resume_duty(duty_name(i));
   }
 
   // ---- Invariants
@@ -753,16 +766,17 @@
   // All voters must have applied the same change at each revision.
   void check_applied(Voter& voter) {
     const reg::State& state = voter.node->state();
-    if (state.revision() == voter.checked) return;
+    if (state.revision() == voter.checked_revision) return;
     const auto changes = state.changes(
-        std::max(voter.checked, state.revision() - std::min<reg::Revision>(state.revision(), 20)), "");
-    voter.checked = state.revision();
+        std::max(voter.checked_revision, state.revision() - std::min<reg::Revision>(state.revision(), 20)),
+        "");
+    voter.checked_revision = state.revision();
     if (!changes) return;
     for (const reg::Change& change : *changes) {
       const std::string text = change.key + "=" + change.value.value_or("-");
       const auto [known, fresh] = changes_.emplace(change.revision, text);
       if (!fresh && known->second != text)
-        fault("two voters differ at revision " + std::to_string(change.revision));
+        report_violation("two voters differ at revision " + std::to_string(change.revision));
     }
   }
 
@@ -775,10 +789,10 @@
       const std::string duty = duty_name(i);
       int holders = 0;
       for (auto& controller : controllers_) {
-        if (!controller->leases || now_ < controller->stopped_until) continue;
+        if (!controller->leases || now_ < controller->paused_until) continue;
         if (controller->leases->holds(controller->clock.at(now_), duty)) ++holders;
       }
-      if (holders > 1) fault("two hold " + duty + " at once");
+      if (holders > 1) report_violation("two hold " + duty + " at once");
       Time& free_since = free_since_[duty];
       if (holders == 0 && free_since == Time{}) free_since = now_;
       if (holders > 0 && free_since != Time{}) {
@@ -789,11 +803,12 @@
   }
 
   // The history must be linearizable. This includes that reads after the faults see all acknowledged writes.
-  void judge_history() {
+  void check_history() {
     result_.answered_operations = history_.answered();
-    const std::string wrong = history_.check();
-    if (!wrong.empty() && fault_.empty())
-      fault_ = "the history is not linearizable: " + wrong + " (seed " + std::to_string(settings_.seed) + ")";
+    const std::string violation = history_.check();
+    if (!violation.empty() && violation_.empty())
+      violation_ =
+          "the history is not linearizable: " + violation + " (seed " + std::to_string(settings_.seed) + ")";
   }
 
   bool all_held() {
@@ -803,7 +818,7 @@
   }
 
   void check_counter() {
-    std::uint64_t kept = 0;
+    std::uint64_t counter = 0;
     for (auto& voter : voters_) {
       if (!voter->node || !voter->node->leads()) continue;
       reg::Command read;
@@ -811,41 +826,42 @@
       read.name = "count";
       reg::State copy = voter->node->state();
       const reg::Reply reply = copy.apply(read);
-      if (!reply.items.empty()) kept = std::stoull(reply.items.front().value);
+      if (!reply.items.empty()) counter = std::stoull(reply.items.front().value);
     }
-    if (kept < result_.increments) {
-      fault("acknowledged increments are lost: the counter is " + std::to_string(kept) + " after " +
-            std::to_string(result_.increments));
+    if (counter < result_.increments) {
+      report_violation("acknowledged increments are lost: the counter is " + std::to_string(counter) +
+                       " after " + std::to_string(result_.increments));
     }
-    if (kept > result_.increments + unknown_) fault("an increment was applied twice");
+    if (counter > result_.increments + unanswered_increments_)
+      report_violation("an increment was applied twice");
   }
 
   SimulationSettings settings_;
   std::mt19937_64 random_;
   Time now_{};
-  std::uint64_t order_ = 0;
+  std::uint64_t last_order_ = 0;
   std::priority_queue<Event> events_;
   std::vector<std::unique_ptr<Voter>> voters_;
   std::vector<std::unique_ptr<Controller>> controllers_;
-  reg::Voters first_voters_;
-  reg::VoterId last_identity_ = 0;
-  Time join_again_{};
-  std::vector<std::vector<bool>> cut_;  // cut_[from][to]: messages on this link are dropped
+  reg::Voters initial_voters_;
+  reg::VoterId last_voter_id_ = 0;
+  Time next_join_{};
+  std::vector<std::vector<bool>> blocked_;  // blocked_[from][to]: messages on this link are dropped
   Time holders_checked_{};
-  std::map<unsigned, Time> last_up_, last_down_;
+  std::map<unsigned, Time> last_arrival_at_voter_, last_arrival_at_client_;
   std::map<std::string, reg::Token> newest_token_;
   std::map<std::string, Time> free_since_;
   std::map<reg::Revision, std::string> changes_;
-  reg::Revision told_ = 0;
-  std::uint64_t unknown_ = 0;  // increments without a reply, which may have been applied
+  reg::Revision newest_known_revision_ = 0;
+  std::uint64_t unanswered_increments_ = 0;  // increments without a reply, which may have been applied
   bool healed_ = false;
   History history_;
-  std::string fault_;
+  std::string violation_;
   WalkResult result_;
 };
 
 }  // namespace
 
-WalkResult walk(const SimulationSettings& settings) { return World(settings).run(); }
+WalkResult walk(const SimulationSettings& settings) { return FleetSimulation(settings).run(); }
 
 }  // namespace quartzarch::faults
