--- a/adapter/session.hpp
+++ b/adapter/session.hpp
@@ -1,4 +1,5 @@
-// One process on the simulator's wire: it hosts a controller for each front and translates batches both ways.
+// A session with the simulator: hosts one controller for each simulated instance, decodes batches of events
+// and encodes the actions that the controllers return.
 #pragma once
 
 #include <cstdint>
@@ -14,6 +15,8 @@
 
 namespace quartzarch::wire {
 
+// Header of a batch of events: its number, the length of its records in bytes, their count and the time of
+// all of them.
 struct BatchHeader {
   static constexpr std::size_t kSize = 20;
   std::uint32_t number = 0;
@@ -26,30 +29,32 @@
 
 class Session {
  public:
-  // The reply to one batch, header included. Throws WireError on malformed input.
+  // Decodes one batch and returns the reply to it, header included. Throws WireError on malformed input.
   std::string reply(const BatchHeader& header, std::string_view records);
 
  private:
-  struct Front {
+  // A simulated instance: its controller and how its attempt reports are to be read.
+  struct Instance {
     Controller controller;
-    std::vector<std::string> report_fields;
-    bool waits_hinted = false;
+    std::vector<std::string> report_fields;  // names of the values of a load report, in order
+    bool waits_hinted = false;               // 'processor full' carries a wait until a retry
   };
 
-  void record(Reader& in);
-  void provision(Reader& in);
-  void page(Reader& in);
-  std::optional<Event> update(Reader& in);
-  Event arrived(Reader& in);
-  Event ended(Reader& in, const Front* front);
-  Event probed(Reader& in, const Front* front);
-  void deliver(std::uint16_t front, const Event& event);
-
-  std::map<std::uint16_t, Front> fronts_;
+  void read_record(Reader& in);
+  void create_instance(Reader& in);
+  void read_page(Reader& in);
+  std::optional<Event> read_server_list(Reader& in);
+  Event read_call_arrived(Reader& in);
+  Event read_attempt_ended(Reader& in, const Instance* instance);
+  Event read_server_probed(Reader& in, const Instance* instance);
+  void deliver(std::uint16_t instance, const Event& event);
+
+  std::map<std::uint16_t, Instance> instances_;
+  // Server lists by their id; an update names one that was sent before.
   std::map<std::uint32_t, std::vector<ServerEntry>> pages_;
   Time now_{};
   Writer out_;
-  std::uint32_t actions_ = 0;
+  std::uint32_t action_count_ = 0;
 };
 
 }  // namespace quartzarch::wire
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -173,8 +173,8 @@
     SimulationSettings settings;
     settings.seed = walks;
     settings.faults_per_second = 4;
-    settings.leadership_transfers =
-        false;  // with a defective disk the library may abort before a checker reports the defect
+    // A defect may violate an assumption of libraft, which could abort before a checker reports the defect.
+    settings.leadership_transfers = false;
     GetParam().seed(settings);
     const std::string fault = faults::walk(settings).violation;
     if (fault.empty()) continue;
