--- a/standin/faults/history.cpp
+++ b/standin/faults/history.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kAbsent = std::numeric_limits<std::size_t>::max();
 
 std::string describe(const Operation& o) {
-  const auto value = [](const std::optional<std::string>& v) { return v ? *v : "no value"; };
+  const auto value = [](const std::optional<std::string>& v) { return v ? *v : "nothing"; };
   std::string description = "client " + std::to_string(o.client);
   if (o.kind == OperationKind::read) description += " read " + value(o.seen);
   if (o.kind == OperationKind::put) description += " put " + o.value;
