--- a/bench/duty.cpp
+++ b/bench/duty.cpp
@@ -15,8 +15,8 @@
 
 #include "acme/state.hpp"
 #include "bench.hpp"
+#include "faults/fleet_simulation.hpp"
 #include "faults/relay.hpp"
-#include "faults/world.hpp"
 #include "net/stream.hpp"
 #include "register/client.hpp"
 #include "register/voter_server.hpp"
--- a/standin/faults/world.cpp
+++ b/standin/faults/fleet_simulation.cpp
@@ -1,4 +1,4 @@
-#include "faults/world.hpp"
+#include "faults/fleet_simulation.hpp"
 
 #include <algorithm>
 #include <deque>
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -5,9 +5,9 @@
 
 #include <cstdlib>
 
+#include "faults/fleet_simulation.hpp"
 #include "faults/history.hpp"
 #include "faults/memory_disk.hpp"
-#include "faults/world.hpp"
 #include "fleet/settings.hpp"
 #include "fleet_process.hpp"
 #include "register/wire.hpp"
