--- a/tests/shared_certificates_test.cpp
+++ b/tests/shared_certificates_test.cpp
@@ -132,7 +132,7 @@
   start_fleet();
   const std::string first = wait_for_stuck_order();
   kill(first);
-  authority->clear();
+  authority->clear_rules();
   wait_until([&] { return !certificate(first == "a" ? "b" : "a").empty(); }, "a certificate");
   EXPECT_EQ(authority->counts().orders, 1) << "a second order was made";
   start_voter(first[0] - 'a');
@@ -146,7 +146,7 @@
   signal(first, SIGSTOP);
   const std::string other = first == "a" ? "b" : "a";
   wait_until([&] { return !holder().empty() && holder() != first; }, "another holder");
-  authority->clear();
+  authority->clear_rules();
   wait_until([&] { return !certificate(other).empty(); }, "a certificate");
   const std::string taken = certificate(other);
   signal(first, SIGCONT);
