--- a/standin/faults/fleet_simulation.hpp
+++ b/standin/faults/fleet_simulation.hpp
@@ -56,8 +56,8 @@
   std::uint64_t leadership_transfers = 0;  // leadership transfers that were started
   std::uint64_t messages = 0, bytes = 0;
   std::uint64_t leader_messages = 0, leader_bytes = 0;  // sent by the leader
-  std::uint64_t duty_messages =
-      0;  // requests of the lease managers: sessions, acquisitions, renewals, releases
+  // Those of `messages` that are requests of the lease managers: sessions, acquisitions, renewals, releases.
+  std::uint64_t duty_messages = 0;
   std::uint64_t client_messages = 0, client_bytes = 0;  // sent by controllers
   std::vector<Duration> gaps{};                         // each period in which a duty had no holder
   Duration settling_time{};  // from the end of the faults until all duties had holders
--- a/standin/setup_server/setup_server.cpp
+++ b/standin/setup_server/setup_server.cpp
@@ -44,8 +44,8 @@
   if (found == streams_.end()) return;
   // Pending set-ups are abandoned with their connection; an established call is not bound to a connection.
   std::erase_if(calls_, [&](auto& item) {
-    const auto on = item.second.stream.lock();
-    if (item.second.established || on.get() != &stream) return false;
+    const auto owner = item.second.stream.lock();
+    if (item.second.established || owner.get() != &stream) return false;
     loop_.cancel(item.second.timer);
     ++counts_.abandoned;
     return true;
@@ -76,8 +76,8 @@
   stream.send({"{\"op\":\"" + op + "\",\"call\":\"" + call + "\"," + rest + "}\n", {}, 0});
 }
 
-Time SetupServer::enqueue_work(Duration how_long) {
-  busy_until_ = std::max(busy_until_, loop_.now()) + how_long;
+Time SetupServer::enqueue_work(Duration duration) {
+  busy_until_ = std::max(busy_until_, loop_.now()) + duration;
   return busy_until_;
 }
 
@@ -107,19 +107,19 @@
   made.stream = streams_.at(&stream);
   made.timer = loop_.at(enqueue_work(options_.setup_work), [this, call] {
     Call& current = calls_.at(call);
-    const auto on = current.stream.lock();
-    if (!on) return;
+    const auto connection = current.stream.lock();
+    if (!connection) return;
     current.established = true;
     ++counts_.accepted;
-    send_message(*on, "accept", call,
+    send_message(*connection, "accept", call,
                  "\"with\":{\"load\":" + load_report() + "},\"desc\":\"v=0\\r\\ns=stand-in\\r\\n\"");
     if (options_.call_duration == Duration{0}) return;
     current.timer = loop_.at(loop_.now() + options_.call_duration, [this, call] {
-      const auto there = calls_.at(call).stream.lock();
+      const auto owner = calls_.at(call).stream.lock();
       calls_.erase(call);
       enqueue_work(options_.release_work);
       ++counts_.ended;
-      Stream* const to = there ? there.get() : streams_.empty() ? nullptr : streams_.begin()->first;
+      Stream* const to = owner ? owner.get() : streams_.empty() ? nullptr : streams_.begin()->first;
       if (to)
         send_message(*to, "end", call,
                      "\"with\":{\"load\":" + load_report() + "},\"why\":" + std::to_string(kCauseEnded));
--- a/standin/setup_server/setup_server.hpp
+++ b/standin/setup_server/setup_server.hpp
@@ -62,7 +62,7 @@
   void send_message(Stream& stream, const std::string& op, const std::string& call, const std::string& rest);
   std::string load_report() const;
   // Adds a job of this length to the processor's queue and returns the time at which it will be finished.
-  Time enqueue_work(Duration how_long);
+  Time enqueue_work(Duration duration);
 
   Options options_;
   Loop loop_;
