--- a/standin/authority/model.hpp
+++ b/standin/authority/model.hpp
@@ -15,6 +15,7 @@
 
 namespace quartzarch::standin {
 
+// Behavior of the simulated server.
 struct Options {
   Seconds lifetime = std::chrono::hours(24 * 90);           // of certificates
   Seconds authorization_lifetime = std::chrono::hours(24);  // how long a valid authorization is reused
@@ -31,6 +32,7 @@
   acme::Limit duplicates{};  // certificates for the same set of names
 };
 
+// An HTTP response.
 struct Reply {
   int status = 200;
   std::string body{};
@@ -42,10 +44,12 @@
   std::string authorization{}, type{}, name{}, token{}, key_authorization{};
 };
 
+// Totals since the start.
 struct Counts {
   int accounts = 0, orders = 0, certificates = 0, rejections = 0, requests = 0, revoked = 0, challenges = 0;
 };
 
+// Not thread-safe: the caller serializes all calls.
 class Model {
  public:
   Model(std::string base, Options options, Ca& ca, FaultScript& script, std::function<Instant()> now);
--- a/standin/faults/history.hpp
+++ b/standin/faults/history.hpp
@@ -34,10 +34,11 @@
 
 class History {
  public:
-  // Adds an operation without a reply; returns its index, for at().
+  // Adds an operation and returns its index, for at(), which is used to record the reply.
   std::size_t begin(Operation operation);
   Operation& at(std::size_t index) { return operations_[index]; }
   const std::vector<Operation>& operations() const { return operations_; }
+  // Number of operations that got a reply.
   std::size_t answered() const;
 
   // Checks the history. Returns the first violation in one line; empty if the history is linearizable.
--- a/standin/setup_server/setup_server.hpp
+++ b/standin/setup_server/setup_server.hpp
@@ -21,6 +21,7 @@
  public:
   struct Options {
     sockaddr_in listen{};  // port 0: the system chooses a free port
+    // Processing time of a set-up, and of a release or a rejection because of a full queue.
     Duration setup_work = std::chrono::milliseconds(2);
     Duration release_work = std::chrono::microseconds(200);
     // Time from the acceptance of a call until the server ends it; 0: the server never ends a call.
