--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -53,7 +53,7 @@
     if (outcome.status == 200) gateway.bye(outcome, "7f3a");
     const std::lock_guard lock(calls.mutex);
     if (outcome.status != 200) ++calls.failed;
-    calls.took_ms.push_back(static_cast<double>(outcome.took.count()) / 1000);
+    calls.took_ms.push_back(static_cast<double>(outcome.response_time.count()) / 1000);
   }
 }
 
@@ -66,7 +66,7 @@
     const sockaddr_in any = *parse_address("127.0.0.1:0");
     standin::SetupServer::Options server_options;
     server_options.listen = any;
-    server_options.set_up_work = milliseconds(2);
+    server_options.setup_work = milliseconds(2);
     standin::SetupServer server(server_options);
     const auto registry = std::make_shared<tls::Registry>();
     standin::Node::Options node_options;
@@ -74,10 +74,10 @@
     node_options.listening.tls = any;
     node_options.listening.certificates = registry;
     standin::Node node(node_options, log);
-    standin::Authority::Setup setup;
+    standin::Authority::Config setup;
     setup.listen = any;
     setup.tls_alpn = node.address(sip::TransportKind::tls);
-    setup.options.authorization_life = Seconds(0);  // every renewal is proved anew, on the port in use
+    setup.options.authorization_lifetime = Seconds(0);  // every renewal is proved anew, on the port in use
     standin::Authority authority(setup);
     acme::Settings settings;
     settings.directory = folder + "/certs";
--- a/standin/authority/authority.cpp
+++ b/standin/authority/authority.cpp
@@ -12,15 +12,16 @@
 namespace quartzarch::standin {
 namespace {
 
-constexpr int kLookForStopMs = 20;
-constexpr std::size_t kLongestRequest = 256 * 1024;
+// How often threads check for a stop request, and the pause between two validations of one challenge.
+constexpr int kStopPollMs = 20;
+constexpr std::size_t kMaxRequestBytes = 256 * 1024;
 
 using Session = std::unique_ptr<SSL, tls::OpenSslDeleter>;
 
-void set_patience(int fd, int seconds) {
-  const timeval patience{seconds, 0};
-  ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-  ::setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
+void set_socket_timeout(int fd, int seconds) {
+  const timeval timeout{seconds, 0};
+  ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  ::setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
 }
 
 std::string http_date(Instant at) {
@@ -34,18 +35,18 @@
 
 Fd connect_to(const sockaddr_in& address) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  set_patience(fd.get(), 5);
+  set_socket_timeout(fd.get(), 5);
   if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) return {};
   return fd;
 }
 
 std::optional<std::string> read_request(SSL* session) {
   std::string bytes;
-  char piece[4096];
-  while (bytes.size() < kLongestRequest) {
-    const int count = SSL_read(session, piece, sizeof piece);
+  char chunk[4096];
+  while (bytes.size() < kMaxRequestBytes) {
+    const int count = SSL_read(session, chunk, sizeof chunk);
     if (count <= 0) return std::nullopt;
-    bytes.append(piece, static_cast<std::size_t>(count));
+    bytes.append(chunk, static_cast<std::size_t>(count));
     const auto end = bytes.find("\r\n\r\n");
     if (end == std::string::npos) continue;
     const auto length = bytes.find("Content-Length: ");
@@ -62,16 +63,16 @@
 
 }  // namespace
 
-Authority::Authority(Setup setup)
-    : setup_(std::move(setup)),
-      ca_((setup_.now ? setup_.now
-                      : setup_.now =
-                            [] { return std::chrono::floor<Seconds>(std::chrono::system_clock::now()); })()),
-      listener_(listen_on(setup_.listen)),
+Authority::Authority(Config config)
+    : config_(std::move(config)),
+      ca_((config_.now ? config_.now
+                       : config_.now =
+                             [] { return std::chrono::floor<Seconds>(std::chrono::system_clock::now()); })()),
+      listener_(listen_on(config_.listen)),
       base_("https://" + address_text(bound_address(listener_))),
-      model_(base_, setup_.options, ca_, script_, setup_.now),
+      model_(base_, config_.options, ca_, script_, config_.now),
       thread_([this](const std::stop_token& stop) { run(stop); }) {
-  // Its own certificate is looked at by the system's clock.
+  // Clients verify the server's certificate by the system's clock, not by `now`.
   certificates_.put("self",
                     ca_.server_identity(std::chrono::floor<Seconds>(std::chrono::system_clock::now())));
 }
@@ -82,12 +83,12 @@
   for (Connection& each : connections_) each.thread.request_stop();
 }
 
-void Authority::add(Rule rule) {
+void Authority::add(FaultRule rule) {
   const std::lock_guard lock(mutex_);
   script_.add(std::move(rule));
 }
 
-void Authority::clear() {
+void Authority::clear_rules() {
   const std::lock_guard lock(mutex_);
   script_.clear();
 }
@@ -100,25 +101,25 @@
 void Authority::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     pollfd waiting{listener_.get(), POLLIN, 0};
-    if (::poll(&waiting, 1, kLookForStopMs) <= 0) continue;
+    if (::poll(&waiting, 1, kStopPollMs) <= 0) continue;
     const int fd = ::accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC);
     if (fd < 0) continue;
     connections_.remove_if([](const Connection& each) { return each.done.load(); });
-    Connection& made = connections_.emplace_back();
-    made.thread = std::jthread([this, fd, &made](const std::stop_token& told) {
-      serve(told, Fd(fd));
-      made.done = true;
+    Connection& connection = connections_.emplace_back();
+    connection.thread = std::jthread([this, fd, &connection](const std::stop_token& connection_stop) {
+      serve(connection_stop, Fd(fd));
+      connection.done = true;
     });
   }
 }
 
 void Authority::serve(const std::stop_token& stop, const Fd& fd) {
-  set_patience(fd.get(), 5);
-  const auto scripted = [&](Fault fault, const std::string& path) {
+  set_socket_timeout(fd.get(), 5);
+  const auto fault_rule = [&](Fault fault, const std::string& path) {
     const std::lock_guard lock(mutex_);
-    return script_.take(fault, path, setup_.now());
+    return script_.consume(fault, path, config_.now());
   };
-  if (scripted(Fault::unreachable, "")) return;
+  if (fault_rule(Fault::unreachable, "")) return;
   const Session session(SSL_new(certificates_.server()));
   SSL_set_fd(session.get(), fd.get());
   if (SSL_accept(session.get()) != 1) return;
@@ -127,22 +128,22 @@
   const auto space = request->find(' ');
   const std::string method = request->substr(0, space);
   const std::string path = request->substr(space + 1, request->find(' ', space + 1) - space - 1);
-  if (scripted(Fault::silent, path)) {
+  if (fault_rule(Fault::silent, path)) {
     while (!stop.stop_requested()) {
       pollfd waiting{fd.get(), POLLIN, 0};
-      if (::poll(&waiting, 1, kLookForStopMs) > 0) return;  // the client has had enough
+      if (::poll(&waiting, 1, kStopPollMs) > 0) return;  // the client closed the connection or sent more
     }
     return;
   }
   Reply reply;
-  std::optional<Look> look;
+  std::optional<PendingChallenge> challenge;
   std::string head;
   bool cut = false;
   {
     const std::lock_guard lock(mutex_);
-    const Instant now = setup_.now();
+    const Instant now = config_.now();
     for (const auto& [fault, status] : {std::pair{Fault::rate_limited, 429}, {Fault::unavailable, 503}}) {
-      const auto rule = script_.take(fault, path, now);
+      const auto rule = script_.consume(fault, path, now);
       if (!rule || reply.body.size() > 0) continue;
       const std::string type = status == 429 ? "rateLimited" : "serverInternal";
       reply = {status, "{\"type\":\"urn:ietf:params:acme:error:" + type + "\",\"detail\":\"scripted\"}", {}};
@@ -154,58 +155,59 @@
     }
     if (reply.body.empty()) {
       reply = model_.handle(method, path, request->substr(request->find("\r\n\r\n") + 4));
-      look = model_.take_look();
-      if (script_.take(Fault::cut_after_taken, path, now)) cut = true;
-      if (script_.take(Fault::wrong_json, path, now)) reply.body = "<html>all is well</html>";
-      if (script_.take(Fault::cut_json, path, now)) reply.body.resize(reply.body.size() / 2);
+      challenge = model_.take_pending_challenge();
+      if (script_.consume(Fault::cut_after_taken, path, now)) cut = true;
+      if (script_.consume(Fault::wrong_json, path, now)) reply.body = "<html>all is well</html>";
+      if (script_.consume(Fault::cut_json, path, now)) reply.body.resize(reply.body.size() / 2);
     }
-    head = "HTTP/1.1 " + std::to_string(reply.status) + " X\r\nReplay-Nonce: " + model_.fresh_nonce() +
+    head = "HTTP/1.1 " + std::to_string(reply.status) + " X\r\nReplay-Nonce: " + model_.new_nonce() +
            "\r\nDate: " + http_date(now) + "\r\n";
   }
   for (const std::string& each : reply.headers) head += each + "\r\n";
   head += "Connection: close\r\nContent-Length: " + std::to_string(reply.body.size()) + "\r\n\r\n";
   if (!cut) write_all(session.get(), method == "HEAD" ? head : head + reply.body);
-  if (!look) return;
-  std::string wrong = look_at(*look);
-  for (int again = 1; again < setup_.options.looks && !wrong.empty() && !stop.stop_requested(); ++again) {
-    ::poll(nullptr, 0, kLookForStopMs);
-    wrong = look_at(*look);
+  if (!challenge) return;
+  std::string error = validate(*challenge);
+  for (int attempt = 1;
+       attempt < config_.options.validation_attempts && !error.empty() && !stop.stop_requested(); ++attempt) {
+    ::poll(nullptr, 0, kStopPollMs);
+    error = validate(*challenge);
   }
   const std::lock_guard lock(mutex_);
-  model_.looked(*look, wrong);
+  model_.record_validation(*challenge, error);
 }
 
-std::string Authority::look_at(const Look& look) const {
-  if (look.type == "http-01") return look_http(look);
-  if (look.type == "tls-alpn-01") return look_tls(look);
-  return "no way to look at " + look.type;
+std::string Authority::validate(const PendingChallenge& challenge) const {
+  if (challenge.type == "http-01") return validate_http01(challenge);
+  if (challenge.type == "tls-alpn-01") return validate_tls_alpn01(challenge);
+  return "no way to look at " + challenge.type;
 }
 
-std::string Authority::look_http(const Look& look) const {
-  const Fd fd = setup_.http01 ? connect_to(*setup_.http01) : Fd();
+std::string Authority::validate_http01(const PendingChallenge& challenge) const {
+  const Fd fd = config_.http01 ? connect_to(*config_.http01) : Fd();
   if (!fd) return "no connection for http-01";
-  const std::string request =
-      "GET /.well-known/acme-challenge/" + look.token + " HTTP/1.1\r\nHost: " + look.name + "\r\n\r\n";
+  const std::string request = "GET /.well-known/acme-challenge/" + challenge.token +
+                              " HTTP/1.1\r\nHost: " + challenge.name + "\r\n\r\n";
   ::send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL);
   std::string answer;
-  char piece[2048];
-  for (ssize_t n; (n = ::recv(fd.get(), piece, sizeof piece, 0)) > 0;) {
-    answer.append(piece, static_cast<std::size_t>(n));
+  char chunk[2048];
+  for (ssize_t n; (n = ::recv(fd.get(), chunk, sizeof chunk, 0)) > 0;) {
+    answer.append(chunk, static_cast<std::size_t>(n));
   }
   const bool good =
-      answer.starts_with("HTTP/1.1 200") && answer.ends_with("\r\n\r\n" + look.key_authorization);
+      answer.starts_with("HTTP/1.1 200") && answer.ends_with("\r\n\r\n" + challenge.key_authorization);
   return good ? "" : "the http-01 answer is wrong";
 }
 
-// RFC 8737, 3: acme-tls/1 is negotiated, and the self-signed certificate has the name and the digest, nothing
-// else.
-std::string Authority::look_tls(const Look& look) const {
-  const Fd fd = setup_.tls_alpn ? connect_to(*setup_.tls_alpn) : Fd();
+// RFC 8737, 3: the server must negotiate acme-tls/1 and present a self-signed certificate that has exactly
+// the validated name and the digest of the key authorization.
+std::string Authority::validate_tls_alpn01(const PendingChallenge& challenge) const {
+  const Fd fd = config_.tls_alpn ? connect_to(*config_.tls_alpn) : Fd();
   if (!fd) return "no connection for tls-alpn-01";
   const std::unique_ptr<SSL_CTX, tls::OpenSslDeleter> context(SSL_CTX_new(TLS_client_method()));
   const Session session(SSL_new(context.get()));
   SSL_set_fd(session.get(), fd.get());
-  SSL_set_tlsext_host_name(session.get(), look.name.c_str());
+  SSL_set_tlsext_host_name(session.get(), challenge.name.c_str());
   SSL_set_alpn_protos(session.get(),
                       reinterpret_cast<const unsigned char*>("\x0a"
                                                              "acme-tls/1"),
@@ -218,7 +220,7 @@
     return "acme-tls/1 was not chosen";
   }
   const acme::Certificate shown(SSL_get1_peer_certificate(session.get()));
-  if (!shown || acme::names_of(shown) != std::vector<std::string>{look.name})
+  if (!shown || acme::names_of(shown) != std::vector<std::string>{challenge.name})
     return "the certificate has other names";
   ASN1_OBJECT* const oid = OBJ_txt2obj("1.3.6.1.5.5.7.1.31", 1);
   const int at = X509_get_ext_by_OBJ(shown.get(), oid, -1);
@@ -229,7 +231,7 @@
   const std::string found(reinterpret_cast<const char*>(ASN1_STRING_get0_data(value)),
                           static_cast<std::size_t>(ASN1_STRING_length(value)));
   const bool good = X509_EXTENSION_get_critical(extension) == 1 &&
-                    found == std::string("\x04\x20", 2) + acme::sha256(look.key_authorization);
+                    found == std::string("\x04\x20", 2) + acme::sha256(challenge.key_authorization);
   return good ? "" : "the acmeIdentifier is wrong";
 }
 
--- a/standin/authority/main.cpp
+++ b/standin/authority/main.cpp
@@ -1,4 +1,5 @@
-// standin_authority: the stand-in ACME authority as a program, on loopback.
+// standin_authority: a program that runs the simulated ACME server on a loopback address until SIGTERM or
+// SIGINT.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -25,27 +26,28 @@
       "\"NAME [path=/order] [times=3] [from=S] [until=S] [retry_after=S] [date]\", any number of times");
   CLI11_PARSE(app, argc, argv);
   try {
-    standin::Authority::Setup setup;
+    standin::Authority::Config config;
     const auto address = [](const std::string& text) {
       const auto parsed = parse_address(text);
       if (!parsed || ntohl(parsed->sin_addr.s_addr) >> 24 != 127) {
-        throw std::runtime_error(text + " is no loopback address");
+        throw std::runtime_error(text + " is not a loopback address");
       }
       return *parsed;
     };
-    setup.listen = address(listen);
-    if (!http01.empty()) setup.http01 = address(http01);
-    if (!tls_alpn.empty()) setup.tls_alpn = address(tls_alpn);
-    setup.options.lifetime = acme::Seconds(lifetime);
-    // Before the first thread is made: the signals are waited for below.
+    config.listen = address(listen);
+    if (!http01.empty()) config.http01 = address(http01);
+    if (!tls_alpn.empty()) config.tls_alpn = address(tls_alpn);
+    config.options.lifetime = acme::Seconds(lifetime);
+    // Block the signals before the first thread starts, so that all threads inherit the mask and only
+    // sigwait() below receives them.
     sigset_t set;
     sigemptyset(&set);
     sigaddset(&set, SIGTERM);
     sigaddset(&set, SIGINT);
     sigprocmask(SIG_BLOCK, &set, nullptr);
-    standin::Authority authority(setup);
+    standin::Authority authority(config);
     const auto begun = std::chrono::floor<acme::Seconds>(std::chrono::system_clock::now());
-    for (const std::string& each : faults) authority.add(standin::parse_rule(each, begun));
+    for (const std::string& each : faults) authority.add(standin::parse_fault_rule(each, begun));
     std::ofstream(root) << authority.root();
     std::printf("directory %s, roots in %s\n", authority.directory().c_str(), root.c_str());
     std::fflush(stdout);
--- a/standin/faults/relay.hpp
+++ b/standin/faults/relay.hpp
@@ -1,5 +1,6 @@
-// What stands on the links between processes: bytes are passed on, held, trickled, or connections cut, each
-// way by itself. A thread of its own with poll(2); told what to do by any thread.
+// A TCP proxy that injects faults on the link between two processes: it forwards, holds back or slows down
+// bytes and resets connections. Holding back works for each direction separately. It runs on its own thread
+// with poll(2) and can be controlled from any thread.
 #pragma once
 
 #include <netinet/in.h>
@@ -18,11 +19,12 @@
 
 namespace quartzarch::faults {
 
-enum class Way : std::uint8_t { there = 1, back = 2, both = 3 };  // from who connects, and to it
+// `to_target`: from the connecting process to the target.
+enum class Direction : std::uint8_t { to_target = 1, from_target = 2, both = 3 };
 
 class Relay {
  public:
-  // Listens on loopback at a port of its own and connects on to `target`.
+  // Listens on a free loopback port and forwards each connection to `target`.
   explicit Relay(const sockaddr_in& target);
   ~Relay();
   Relay(const Relay&) = delete;
@@ -30,31 +32,32 @@
 
   sockaddr_in address() const { return address_; }
 
-  // Nothing passes that way; connections stay, and what was on its way waits and arrives after `pass`.
-  void hold(Way way) { held_ = held_ | static_cast<std::uint8_t>(way); }
-  // All open connections are reset, in the middle of a frame maybe, and new ones closed at once.
+  // Forwards nothing in that direction. Connections stay open; the bytes are kept and delivered after
+  // restore().
+  void hold(Direction direction) { held_ = held_ | static_cast<std::uint8_t>(direction); }
+  // Resets all open connections, possibly within a frame, and every new one at once.
   void refuse() { refusing_ = true, reset_now_ = true; }
-  // Open connections are reset once; new ones pass.
+  // Resets all open connections once; new ones are forwarded.
   void reset() { reset_now_ = true; }
-  // One byte a millisecond each way.
+  // Forwards one byte per millisecond in each direction.
   void trickle() { trickling_ = true; }
-  // As at the beginning.
-  void pass() { held_ = 0, refusing_ = false, trickling_ = false; }
+  // Ends hold(), refuse() and trickle().
+  void restore() { held_ = 0, refusing_ = false, trickling_ = false; }
 
  private:
-  struct Pipe {
-    Fd near{}, far{};
-    std::string there{}, back{};
-    bool near_ended = false, far_ended = false;
+  struct Connection {
+    Fd client{}, target{};
+    std::string to_target{}, from_target{};
+    bool client_closed = false, target_closed = false;
   };
   void run();
-  bool pump(Pipe& pipe, short near_events, short far_events);
+  bool pump(Connection& connection, short client_events, short target_events);
 
   sockaddr_in target_{}, address_{};
   Fd acceptor_;
-  std::list<Pipe> pipes_;
+  std::list<Connection> connections_;
   std::atomic<std::uint8_t> held_{0};
-  std::atomic<bool> refusing_{false}, reset_now_{false}, trickling_{false}, ending_{false};
+  std::atomic<bool> refusing_{false}, reset_now_{false}, trickling_{false}, stopping_{false};
   std::thread thread_;
 };
 
--- a/standin/faults/skewed_clock.cpp
+++ b/standin/faults/skewed_clock.cpp
@@ -1,10 +1,10 @@
-// A clock that is wrong, for a process that the tests start: preloaded, it takes the place of the C library's
+// A library that gives a process under test wrong clocks. Loaded by LD_PRELOAD, it replaces the C library's
 // clock_gettime. QUARTZARCH_SKEW names a file of two numbers, which may change while the process runs:
 //
 //     int64  microseconds that the wall clock is ahead (behind, if negative)
-//     double the rate at which the steady clocks run; counted from the first look at them
+//     double rate of the monotonic clocks, applied to the time since the process first read them
 //
-// No file, or a short one: the clocks are right.
+// Without the file, or if it is too short, the clocks are correct.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -24,7 +24,8 @@
   std::atomic<double> rate;
 };
 
-const Skew* skew() {
+// The mapped file; null if there is none.
+const Skew* mapped_skew() {
   static const Skew* const mapped = []() -> const Skew* {
     const char* const path = std::getenv("QUARTZARCH_SKEW");
     const int fd = path ? ::open(path, O_RDONLY | O_CLOEXEC) : -1;
@@ -48,14 +49,14 @@
 
 extern "C" int clock_gettime(clockid_t clock, timespec* at) noexcept {
   const long failed = ::syscall(SYS_clock_gettime, clock, at);
-  const Skew* const wrong = failed == 0 ? skew() : nullptr;
-  if (!wrong) return static_cast<int>(failed);
+  const Skew* const skew = failed == 0 ? mapped_skew() : nullptr;
+  if (!skew) return static_cast<int>(failed);
   if (clock == CLOCK_REALTIME) {
-    *at = from_nanoseconds(nanoseconds(*at) + wrong->wall_us.load() * 1000);
+    *at = from_nanoseconds(nanoseconds(*at) + skew->wall_us.load() * 1000);
   } else if (clock == CLOCK_MONOTONIC || clock == CLOCK_BOOTTIME) {
-    static const std::int64_t began = nanoseconds(*at);
-    const auto passed = static_cast<double>(nanoseconds(*at) - began);
-    *at = from_nanoseconds(began + static_cast<std::int64_t>(passed * wrong->rate.load()));
+    static const std::int64_t start = nanoseconds(*at);
+    const auto elapsed = static_cast<double>(nanoseconds(*at) - start);
+    *at = from_nanoseconds(start + static_cast<std::int64_t>(elapsed * skew->rate.load()));
   }
   return 0;
 }
--- a/standin/setup_server/setup_server.hpp
+++ b/standin/setup_server/setup_server.hpp
@@ -1,5 +1,6 @@
-// A stand-in setup server on loopback: the platform's JSON lines, and a processor with one line that works
-// set-ups, answers and releases off in turn. It has a thread of its own.
+// A simulated setup server for tests and benchmarks. It listens on a loopback address, speaks the platform's
+// protocol of one JSON object per line, and models a processor with a single first-in-first-out queue of
+// set-ups and releases. It runs on its own thread.
 #pragma once
 
 #include <netinet/in.h>
@@ -19,18 +20,23 @@
 class SetupServer : private IoHandler, private Stream::Owner {
  public:
   struct Options {
-    sockaddr_in listen{};  // port 0: any
-    Duration set_up_work = std::chrono::milliseconds(2);
+    sockaddr_in listen{};  // port 0: the system chooses a free port
+    // Processing time of a set-up, and of a release or a rejection because of a full queue.
+    Duration setup_work = std::chrono::milliseconds(2);
     Duration release_work = std::chrono::microseconds(200);
-    Duration holding = std::chrono::seconds(3);        // after which a call ends by itself; 0: never
-    Duration longest_queue = std::chrono::seconds(2);  // a set-up that would wait longer is turned away: full
-    double error_share = 0;                            // of sound set-ups that get 'error' at once
+    // Time from the acceptance of a call until the server ends it; 0: the server never ends a call.
+    Duration call_duration = std::chrono::seconds(3);
+    // A set-up that would wait longer than this in the queue is rejected with cause 'full'.
+    Duration max_queue_wait = std::chrono::seconds(2);
+    double error_share = 0;  // share of well-formed set-ups that are rejected at once with cause 'error'
     std::uint64_t seed = 1;
   };
+  // Totals since the start; read by other threads while the server runs.
   struct Counts {
-    std::atomic<std::uint64_t> offers{}, stood{}, errors{}, full{}, given_up{}, ended{};
-    std::atomic<std::uint64_t> doubled{};  // offers of a call that is here already: must stay 0
-    std::atomic<std::int64_t> longest_wait_us{};
+    std::atomic<std::uint64_t> offers{}, accepted{}, errors{}, rejected_full{}, abandoned{}, ended{};
+    // Offers of a call that this server already has: must stay 0.
+    std::atomic<std::uint64_t> duplicate_offers{};
+    std::atomic<std::int64_t> max_queue_wait_us{};
   };
 
   explicit SetupServer(const Options& options);
@@ -42,8 +48,8 @@
  private:
   struct Call {
     std::weak_ptr<Stream> stream{};
-    bool stands = false;
-    Loop::TimerId next = 0;
+    bool established = false;
+    Loop::TimerId timer = 0;  // of the next step: acceptance, then the end of the call
   };
 
   int descriptor() const override { return acceptor_.fd().get(); }
@@ -52,22 +58,22 @@
   void on_data(Stream& stream) override;
   void on_disconnected(Stream& stream, DisconnectReason) override;
 
-  void take(Stream& stream, std::string_view line);
+  void handle_message(Stream& stream, std::string_view line);
   void offer(Stream& stream, const std::string& call);
-  void say(Stream& stream, const std::string& op, const std::string& call, const std::string& rest);
-  std::string load() const;
-  // When a piece of work that is queued now will be done.
-  Time work(Duration how_long);
+  void send_message(Stream& stream, const std::string& op, const std::string& call, const std::string& rest);
+  std::string load_report() const;
+  // Adds a job of this length to the processor's queue and returns the time at which it will be finished.
+  Time enqueue_work(Duration duration);
 
   Options options_;
   Loop loop_;
   Acceptor acceptor_;
   std::map<Stream*, std::shared_ptr<Stream>> streams_{};
   std::map<std::string, Call> calls_{};
-  Time free_at_{};
+  Time busy_until_{};
   std::mt19937_64 random_;
   Counts counts_{};
-  std::jthread thread_;  // last: ends before what it uses
+  std::jthread thread_;  // declared last, so that it is joined before the members it uses are destroyed
 };
 
 }  // namespace quartzarch::standin
--- a/tests/acme_test.cpp
+++ b/tests/acme_test.cpp
@@ -318,7 +318,7 @@
   const std::string old = handshake(registry->server(), "").certificate;
   const Instant start_time = now() + 60 * kDay;
   set_time(start_time);
-  ca.add(standin::parse_rule(GetParam(), start_time));
+  ca.add(standin::parse_fault_rule(GetParam(), start_time));
   bool served = true;
   int orders = 0;
   run(*renewer, start_time + kDay, [&] {
@@ -500,7 +500,7 @@
 // order with the same key.
 TEST_F(Installation, AProcessKilledAtAnyStepLosesOrDuplicatesNoOrder) {
   standin::Options options;
-  options.looks = 1000;  // it retries while the challenge is not answered (RFC 8555, 8.2)
+  options.validation_attempts = 1000;  // it retries while the challenge is not answered (RFC 8555, 8.2)
   Authority& ca = start_authority(options);
   const auto spawn = [&](int kill_at) {
     const pid_t pid = ::fork();
@@ -651,7 +651,7 @@
   tls_alpn = node.address(sip::TransportKind::tls);
   settings.challenges = {"tls-alpn-01"};
   standin::Options options;
-  options.authorization_life = Seconds(0);
+  options.authorization_lifetime = Seconds(0);
   Authority& ca = start_authority(options);
   const auto renewer = this->make_renewer();
   ASSERT_EQ(renewer->renew_now("sip"), "") << log_text();
@@ -686,7 +686,7 @@
   EXPECT_EQ(failed, 0);
   EXPECT_EQ(ca.counts().certificates, 4);
   EXPECT_GE(seen.size(), 3u) << "new handshakes did not see the new certificates";
-  EXPECT_EQ(server.counts().doubled, 0u);
+  EXPECT_EQ(server.counts().duplicate_offers, 0u);
 }
 
 // ---- Settings
@@ -746,7 +746,7 @@
 // old settings after an invalid one.
 TEST_F(CertsProcess, ManagesItsCertificateAndTheCommandsReportIt) {
   const sockaddr_in tls_port = free_address();
-  Authority::Setup setup;
+  Authority::Config setup;
   setup.listen = any_port();
   setup.tls_alpn = tls_port;
   Authority ca(setup);
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -5,9 +5,9 @@
 
 #include <cstdlib>
 
+#include "faults/fleet_simulation.hpp"
 #include "faults/history.hpp"
 #include "faults/memory_disk.hpp"
-#include "faults/world.hpp"
 #include "fleet/settings.hpp"
 #include "fleet_process.hpp"
 #include "register/wire.hpp"
@@ -23,7 +23,7 @@
 namespace quartzarch::test {
 namespace {
 
-using faults::WorldSettings;
+using faults::SimulationSettings;
 using std::chrono::milliseconds;
 
 // QUARTZARCH_SEED replays one walk and prints its timeline; QUARTZARCH_WALKS sets the number of walks.
@@ -39,19 +39,19 @@
   for (std::uint64_t seed = 1; seed <= walks; ++seed) seeds.push_back(seed);
   if (replay != 0) seeds = {replay};
   for (const std::uint64_t seed : seeds) {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.seed = seed;
     settings.voters = seed % 4 == 0 ? 5 : 3;
-    settings.faults_a_second = seed % 2 == 0 ? 2 : 4;
-    settings.late = seed % 3 == 0 ? 0.02 : 0.004;
-    settings.voters_only = seed % 10 == 0;
-    settings.stops_only = seed % 10 == 5;
+    settings.faults_per_second = seed % 2 == 0 ? 2 : 4;
+    settings.late_share = seed % 3 == 0 ? 0.02 : 0.004;
+    settings.voter_faults_only = seed % 10 == 0;
+    settings.controller_pauses_only = seed % 10 == 5;
     if (replay != 0) settings.timeline = stdout;
-    const faults::Seen seen = faults::walk(settings);
-    ASSERT_EQ(seen.fault, "") << "QUARTZARCH_SEED=" << seed << " reproduces it";
+    const faults::WalkResult seen = faults::walk(settings);
+    ASSERT_EQ(seen.violation, "") << "QUARTZARCH_SEED=" << seed << " reproduces it";
     EXPECT_GT(seen.effects, 100u) << seed;
     EXPECT_GT(seen.increments, 5u) << seed;
-    EXPECT_GT(seen.history, 100u) << seed;
+    EXPECT_GT(seen.answered_operations, 100u) << seed;
   }
 }
 
@@ -59,13 +59,13 @@
 // either renewed in the 200 ms between two cuts or lost. The bound is stated in docs/duties.md.
 TEST(Walk, FlappingLinksRarelyChangeTheHolder) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.seed = seed;
-    settings.length = std::chrono::seconds(60);
-    settings.flapping = true;
-    settings.loss = settings.late = 0;
-    const faults::Seen seen = faults::walk(settings);
-    ASSERT_EQ(seen.fault, "") << seed;
+    settings.fault_phase = std::chrono::seconds(60);
+    settings.flapping_links = true;
+    settings.loss_share = settings.late_share = 0;
+    const faults::WalkResult seen = faults::walk(settings);
+    ASSERT_EQ(seen.violation, "") << seed;
     EXPECT_LE(seen.holdings, 3 * 10u) << "three duties; seed " << seed;
   }
 }
@@ -113,11 +113,11 @@
 
 // ---- The checker of histories, on small ones
 
-faults::Operation did(faults::Did what, const char* value, int from, int to) {
+faults::Operation did(faults::OperationKind what, const char* value, int from, int to) {
   faults::Operation o;
-  o.did = what;
+  o.kind = what;
   o.key = "k";
-  (what == faults::Did::read ? o.seen.emplace() : o.value) = value;
+  (what == faults::OperationKind::read ? o.seen.emplace() : o.value) = value;
   o.invoked = Time{from};
   if (to > 0) o.returned = Time{to};
   return o;
@@ -125,34 +125,42 @@
 std::string check_history(const std::vector<faults::Operation>& operations) {
   faults::History history;
   for (const auto& each : operations) history.begin(each);
-  return history.judge();
+  return history.check();
 }
 
 TEST(History, IsCheckedForLinearizability) {
-  using faults::Did;
-  const auto a = did(Did::put, "a", 0, 10), b = did(Did::put, "b", 20, 30);
-  EXPECT_EQ(check_history({a, b, did(Did::read, "b", 40, 50)}), "");
-  EXPECT_NE(check_history({a, b, did(Did::read, "a", 40, 50)}), "") << "older than the last completed write";
-  EXPECT_EQ(check_history({a, b, did(Did::read, "a", 25, 50)}), "") << "concurrent with the write";
-  EXPECT_NE(check_history({a, b, did(Did::read, "b", 22, 24), did(Did::read, "a", 25, 28)}), "")
+  using faults::OperationKind;
+  const auto a = did(OperationKind::put, "a", 0, 10), b = did(OperationKind::put, "b", 20, 30);
+  EXPECT_EQ(check_history({a, b, did(OperationKind::read, "b", 40, 50)}), "");
+  EXPECT_NE(check_history({a, b, did(OperationKind::read, "a", 40, 50)}), "")
+      << "older than the last completed write";
+  EXPECT_EQ(check_history({a, b, did(OperationKind::read, "a", 25, 50)}), "") << "concurrent with the write";
+  EXPECT_NE(
+      check_history({a, b, did(OperationKind::read, "b", 22, 24), did(OperationKind::read, "a", 25, 28)}), "")
       << "a later read returns an older value";
-  const auto lost = did(Did::put, "c", 60, 0);
-  EXPECT_EQ(check_history({a, lost, did(Did::read, "a", 70, 80), did(Did::read, "c", 90, 95)}), "") << "late";
-  EXPECT_NE(check_history({a, lost, did(Did::read, "c", 70, 80), did(Did::read, "a", 90, 95)}), "");
-  EXPECT_NE(check_history({a, did(Did::read, "c", 40, 50)}), "") << "a value that was never written";
-  auto swap = did(Did::swap, "d", 40, 50), other = did(Did::swap, "e", 45, 55);
+  const auto lost = did(OperationKind::put, "c", 60, 0);
+  EXPECT_EQ(
+      check_history({a, lost, did(OperationKind::read, "a", 70, 80), did(OperationKind::read, "c", 90, 95)}),
+      "")
+      << "late";
+  EXPECT_NE(
+      check_history({a, lost, did(OperationKind::read, "c", 70, 80), did(OperationKind::read, "a", 90, 95)}),
+      "");
+  EXPECT_NE(check_history({a, did(OperationKind::read, "c", 40, 50)}), "")
+      << "a value that was never written";
+  auto swap = did(OperationKind::swap, "d", 40, 50), other = did(OperationKind::swap, "e", 45, 55);
   swap.expected = other.expected = "a";
   EXPECT_NE(check_history({a, swap, other}), "") << "both replaced the same value";
   other.refused = true, other.seen = "d";
   EXPECT_EQ(check_history({a, swap, other}), "");
-  auto early = did(Did::put, "f", 0, 10), late = did(Did::put, "g", 20, 30);
+  auto early = did(OperationKind::put, "f", 0, 10), late = did(OperationKind::put, "g", 20, 30);
   early.revision = 9, late.revision = 8;
   EXPECT_NE(check_history({early, late}), "") << "revisions never decrease";
 }
 
 struct Defect {
   const char* name;
-  void (*seed)(WorldSettings&);
+  void (*seed)(SimulationSettings&);
   friend std::ostream& operator<<(std::ostream& to, const Defect& defect) { return to << defect.name; }
 };
 
@@ -162,13 +170,13 @@
 // at faults among voters only.
 TEST_P(Defects, IsDetected) {
   for (std::uint64_t walks = 1; walks <= 150; ++walks) {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.seed = walks;
-    settings.faults_a_second = 4;
+    settings.faults_per_second = 4;
     // A defect may violate an assumption of libraft, which could abort before a checker reports the defect.
-    settings.hand_overs = false;
+    settings.leadership_transfers = false;
     GetParam().seed(settings);
-    const std::string fault = faults::walk(settings).fault;
+    const std::string fault = faults::walk(settings).violation;
     if (fault.empty()) continue;
     std::printf("%s: detected after %llu walks: %s\n", GetParam().name,
                 static_cast<unsigned long long>(walks), fault.c_str());
@@ -180,17 +188,19 @@
 INSTANTIATE_TEST_SUITE_P(
     Walk, Defects,
     ::testing::Values(
-        Defect{"no_fence", [](WorldSettings& w) { w.resource_takes_all = true; }},
+        Defect{"no_fence", [](SimulationSettings& w) { w.resource_ignores_tokens = true; }},
         Defect{"lease_counts_from_answer",
-               [](WorldSettings& w) { w.counts_from_answer = true, w.stops_only = true; }},
+               [](SimulationSettings& w) { w.lease_from_reply = true, w.controller_pauses_only = true; }},
         Defect{"vote_not_kept",
-               [](WorldSettings& w) { w.forgets_vote = true, w.voters_only = true, w.faults_a_second = 12; }},
-        Defect{"snapshot_forgets_tokens", [](WorldSettings& w) { w.defects.drops_free_duties = true; }},
+               [](SimulationSettings& w) {
+                 w.forgets_vote = true, w.voter_faults_only = true, w.faults_per_second = 12;
+               }},
+        Defect{"snapshot_forgets_tokens", [](SimulationSettings& w) { w.defects.drops_free_duties = true; }},
         Defect{"reads_aside",
-               [](WorldSettings& w) { w.defects.reads_locally = true, w.judges_history_alone = true; }},
+               [](SimulationSettings& w) { w.defects.reads_locally = true, w.check_history_only = true; }},
         Defect{"open_renews_nothing",
-               [](WorldSettings& w) {
-                 w.defects.repeated_open_not_renewed = true, w.late = 0.06, w.ttl = milliseconds(800);
+               [](SimulationSettings& w) {
+                 w.defects.repeated_open_not_renewed = true, w.late_share = 0.06, w.ttl = milliseconds(800);
                }}),
     [](const auto& each) { return std::string(each.param.name); });
 
@@ -238,7 +248,7 @@
 // Renewals arrive at the voters, but no replies come back. The holder knows of no renewal and has to stop.
 TEST_F(Duties, AHolderThatReceivesNoRepliesStops) {
   start_with_two_holders();
-  for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).hold(faults::Way::back);
+  for (int i = 0; i < kVoters; ++i) link("h1", voter(i)).hold(faults::Direction::from_target);
   EXPECT_EQ(wait_for_successor("h1"), "h2");
   EXPECT_EQ(find_interleaving(read_effects()), "");
 }
--- a/tests/installation.hpp
+++ b/tests/installation.hpp
@@ -50,7 +50,7 @@
   }
   // Starts a stand-in authority and enters it in the settings.
   Authority& start_authority(standin::Options options = {}) {
-    Authority::Setup setup;
+    Authority::Config setup;
     setup.options = std::move(options);
     setup.listen = any_port();
     setup.http01 = settings.http01;
