--- a/src/fleet/certificate_store.cpp
+++ b/src/fleet/certificate_store.cpp
@@ -266,9 +266,9 @@
   consistent_ = false;
 }
 
-// ---- Turns
+// ---- Lease
 
-bool DutyTurn::acquire(acme::Instant) {
+bool DutyLease::acquire(acme::Instant) {
   const auto token = duty_handle_.holds();
   if (!token) return false;
   duty_handle_.busy(true);
@@ -277,13 +277,13 @@
   return false;
 }
 
-bool DutyTurn::renew(acme::Instant) {
+bool DutyLease::renew(acme::Instant) {
   duty_handle_.report_progress();
   const auto token = duty_handle_.holds();
   return token && *token == store_.token();
 }
 
-std::optional<acme::Lease::Holder> DutyTurn::holder(acme::Instant now) const {
+std::optional<acme::Lease::Holder> DutyLease::holder(acme::Instant now) const {
   return Holder{"whoever holds the fleet's duty \"" + duty_handle_.name() + "\"", now};
 }
 
@@ -307,8 +307,8 @@
     log.line("certificates: the fleet's register is out of reach: what is in %s is served",
              settings.directory.c_str());
   }
-  auto turn = std::make_unique<DutyTurn>(fleet.duty_handle(kCertificatesDuty), *store);
-  return {std::move(store), std::move(turn)};
+  auto lease = std::make_unique<DutyLease>(fleet.duty_handle(kCertificatesDuty), *store);
+  return {std::move(store), std::move(lease)};
 }
 
 }  // namespace quartzarch::fleet
--- a/src/fleet/certificate_store.hpp
+++ b/src/fleet/certificate_store.hpp
@@ -88,7 +88,7 @@
   std::function<bool()> stopped_;
   std::shared_ptr<Inbox> inbox_ = std::make_shared<Inbox>();
   std::map<std::string, Known> known_;
-  // Digests of records put aside, by name, which are not copied again.
+  // Digests of quarantined records, by name, which are not copied again.
   std::map<std::string, std::string> rejected_digests_;
   bool initialized_ = false;   // the register holds the fleet's certificates
   bool received_all_ = false;  // the complete contents were received once
@@ -99,11 +99,11 @@
   Time rewatched_at_{};
 };
 
-// The turn to change the certificates, which is the duty's holder's.
-class DutyTurn : public acme::Lease {
+// The lease that permits changes to the certificates: held by the holder of the certificates duty.
+class DutyLease : public acme::Lease {
  public:
-  DutyTurn(DutyHandle& duty_handle, CertificateStore& store) : duty_handle_(duty_handle), store_(store) {}
-  ~DutyTurn() override { duty_handle_.busy(false); }
+  DutyLease(DutyHandle& duty_handle, CertificateStore& store) : duty_handle_(duty_handle), store_(store) {}
+  ~DutyLease() override { duty_handle_.busy(false); }
 
   bool acquire(acme::Instant now) override;
   bool renew(acme::Instant now) override;
@@ -118,7 +118,7 @@
 // Reads the encryption key from the file that the settings name. Throws ConfigError if none is named, or the
 // file does not hold one.
 Seal read_seal(const FleetSettings& settings);
-// The store and the turn for a controller of a fleet; waits `timeout` for the register's contents.
+// The store and the lease for a controller of a fleet; waits `timeout` for the register's contents.
 acme::SharedState open_fleet_store(const acme::Settings& settings, Logger& log, Membership& fleet, Seal seal,
                                    Duration timeout, std::function<bool()> stopped);
 
