--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -88,8 +88,8 @@
     settings.authorities[0].access.ca_file = folder + "/roots";
     std::ofstream(folder + "/roots") << authority.root();
     settings.certificates = {{"sip", {"sip.lab.example"}, "ecdsa-p256"}};
-    acme::CertificateRenewer keeper(settings, log, registry, acme::Environment::real({}));
-    if (const std::string failure = keeper.renew_now("sip"); !failure.empty()) {
+    acme::CertificateRenewer renewer(settings, log, registry, acme::Environment::real({}));
+    if (const std::string failure = renewer.renew_now("sip"); !failure.empty()) {
       std::fprintf(stderr, "no certificate: %s\n", failure.c_str());
       std::exit(1);
     }
@@ -111,7 +111,7 @@
         node.take_longest_pass();
         for (int i = 0; i < 10 / rounds; ++i) {
           if (renewing) {
-            if (const std::string failure = keeper.renew_now("sip"); !failure.empty()) ++calls.failed;
+            if (const std::string failure = renewer.renew_now("sip"); !failure.empty()) ++calls.failed;
           }
           std::this_thread::sleep_for(milliseconds(quick ? 600 : 1500));
         }
--- a/src/cli/certs.cpp
+++ b/src/cli/certs.cpp
@@ -26,22 +26,22 @@
                                                     {"affiliationChanged", 3},   {"superseded", 4},
                                                     {"cessationOfOperation", 5}, {"privilegeWithdrawn", 9}};
 
-// A certificate keeper for the duration of one command. With a fleet it first requests the certificates duty,
-// writes to the register under that duty's fencing token with sealed (encrypted) values, and hands the duty
-// on when it ends.
+// A certificate renewer for the duration of one command. With a fleet it first requests the certificates
+// duty, writes to the register under that duty's fencing token with sealed (encrypted) values, and hands the
+// duty on when it ends.
 class CertificateAccess {
  public:
   CertificateAccess(const std::string& file, const std::optional<std::string>& fleet_file, Logger& log) {
     acme::Settings settings = Certificates::read(file);
     settings.publish_delay = std::max(settings.publish_delay, kChallengeSettleTime);
-    acme::SharedState kept;
+    acme::SharedState shared;
     if (fleet_file) {
       const fleet::FleetSettings fleet = fleet::parse_fleet(read_file(*fleet_file));
       const std::string name = "certs-by-hand-" + std::to_string(acme::random_bits());
       member_.emplace(log, fleet, name, acme::random_bits(),
                       std::vector<std::string>{fleet::kCertificatesDuty});
-      kept = fleet::open_fleet_store(settings, log, *member_, fleet::read_seal(fleet), fleet.start_wait,
-                                     [] { return false; });
+      shared = fleet::open_fleet_store(settings, log, *member_, fleet::read_seal(fleet), fleet.start_wait,
+                                       [] { return false; });
       reg::Command move;
       move.op = reg::Op::move;
       move.name = fleet::kCertificatesDuty;
@@ -49,16 +49,16 @@
       if (!member_->ask_and_wait(move, kDutyTimeout))
         throw std::runtime_error("the fleet's register did not answer the request for the certificates duty");
     } else {
-      kept = acme::open_state_on_disk(settings, log);
+      shared = acme::open_state_on_disk(settings, log);
     }
-    keeper_.emplace(std::move(settings), log, nullptr, acme::Environment::real({}), std::move(kept));
+    renewer_.emplace(std::move(settings), log, nullptr, acme::Environment::real({}), std::move(shared));
   }
-  acme::CertificateRenewer* operator->() { return &*keeper_; }
+  acme::CertificateRenewer* operator->() { return &*renewer_; }
 
  private:
   std::optional<fleet::Membership> member_;
   std::optional<acme::CertificateRenewer>
-      keeper_;  // declared last: it uses member_ and is destroyed before it
+      renewer_;  // declared last: it uses member_ and is destroyed before it
 };
 
 std::string json_timestamp(const std::optional<acme::Instant>& at) {
@@ -174,11 +174,11 @@
 int CertsCommand::status() const {
   std::FILE* const null_stream = std::fopen("/dev/null", "w");
   Logger quiet(null_stream);
-  acme::CertificateRenewer keeper(Certificates::read(file_), quiet, nullptr, acme::Environment::real({}));
+  acme::CertificateRenewer renewer(Certificates::read(file_), quiet, nullptr, acme::Environment::real({}));
   int code = 0;
   std::string out;
   bool found = false;
-  for (const acme::CertificateStatus& each : keeper.statuses()) {
+  for (const acme::CertificateStatus& each : renewer.statuses()) {
     if (!id_.empty() && each.id != id_) continue;
     found = true;
     code = std::max(code, exit_code_for(each.alarm));
@@ -196,12 +196,12 @@
 
 int CertsCommand::renew(Logger& log) const {
   if (id_.empty() == !all_) throw acme::SettingsError("renew needs an ID or --all");
-  CertificateAccess keeper(file_, fleet_, log);
+  CertificateAccess renewer(file_, fleet_, log);
   int code = 0;
   std::string out;
-  for (const auto& each : keeper->settings().certificates) {
+  for (const auto& each : renewer->settings().certificates) {
     if (!all_ && each.id != id_) continue;
-    const std::string failure = keeper->renew_now(each.id);
+    const std::string failure = renewer->renew_now(each.id);
     if (!failure.empty()) code = 1;
     if (json_) {
       out += (out.empty() ? "" : ",") + std::string("{\"id\":") + json_quoted(each.id) +
@@ -216,8 +216,8 @@
 }
 
 int CertsCommand::revoke(Logger& log) const {
-  CertificateAccess keeper(file_, fleet_, log);
-  const std::string failure = keeper->revoke(id_, kRevocationReasons.at(reason_));
+  CertificateAccess renewer(file_, fleet_, log);
+  const std::string failure = renewer->revoke(id_, kRevocationReasons.at(reason_));
   if (json_) {
     std::printf("{\"id\":%s,\"revoked\":%s,\"failure\":%s}\n", json_quoted(id_).c_str(),
                 failure.empty() ? "true" : "false", json_quoted(failure).c_str());
@@ -228,15 +228,15 @@
 }
 
 int CertsCommand::account(Logger& log) const {
-  CertificateAccess keeper(file_, fleet_, log);
-  const auto& authorities = keeper->settings().authorities;
+  CertificateAccess renewer(file_, fleet_, log);
+  const auto& authorities = renewer->settings().authorities;
   std::size_t index = 0;
   while (index < authorities.size() && !authority_.empty() && authorities[index].name != authority_) ++index;
   if (index == authorities.size())
     throw acme::SettingsError("no authority has the name \"" + authority_ + "\"");
-  const std::string failure = rollover_->parsed()  ? keeper->roll_over(index)
-                              : contact_->parsed() ? keeper->change_contact(index)
-                                                   : keeper->deactivate(index);
+  const std::string failure = rollover_->parsed()  ? renewer->roll_over(index)
+                              : contact_->parsed() ? renewer->change_contact(index)
+                                                   : renewer->deactivate(index);
   const std::string& name = authorities[index].name;
   if (json_) {
     std::printf("{\"authority\":%s,\"done\":%s,\"failure\":%s}\n", json_quoted(name).c_str(),
