--- a/src/acme/state.cpp
+++ b/src/acme/state.cpp
@@ -84,8 +84,8 @@
   sync_directory_of(path);
 }
 
-StateDirectory::StateDirectory(std::string path, std::function<void(const std::string&)> on_set_aside)
-    : path_(std::move(path)), on_set_aside_(std::move(on_set_aside)) {
+StateDirectory::StateDirectory(std::string path, std::function<void(const std::string&)> on_quarantine)
+    : path_(std::move(path)), on_quarantine_(std::move(on_quarantine)) {
   if (::mkdir(path_.c_str(), S_IRWXU) == 0) {
     sync_directory_of(path_);
   } else if (errno != EEXIST) {
@@ -129,8 +129,8 @@
       text->starts_with(kRecordPrefix) && text->size() >= header_size && (*text)[header_size - 1] == '\n' &&
       text->compare(kRecordPrefix.size(), 64, hex(sha256(std::string_view(*text).substr(header_size)))) == 0;
   if (intact) return text->substr(header_size);
-  set_aside(name,
-            text->starts_with(kRecordPrefix) ? "torn or changed by hand" : "not a record of this program");
+  quarantine_file(
+      name, text->starts_with(kRecordPrefix) ? "torn or changed by hand" : "not a record of this program");
   return std::nullopt;
 }
 
@@ -154,18 +154,18 @@
   sync_directory_of(path);
 }
 
-void StateDirectory::set_aside(const std::string& name, const std::string& why) const {
+void StateDirectory::quarantine_file(const std::string& name, const std::string& why) const {
   const std::string path = path_of(name);
   for (int i = 1; i < 1000; ++i) {
-    const std::string aside = path + ".aside-" + std::to_string(i);
-    // link() fails if the name exists, so files put aside before are not overwritten.
-    if (::link(path.c_str(), aside.c_str()) != 0) {
+    const std::string quarantined = path + ".aside-" + std::to_string(i);
+    // link() fails if the name exists, so files quarantined before are not overwritten.
+    if (::link(path.c_str(), quarantined.c_str()) != 0) {
       if (errno == EEXIST) continue;
       throw StateError(errno_text(path));
     }
     ::unlink(path.c_str());
     sync_directory_of(path);
-    if (on_set_aside_) on_set_aside_(path + ": " + why + ", put aside as " + aside);
+    if (on_quarantine_) on_quarantine_(path + ": " + why + ", put aside as " + quarantined);
     return;
   }
   throw StateError(path + ": " + why + ", and too many such files were put aside already");
--- a/src/acme/state.hpp
+++ b/src/acme/state.hpp
@@ -3,7 +3,7 @@
 //
 // A file is replaced atomically: a temporary file is written, synced and renamed, and the directory is
 // synced. Files are accessible to their owner only. A record carries a digest of its text: one that is torn
-// or was written by another program is renamed to NAME.aside-N, never overwritten.
+// or was written by another program is quarantined: renamed to NAME.aside-N, never overwritten.
 #pragma once
 
 #include <functional>
@@ -23,9 +23,9 @@
 // The store of an installation without a fleet: one file per record, key or chain.
 class StateDirectory : public Store {
  public:
-  // Creates the directory if it does not exist. `on_set_aside` gets a log line for each file put aside.
+  // Creates the directory if it does not exist. `on_quarantine` gets a log line for each quarantined file.
   // Throws StateError if the directory belongs to another user or gives access to group or others.
-  StateDirectory(std::string path, std::function<void(const std::string&)> on_set_aside);
+  StateDirectory(std::string path, std::function<void(const std::string&)> on_quarantine);
 
   const std::string& path() const { return path_; }
   std::string path_of(const std::string& name) const { return path_ + "/" + name; }
@@ -35,7 +35,7 @@
   std::optional<Secret> read_pem(const std::string& name) const override;
   void write_pem(const std::string& name, const Secret& pem) override;
   void remove(const std::string& name) override;
-  void quarantine(const std::string& name, const std::string& why) override { set_aside(name, why); }
+  void quarantine(const std::string& name, const std::string& why) override { quarantine_file(name, why); }
   std::vector<std::string> list(const std::string& prefix, const std::string& suffix) const override;
   // For "": the stamp of the directory, which changes when files are added, replaced or removed.
   std::string stamp(const std::string& name) const override;
@@ -43,11 +43,11 @@
  private:
   // Reads a file after checking its owner and mode; nothing if it does not exist.
   std::optional<std::string> load(const std::string& name) const;
-  // Renames a file to NAME.aside-N and logs why.
-  void set_aside(const std::string& name, const std::string& why) const;
+  // Quarantines a file: renames it to NAME.aside-N and logs why.
+  void quarantine_file(const std::string& name, const std::string& why) const;
 
   std::string path_;
-  std::function<void(const std::string&)> on_set_aside_;
+  std::function<void(const std::string&)> on_quarantine_;
 };
 
 // A lease stored in a file: one holder at a time, until it gives the lease back or the lease expires. It is
