--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -281,7 +281,7 @@
   event.attempt = in.get<std::uint16_t>();
   const auto code = in.get<std::uint32_t>();
   event.cause = cause_of(code);
-  if (instance && instance->waits_hinted && event.cause == Cause::processor_full && code >= 16) {
+  if (instance && instance->retry_hint && event.cause == Cause::processor_full && code >= 16) {
     event.retry_after = from_ms(code / 16);
   }
   event.call_finished = in.get<std::uint8_t>() != 0;
--- a/adapter/session.hpp
+++ b/adapter/session.hpp
@@ -37,7 +37,7 @@
   struct Instance {
     Controller controller;
     std::vector<std::string> report_fields;  // names of the values of a load report, in order
-    bool waits_hinted = false;               // 'processor full' carries a wait until a retry
+    bool retry_hint = false;                 // 'processor full' carries a retry delay
   };
 
   void read_record(Reader& in);
