--- a/src/acme/renewal.cpp
+++ b/src/acme/renewal.cpp
@@ -137,13 +137,13 @@
       state_.failing_since && now - std::min(*state_.failing_since, now) >= policy_.fallback_after;
   if (open_at && *open_at < count && !long_failing) return *open_at;
   if (count == 1 || !long_failing) return 0;
-  const std::size_t turn =
+  const std::size_t preferred =
       state_.failures % kPrimaryEvery == 0 ? 0 : 1 + state_.failures % kPrimaryEvery % (count - 1);
   for (std::size_t i = 0; i < count; ++i) {
-    const std::size_t each = (turn + i) % count;
+    const std::size_t each = (preferred + i) % count;
     if (!blocked(now, each)) return each;
   }
-  return turn;
+  return preferred;
 }
 
 Instant RenewalSchedule::free_at(Instant now, std::size_t authority, bool open,
