--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -114,8 +114,8 @@
     }
     return std::make_unique<Certificates>(to, path, tls_port, std::move(open_state));
   };
-  serve_options.make_operation = [&](Loop& loop, Logger& to, Planner& planner, const std::string& path,
-                                     std::uint64_t seed) {
+  serve_options.make_control_service = [&](Loop& loop, Logger& to, Planner& planner, const std::string& path,
+                                           std::uint64_t seed) {
     ControlSettings settings = parse_control(read_file(path));
     std::unique_ptr<gap::SharedList> shared_list;
     if (member) shared_list = std::make_unique<fleet::GapList>(to, *member, fleet_settings.start_wait);
--- a/src/serve.cpp
+++ b/src/serve.cpp
@@ -70,9 +70,9 @@
       : loop_(loop), log_(log), config_path_(config_path), signals_(loop) {}
 
   // Reloads its settings together with the configuration and notifies it of the stop.
-  void attach(CertificateManager* certificates) { certificates_ = certificates; }
+  void set_certificates(CertificateManager* certificates) { certificates_ = certificates; }
   // Notifies it of the stop.
-  void attach(Extension* extension) { extension_ = extension; }
+  void set_extension(Extension* extension) { extension_ = extension; }
   // The text of the configuration in force, which a reloaded file is checked against.
   void set_active_text(std::string text) { active_text_ = std::move(text); }
   // Counts accepted and rejected reloads in `tally`.
@@ -219,12 +219,12 @@
   std::optional<sip::SipFront> sip_{};
 };
 
-// Makes the control connection and the gaps, if the options name their file.
-std::unique_ptr<Extension> attach_operation(Loop& loop, Logger& log, Planner& planner, Files& files,
-                                            const Config& config, const ServeOptions& options) {
+// Makes the service for operators' control connections and call gaps, if the options name its file.
+std::unique_ptr<Extension> make_control_service(Loop& loop, Logger& log, Planner& planner, Files& files,
+                                                const Config& config, const ServeOptions& options) {
   if (!options.control) return nullptr;
   files.reading = options.control->c_str();
-  return options.make_operation(loop, log, planner, *options.control, config.seed);
+  return options.make_control_service(loop, log, planner, *options.control, config.seed);
 }
 
 // What a process with fronts does after each pass while it stops.
@@ -238,7 +238,7 @@
 void serve_standalone(Loop& loop, Logger& log, Files& files, Service& service, const Config& config,
                       const ServeOptions& options, const std::optional<sip::FrontConfig>& sip) {
   Planner planner(loop, log, config.instance, config.seed, bounds_of(config.limits));
-  const auto operation = attach_operation(loop, log, planner, files, config, options);
+  const auto control_service = make_control_service(loop, log, planner, files, config, options);
   for (const ServerListUpdate& update : config.known) planner.update_servers(update);
   Fronts fronts(loop, log, planner, config, sip);
   planner.set_unknown_call_front(fronts.fallback_front());
@@ -285,7 +285,7 @@
   settings.rank = settings.rank * static_cast<unsigned>(planners.size()) + static_cast<unsigned>(index);
   settings.instances *= static_cast<unsigned>(planners.size());
   Planner planner(loop, log, config.instance, config.seed + index, bounds_of(config.limits));
-  const auto operation = attach_operation(loop, log, planner, files, config, options);
+  const auto control_service = make_control_service(loop, log, planner, files, config, options);
   for (const ServerListUpdate& update : config.known) planner.update_servers(update);
   link::LinkServer port(loop, log, planner, planners[index]);
   planner.set_unknown_call_front(port);
@@ -378,13 +378,13 @@
   if (options.fleet) {
     files.reading = options.fleet->c_str();
     fleet = options.make_fleet(log, *options.fleet, config.name, config.seed);
-    service.attach(fleet.get());
+    service.set_extension(fleet.get());
   }
   std::unique_ptr<CertificateManager> certificates;
   if (options.certs) {
     files.reading = options.certs->c_str();
     certificates = options.make_certificates(log, *options.certs, sip && sip->listening.tls);
-    service.attach(certificates.get());
+    service.set_certificates(certificates.get());
     if (sip) sip->listening.certificates = certificates->registry();
   }
   if (options.planner) {
--- a/src/serve.hpp
+++ b/src/serve.hpp
@@ -52,11 +52,11 @@
   // Throws ConfigError if the file is invalid. `tls_port`: whether the process listens for TLS.
   std::function<std::unique_ptr<CertificateManager>(Logger& log, const std::string& path, bool tls_port)>
       make_certificates{};
-  // Reads the control file and attaches the operators' functions to the planner, before any call arrives.
-  // Throws ConfigError.
+  // Reads the control file and makes the control service, which filters the calls of the planner; called
+  // before any call arrives. Throws ConfigError.
   std::function<std::unique_ptr<Extension>(Loop&, Logger&, Planner&, const std::string& path,
                                            std::uint64_t seed)>
-      make_operation{};
+      make_control_service{};
   // Joins the fleet, on a thread of its own. Made before the other components, which may use it, and
   // destroyed after them. Throws ConfigError.
   std::function<std::unique_ptr<Extension>(Logger&, const std::string& path, const std::string& name,
