--- a/src/core/exchange.hpp
+++ b/src/core/exchange.hpp
@@ -31,7 +31,7 @@
   Time deadline() const { return request_.received_at + request_.caller_timeout.value_or(Duration{0}); }
 
   // The calls below report to the front. Each does nothing if the call is not in the state it needs;
-  // answer() returns whether the front was told.
+  // answer() returns whether the front was notified.
   bool answer(std::string description) {
     if (!leave_pending(State::established)) return false;
     front_->answer(request_.call, std::move(description));
@@ -46,7 +46,7 @@
   void end(int cause) {
     if (std::exchange(state_, State::closed) == State::established) front_->call_ended(request_.call, cause);
   }
-  // The caller has left or ended the call: the front is told nothing more.
+  // The caller has left or ended the call: the front is not notified of anything more.
   void close() {
     state_ = State::closed;
     request_.description = {};
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -208,8 +208,8 @@
 
 Duration Planner::longest_aim() const { return longest_aim_of(start_.settings.classes); }
 
-// The controller is not told: its later actions for these calls find no call and do nothing, and each event
-// would make it examine all calls that it holds.
+// The controller is not notified: its later actions for these calls find no call and do nothing, and each
+// event would make it examine all calls that it holds.
 void Planner::answer_pending_calls() {
   std::vector<CallId> unanswered;
   for (const auto& [call, exchange] : calls_) {
@@ -296,7 +296,8 @@
                    server_text(server).c_str());
     return servers_.release(server, line.call, cause::kNormal);
   }
-  // The call may have been established before this process started: its caller must still be told of its end.
+  // The call may have been established before this process started: its caller must still be notified of its
+  // end.
   const bool call_over = line.why == cause::kNormal || line.why == cause::kTemporary;
   remember_ended(line.call);
   if (!has_ended && call_over && unknown_call_front_) unknown_call_front_->call_ended(line.call, line.why);
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -48,7 +48,7 @@
   void recheck_held_calls(const std::function<std::optional<Duration>(const Request&)>& rejected_for);
   // Gives every unanswered call its final answer, for a stop: refused if no attempt was made, else failed.
   void answer_pending_calls();
-  // `front` is told of the end of calls that were answered before this process started.
+  // `front` is notified of the end of calls that were answered before this process started.
   void set_unknown_call_front(Front& front) { unknown_call_front_ = &front; }
 
   void request(Request request, Front& front) override;
--- a/src/front/binary.cpp
+++ b/src/front/binary.cpp
@@ -421,7 +421,7 @@
       handle_release(from, call, parameters);
       return true;
     case Type::test: {
-      // A passed test tells the platform's front that this process accepts work, whatever the management
+      // A passed health check makes the load balancer send new connections here, whatever the management
       // address answers, so a drained process must fail it.
       const bool passed = core_.ready() && (!drain_ || drain_->passes_health_checks());
       from.activity = std::max(from.activity, CallerActivity::tested);
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -94,7 +94,7 @@
   bool idle() const;
   // Releases a call that may be established at any server.
   void release_everywhere(CallId call, int cause);
-  // A connection was lost and none has come up since: the process there may be gone.
+  // A connection was lost and none has been established since: the process there may be gone.
   bool unreachable(const ServerId& server) const {
     const auto found = servers_.find(server);
     return found != servers_.end() && found->second.connection_lost;
@@ -137,11 +137,11 @@
     std::set<CallId> orphaned_calls{};  // established calls whose connection is gone
     Time last_connected_at{};   // when a connection last came up; the server repeats earlier releases on it
     Time last_liveness_test{};  // when a connection was last opened because another was silent
-    bool connect_timed_out = false;  // a connection attempt has timed out since one last came up
+    bool connect_timed_out = false;  // a connection attempt has timed out since one last succeeded
     std::array<Connection, kConnectionsPerServer> connections{};
     std::vector<QueuedMessage> queued{};               // to be sent when a connection is up
     bool keep_connected = false;                       // reconnect after a loss
-    bool connection_lost = false;                      // and none has come up since; the process may be gone
+    bool connection_lost = false;                      // and none established since; the process may be gone
     std::optional<Loop::TimerId> replacement_timer{};  // opens a new connection: see schedule_replacement()
   };
   struct ConnectionRef {
