--- a/src/core/calls.hpp
+++ b/src/core/calls.hpp
@@ -35,9 +35,9 @@
   std::optional<Duration> caller_timeout{};  // counted from received_at; absent: the class's deadline
   Time received_at{};
   int first_choice = -1;  // number of the setup server that the request names first; -1: none
-  int advised = -1;       // number of the server that had most room, as the request says ("via"); -1: none
-  bool retry = false;     // marked by the caller as a repeated try
-  bool cut = false;       // the call was established, was cut and is set up again
+  int advised = -1;    // number of the server with most free capacity, as the request says ("via"); -1: none
+  bool retry = false;  // marked by the caller as a retry
+  bool cut = false;    // the call was established, was cut and is set up again
 };
 
 enum class Failure { error, timed_out };
--- a/src/core/drain.hpp
+++ b/src/core/drain.hpp
@@ -36,7 +36,8 @@
 
   // The health check on the callers' own port, by which the load balancer in front finds out ten times a
   // second whether to send new connections. An operator's drain fails it. A stopping process passes it:
-  // another process on the same address may be ready, and the load balancer must not turn away from both.
+  // another process on the same address may be ready, and the load balancer must not take both out of
+  // service.
   bool passes_health_checks() const { return !drained_by_operator_; }
 
   // How long a caller's connection with no open call may stay idle before it is closed; absent: the usual
--- a/src/core/server_inventory.hpp
+++ b/src/core/server_inventory.hpp
@@ -30,7 +30,7 @@
  public:
   struct Change {
     ServerList list{};                 // for the controller
-    std::vector<ServerId> replaced{};  // whose process has gone or is another one now
+    std::vector<ServerId> replaced{};  // servers whose process is gone or was replaced
   };
   // Merges an update and returns what changed for each address it concerns.
   Change apply(const ServerListUpdate& update);
--- a/src/duty/runner.hpp
+++ b/src/duty/runner.hpp
@@ -1,5 +1,6 @@
-// Runs an operator's program while a duty is held. A supervisor process between the two knows the lease's end
-// by its own steady clock and stops the program then, even if this process is stopped or killed.
+// Runs an operator's program while a duty is held. A supervisor process between this process and the program
+// knows the lease's end by its own steady clock and stops the program then, even if this process is stopped
+// or killed.
 #pragma once
 
 #include <sys/types.h>
--- a/src/fleet/certificate_store.hpp
+++ b/src/fleet/certificate_store.hpp
@@ -3,7 +3,8 @@
 //
 // Reads use the copy, so that certificates are served even if the voters are unreachable. A change goes to
 // the register first, with the fencing token of the duty and the revision that the value is expected to have,
-// and then to the copy: a delayed change has no effect, neither after the holding nor after a later change.
+// and then to the copy: a delayed change has no effect if it arrives after this controller has lost the duty
+// or after a later change.
 #pragma once
 
 #include <map>
@@ -77,7 +78,8 @@
   // Writes to the copy, if it differs.
   void update_copy(const std::string& name, std::string_view text);
   void apply_update(const WatchUpdate& update);
-  // Imports this controller's records from before the fleet: those of the first holder become everybody's.
+  // Imports the records that this controller stored before it joined the fleet: those of the first holder of
+  // the duty become the fleet's.
   void import_copy();
 
   Logger& log_;
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -30,7 +30,7 @@
 
   // The token under which the work may act at this moment; any thread.
   std::optional<duty::Token> holds() const;
-  // Reports that the work is in the middle of something; its end is then awaited for a while. Any thread.
+  // Reports whether an action of the work is in progress; its end is then awaited for a while. Any thread.
   void busy(bool is_busy);
   // Reports progress. Without a report for the duty's progress time the duty goes to another controller. Any
   // thread.
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -14,7 +14,7 @@
 
 // A voter of the register, and where other processes reach it.
 struct VoterAddress {
-  std::string name{};  // the controller's
+  std::string name{};  // of the controller that is this voter
   sockaddr_in address{};
 };
 
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -141,7 +141,7 @@
     std::array<Connection, kConnectionsPerServer> connections{};
     std::vector<QueuedMessage> queued{};               // to be sent when a connection is up
     bool keep_connected = false;                       // reconnect after a loss
-    bool connection_lost = false;                      // and none established since; the process may be gone
+    bool connection_lost = false;                      // not re-established; the process may be gone
     std::optional<Loop::TimerId> replacement_timer{};  // opens a new connection: see schedule_replacement()
   };
   struct ConnectionRef {
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -64,7 +64,7 @@
   // Queued segments, including one that is partly written.
   const std::deque<Segment>& unsent() const { return output_; }
   bool up() const { return state_ == State::up; }
-  // It was established once, so its end is not a failed attempt to connect.
+  // The connection was established once, so its end is not a failed attempt to connect.
   bool was_connected() const { return was_connected_; }
   bool alive() const { return state_ != State::dead; }
   Time last_used() const { return last_used_; }
