--- a/src/core/drain.hpp
+++ b/src/core/drain.hpp
@@ -1,6 +1,6 @@
 // Decides whether this call controller takes new work. While drained by an operator or stopping, it reports
-// not ready, serves what is open and closes the connections of callers as they become idle. Time is passed
-// in; no I/O.
+// not ready, continues to serve open calls and closes the connections of callers as they become idle. Time is
+// passed in; no I/O.
 #pragma once
 
 #include <optional>
@@ -82,7 +82,7 @@
   std::optional<Time> draining_since_{};
   bool refused_by_stop(Time now) const { return stop_refusal_from_ && now >= *stop_refusal_from_; }
 
-  bool drained_by_operator_ = false;  // drained by an operator
+  bool drained_by_operator_ = false;
   std::optional<Time> stop_refusal_from_{};
 };
 
--- a/src/core/planner.hpp
+++ b/src/core/planner.hpp
@@ -134,7 +134,7 @@
   bool server_list_known_ = false;
   Calls calls_;
   std::size_t pending_answers_ = 0;
-  std::size_t waiting_bytes_ = 0;  // size of the descriptions of those
+  std::size_t waiting_bytes_ = 0;  // size of the descriptions of the requests without a final answer
   Capacity capacity_;
   std::deque<Event> events_;
   bool processing_events_ = false;
--- a/src/core/stop.hpp
+++ b/src/core/stop.hpp
@@ -9,7 +9,7 @@
 
 namespace quartzarch {
 
-// Computes when a stopping process refuses new set-ups, answers what is open and exits.
+// Computes when a stopping process refuses new set-ups, answers the pending ones and exits.
 class StopSchedule {
  public:
   StopSchedule(Duration longest_deadline, Duration longest_aim)
--- a/src/duty/lease_manager.hpp
+++ b/src/duty/lease_manager.hpp
@@ -75,6 +75,7 @@
   reg::Command command{};
 };
 
+// The duties of one controller and the session that its lease belongs to.
 class LeaseManager {
  public:
   LeaseManager(Settings settings, std::vector<DutySettings> duties, std::uint64_t seed);
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -28,10 +28,10 @@
 struct FleetSettings {
   std::vector<VoterAddress> voters{};  // 3 or 5
   std::string directory{};             // directory of a voter's register, mode 0700
-  // The address at which this process listens if it is a voter; absent: its address above. For processes that
-  // reach each other at other addresses than they listen at.
+  // The address at which this process listens if it is a voter; absent: its address in `voters`. For
+  // processes that reach each other at other addresses than they listen at.
   std::optional<sockaddr_in> listen{};
-  Duration ttl = std::chrono::milliseconds(3000);
+  Duration ttl = std::chrono::milliseconds(3000);  // time to live of a controller's session
   Duration election = std::chrono::milliseconds(500);
   Duration heartbeat = std::chrono::milliseconds(100);
   Duration ending = std::chrono::milliseconds(300);
--- a/src/net/servers.hpp
+++ b/src/net/servers.hpp
@@ -120,8 +120,9 @@
     std::map<CallId, SetUp> in_flight{};
     std::set<CallId> established_calls{};  // calls that were answered on it and have not ended
     std::deque<std::pair<Time, QueuedMessage>> recent_releases{};  // releases sent recently, oldest first
-    Time last_received{};                   // when the last complete line arrived, or connecting began
-    std::optional<Time> abandoned_since{};  // when the first set-up was sent that was overtaken and abandoned
+    Time last_received{};  // when the last complete line arrived, or connecting began
+    // Send time of the first set-up that was abandoned after a later one had been answered (overtaken it).
+    std::optional<Time> abandoned_since{};
     std::optional<Time> partial_line_since{};  // since when an incomplete line has been waiting for its rest
     Duration backoff{};                        // delay before the next connection attempt
     std::optional<Loop::TimerId> retry{};
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -27,6 +27,7 @@
 // which says nothing about the peer.
 enum class DisconnectReason { closed, reset, refused, timed_out, no_socket };
 
+// A connection. Its owner gets the callbacks.
 class Stream : public IoHandler {
  public:
   class Owner {
