--- a/bench/bench.hpp
+++ b/bench/bench.hpp
@@ -1,4 +1,5 @@
-// What the measurements share: percentiles, and figures as a table for people and a last line of JSON.
+// Utilities shared by the benchmarks: command line, percentiles, and results printed as a table followed by
+// one line of JSON.
 #pragma once
 
 #include <algorithm>
@@ -10,19 +11,22 @@
 
 namespace quartzarch::bench {
 
+// Whether --quick is given: the benchmark then runs with fewer rounds.
 inline bool quick(int argc, char** argv) {
   return std::any_of(argv + 1, argv + argc,
-                     [](const char* each) { return std::strcmp(each, "--quick") == 0; });
+                     [](const char* argument) { return std::strcmp(argument, "--quick") == 0; });
 }
 
-// The value below which `share` of them lie.
-inline double percentile(std::vector<double> values, double share) {
+// The value below which the given fraction (0 to 1) of the values lie; 0 if there are no values.
+inline double percentile(std::vector<double> values, double fraction) {
   if (values.empty()) return 0;
-  const auto at = static_cast<std::size_t>(share * static_cast<double>(values.size() - 1));
-  std::nth_element(values.begin(), values.begin() + static_cast<std::ptrdiff_t>(at), values.end());
-  return values[at];
+  const auto rank = static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1));
+  std::nth_element(values.begin(), values.begin() + static_cast<std::ptrdiff_t>(rank), values.end());
+  return values[rank];
 }
 
+// The results of one benchmark. add() prints a result at once as a row of the table; print_json() prints them
+// all as one line of JSON.
 class Figures {
  public:
   explicit Figures(std::string name) : name_(std::move(name)) {}
