--- a/bench/health.cpp
+++ b/bench/health.cpp
@@ -1,5 +1,6 @@
-// Servers that fail good calls: what stands and what it costs, by the health module, by the naive way (five
-// errors in a row) and with nobody judging, on the same seeds in virtual time.
+// Compares ways to detect servers that fail valid calls: the health module, a simple rule (five consecutive
+// errors) and no detection. Reports the share of valid calls that succeed, the attempts per call and the
+// share of traffic withheld from healthy servers. All run on the same seeds in virtual time.
 #include <cstdio>
 #include <string>
 
@@ -14,14 +15,15 @@
 using standin::Laboratory;
 using std::chrono::seconds;
 
-struct Case {
+// A failure pattern, started after one minute of normal operation.
+struct Scenario {
   const char* name;
   unsigned servers;
   double calls_a_second;
-  void (*begins)(Laboratory&);
+  void (*start_failures)(Laboratory&);
 };
 
-const Case kCases[] = {
+const Scenario kScenarios[] = {
     {"third", 4, 100, [](Laboratory& lab) { lab.fails(1, 0.3); }},
     {"all", 4, 100, [](Laboratory& lab) { lab.fails(1, 1); }},
     {"one_class", 4, 100, [](Laboratory& lab) { lab.fails(1, 1, 1); }},
@@ -40,16 +42,17 @@
      }},
 };
 
-struct Shown {
+struct Outcome {
   double kept = 0, attempts = 0, false_avoid = 0;
 };
 
-Shown play(const Case& each, Judge judge, std::uint64_t seed, int length) {
-  Laboratory lab(each.servers, seed, judge);
-  lab.calls_a_second = each.calls_a_second;
+Outcome run_scenario(const Scenario& scenario, Judge judge, std::uint64_t seed, int length) {
+  Laboratory lab(scenario.servers, seed, judge);
+  lab.calls_a_second = scenario.calls_a_second;
   lab.attempts = 2;
   lab.run(seconds(60));
-  each.begins(lab);
+  scenario.start_failures(lab);
+  // Both calls reset their counters, so that the normal operation before is not counted.
   lab.stood();
   lab.attempts_a_call();
   lab.run(seconds(length));
@@ -67,41 +70,46 @@
   bench::Figures figures("health");
   const std::pair<Judge, const char*> judges[] = {
       {Judge::health, ""}, {Judge::in_a_row, "_naive"}, {Judge::nobody, "_nobody"}};
-  for (const Case& each : kCases) {
+  for (const Scenario& scenario : kScenarios) {
     for (const auto& [judge, name] : judges) {
-      Shown all;
+      Outcome total;
       for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const Shown shown = play(each, judge, seed, length);
-        all.kept += shown.kept / static_cast<double>(seeds);
-        all.attempts += shown.attempts / static_cast<double>(seeds);
-        all.false_avoid = std::max(all.false_avoid, shown.false_avoid);
+        const Outcome outcome = run_scenario(scenario, judge, seed, length);
+        total.kept += outcome.kept / static_cast<double>(seeds);
+        total.attempts += outcome.attempts / static_cast<double>(seeds);
+        total.false_avoid = std::max(total.false_avoid, outcome.false_avoid);
       }
-      const std::string key = std::string(each.name) + name;
-      // An all-knowing route gets every sound call to stand where one server is well; all alike, it cannot.
-      figures.add("kept_" + key, all.kept, "sound calls that stood, of two attempts");
-      figures.add("attempts_" + key, all.attempts, "set-ups sent for a sound call");
-      figures.add("false_avoid_" + key, all.false_avoid, "of good servers' share, worst seed");
+      const std::string key = std::string(scenario.name) + name;
+      // With perfect knowledge, routing makes every valid call succeed if at least one server is healthy; it
+      // cannot if all servers fail alike.
+      figures.add("kept_" + key, total.kept, "share of valid calls that succeeded, with up to two attempts");
+      figures.add("attempts_" + key, total.attempts, "attempts per valid call");
+      figures.add("false_avoid_" + key, total.false_avoid,
+                  "share of traffic withheld from healthy servers, worst seed");
     }
   }
   for (const double failing : {0.3, 1.0}) {
-    double detect = 0, back = 0;
+    double detection = 0, recovery = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
       Laboratory lab(4, seed);
-      const auto of = [](Duration d) { return static_cast<double>(d.count()) / 1e6; };
+      const auto in_seconds = [](Duration d) { return static_cast<double>(d.count()) / 1e6; };
       lab.run(seconds(60));
       lab.fails(1, failing);
-      const auto is = [&](health::Grade grade) {
+      const auto graded = [&](health::Grade grade) {
         return [&lab, grade] { return lab.verdict(1).grade == grade; };
       };
-      detect += of(lab.run(seconds(600), [&] { return !is(health::Grade::trusted)(); })) /
-                static_cast<double>(seeds);
-      lab.run(seconds(600), is(health::Grade::avoided));
+      detection += in_seconds(lab.run(seconds(600), [&] { return !graded(health::Grade::trusted)(); })) /
+                   static_cast<double>(seeds);
+      lab.run(seconds(600), graded(health::Grade::avoided));
       lab.fails(1, 0);
-      back += of(lab.run(seconds(600), is(health::Grade::trusted))) / static_cast<double>(seeds);
+      recovery +=
+          in_seconds(lab.run(seconds(600), graded(health::Grade::trusted))) / static_cast<double>(seeds);
     }
-    const std::string at = failing == 1 ? "_all" : "_third";
-    figures.add("detect_s" + at, detect, "until it gets less than its share; 25 calls a second to each");
-    figures.add("return_s" + at, back, "from well again, right after it was first avoided, to trusted");
+    const std::string suffix = failing == 1 ? "_all" : "_third";
+    figures.add("detect_s" + suffix, detection,
+                "until the server is no longer trusted; 25 calls per second per server");
+    figures.add("return_s" + suffix, recovery,
+                "from the end of the failures, right after the server is first avoided, to trusted");
   }
   figures.print_json();
 }
