--- a/bench/acme.cpp
+++ b/bench/acme.cpp
@@ -1,5 +1,5 @@
-// Certificates measured: calls during renewals, a fleet's year in virtual time, handshakes with many
-// certificates.
+// Benchmarks certificate management: set-up latency while certificates are renewed, one year of renewals of a
+// fleet in virtual time, and TLS handshakes with many certificates.
 #include <csignal>
 #include <cstdlib>
 #include <filesystem>
@@ -33,52 +33,56 @@
 
 // ---- Calls during renewals
 
+// Results of the calls of all gateways; the mutex guards the other members.
 struct Calls {
   std::mutex mutex{};
-  std::vector<double> took_ms{};
+  std::vector<double> latencies_ms{};
   int failed = 0;
 };
 
-// Gateways call at a steady pace, half of them on a new connection each time, until told to stop.
-void call(const std::stop_token& stop, const standin::Gateway::Options& options, bool stays, Calls& calls) {
+// Runs one gateway that places a call every 20 ms until stop is requested: on one connection that stays open
+// if keep_connection is set, otherwise on a new connection for each call.
+void place_calls(const std::stop_token& stop, const standin::Gateway::Options& options, bool keep_connection,
+                 Calls& calls) {
   standin::Gateway gateway(options);
   auto next = std::chrono::steady_clock::now();
   while (!stop.stop_requested()) {
     next += milliseconds(20);
     std::this_thread::sleep_until(next);
-    bool good = stays && gateway.connected();
-    if (!good) good = gateway.connect();
+    bool connected = keep_connection && gateway.connected();
+    if (!connected) connected = gateway.connect();
     standin::Gateway::Outcome outcome;
-    if (good) outcome = gateway.invite("7f3a");
+    if (connected) outcome = gateway.invite("7f3a");
     if (outcome.status == 200) gateway.bye(outcome, "7f3a");
     const std::lock_guard lock(calls.mutex);
     if (outcome.status != 200) ++calls.failed;
-    calls.took_ms.push_back(static_cast<double>(outcome.response_time.count()) / 1000);
+    calls.latencies_ms.push_back(static_cast<double>(outcome.response_time.count()) / 1000);
   }
 }
 
-void during_renewals(Figures& figures, bool quick) {
-  std::string pattern = (std::filesystem::temp_directory_path() / "bench-acme-XXXXXX").string();
-  const std::string folder = ::mkdtemp(pattern.data());
-  std::FILE* const nowhere = std::fopen("/dev/null", "w");
+void benchmark_calls_during_renewals(Figures& figures, bool quick) {
+  std::string folder_template = (std::filesystem::temp_directory_path() / "bench-acme-XXXXXX").string();
+  const std::string folder = ::mkdtemp(folder_template.data());
+  std::FILE* const null_file = std::fopen("/dev/null", "w");
   {
-    Logger log(nowhere);
-    const sockaddr_in any = *parse_address("127.0.0.1:0");
+    Logger log(null_file);
+    const sockaddr_in any_port = *parse_address("127.0.0.1:0");
     standin::SetupServer::Options server_options;
-    server_options.listen = any;
+    server_options.listen = any_port;
     server_options.setup_work = milliseconds(2);
     standin::SetupServer server(server_options);
     const auto registry = std::make_shared<tls::Registry>();
     standin::Node::Options node_options;
     node_options.servers = {server.address()};
-    node_options.listening.tls = any;
+    node_options.listening.tls = any_port;
     node_options.listening.certificates = registry;
     standin::Node node(node_options, log);
-    standin::Authority::Config setup;
-    setup.listen = any;
-    setup.tls_alpn = node.address(sip::TransportKind::tls);
-    setup.options.authorization_lifetime = Seconds(0);  // every renewal is proved anew, on the port in use
-    standin::Authority authority(setup);
+    standin::Authority::Config authority_config;
+    authority_config.listen = any_port;
+    authority_config.tls_alpn = node.address(sip::TransportKind::tls);
+    // Each renewal answers a new challenge, on the TLS port that also takes calls.
+    authority_config.options.authorization_lifetime = Seconds(0);
+    standin::Authority authority(authority_config);
     acme::Settings settings;
     settings.directory = folder + "/certs";
     settings.poll_interval = milliseconds(50);
@@ -88,63 +92,67 @@
     settings.authorities[0].access.ca_file = folder + "/roots";
     std::ofstream(folder + "/roots") << authority.root();
     settings.certificates = {{"sip", {"sip.lab.example"}, "ecdsa-p256"}};
-    acme::CertificateRenewer keeper(settings, log, registry, acme::Environment::real({}));
-    if (const std::string failure = keeper.renew_now("sip"); !failure.empty()) {
-      std::fprintf(stderr, "no certificate: %s\n", failure.c_str());
+    acme::CertificateRenewer renewer(settings, log, registry, acme::Environment::real({}));
+    if (const std::string failure = renewer.renew_now("sip"); !failure.empty()) {
+      std::fprintf(stderr, "first certificate not obtained: %s\n", failure.c_str());
       std::exit(1);
     }
     const standin::Gateway::Options gateway{node.address(sip::TransportKind::tls), true, "sip.lab.example",
                                             authority.root(), "voice"};
-    Calls without, with;
+    Calls without_renewals, with_renewals;
     const int rounds = quick ? 5 : 10;
     std::chrono::microseconds longest_without{0}, longest_with{0};
-    // Phases with and without take turns, so that what else the machine does meets both.
+    // Phases with and without renewals alternate, so that other load on the machine affects both alike.
     for (int round = 0; round < rounds; ++round) {
       for (const bool renewing : {false, true}) {
-        Calls& calls = renewing ? with : without;
+        Calls& calls = renewing ? with_renewals : without_renewals;
         std::vector<std::jthread> gateways;
+        // Half of the gateways connect anew for each call.
         for (int i = 0; i < 4; ++i) {
           gateways.emplace_back(
-              [&, i](const std::stop_token& stop) { call(stop, gateway, i % 2 == 0, calls); });
+              [&, i](const std::stop_token& stop) { place_calls(stop, gateway, i % 2 == 0, calls); });
         }
         std::this_thread::sleep_for(milliseconds(300));
         node.take_longest_pass();
         for (int i = 0; i < 10 / rounds; ++i) {
           if (renewing) {
-            if (const std::string failure = keeper.renew_now("sip"); !failure.empty()) ++calls.failed;
+            if (const std::string failure = renewer.renew_now("sip"); !failure.empty()) ++calls.failed;
           }
           std::this_thread::sleep_for(milliseconds(quick ? 600 : 1500));
         }
         auto& longest = renewing ? longest_with : longest_without;
         longest = std::max(longest, node.take_longest_pass());
-        for (auto& each : gateways) each.request_stop();
+        for (auto& gateway_thread : gateways) gateway_thread.request_stop();
       }
     }
-    const double before = bench::percentile(without.took_ms, 0.99),
-                 during = bench::percentile(with.took_ms, 0.99);
-    figures.add("calls", static_cast<double>(without.took_ms.size() + with.took_ms.size()));
-    figures.add("setup_p99_ms_without", before);
-    figures.add("setup_p99_ms_with", during);
-    figures.add("setup_p99_ratio", during / before, "ten renewals and swaps over none; 1.1 at most");
-    figures.add("failed_calls", without.failed + with.failed);
+    const double p99_without = bench::percentile(without_renewals.latencies_ms, 0.99),
+                 p99_with = bench::percentile(with_renewals.latencies_ms, 0.99);
+    figures.add("calls", static_cast<double>(without_renewals.latencies_ms.size() +
+                                             with_renewals.latencies_ms.size()));
+    figures.add("setup_p99_ms_without", p99_without);
+    figures.add("setup_p99_ms_with", p99_with);
+    figures.add("setup_p99_ratio", p99_with / p99_without,
+                "ten renewals with certificate swaps, relative to none; target: at most 1.1");
+    figures.add("failed_calls", without_renewals.failed + with_renewals.failed);
     figures.add("renewals", authority.counts().certificates - 1);
     figures.add("longest_pass_ms", static_cast<double>(longest_with.count()) / 1000,
-                "of the loop, during renewals");
+                "longest pass of the event loop, during renewals");
     figures.add("longest_pass_ms_without", static_cast<double>(longest_without.count()) / 1000);
   }
-  std::fclose(nowhere);
+  std::fclose(null_file);
   std::filesystem::remove_all(folder);
 }
 
-// ---- A fleet's year
+// ---- One year of renewals of a fleet
 
-// What the authority does in it: limits like the published ones of a large one, for each account and
-// altogether.
+// A model of a certificate authority with rate limits like those that a large public authority publishes: per
+// account, per set of names (duplicate certificates) and for all accounts together. It is down during one
+// outage.
 class ModelAuthority {
  public:
-  enum class Says { issued, limited, down };
+  enum class Result { issued, limited, down };
   struct Answer {
-    Says says = Says::down;
+    Result result = Result::down;
     std::optional<Seconds> retry_after{};
   };
   ModelAuthority(std::size_t accounts, Instant outage, Seconds outage_length)
@@ -154,21 +162,23 @@
     const auto hour = static_cast<std::size_t>(now.time_since_epoch().count() / 3600);
     if (requests_.size() <= hour) requests_.resize(hour + 1);
     ++requests_[hour];
-    if (now >= outage_ && now < outage_ends_) return {Says::down, {}};
+    if (now >= outage_ && now < outage_ends_) return {Result::down, {}};
     auto& duplicates = duplicates_.try_emplace(certificate, 5, 7 * kDay).first->second;
-    if (accounts_[account].free_at(now) > now) return {Says::limited, accounts_[account].free_at(now) - now};
-    if (duplicates.free_at(now) > now) return {Says::limited, duplicates.free_at(now) - now};
+    if (accounts_[account].free_at(now) > now)
+      return {Result::limited, accounts_[account].free_at(now) - now};
+    if (duplicates.free_at(now) > now) return {Result::limited, duplicates.free_at(now) - now};
     if (issued_.size() <= hour) issued_.resize(hour + 1);
-    if (issued_[hour] >= kAtOnce) return {Says::limited, kHour};
+    if (issued_[hour] >= kOrdersPerHour) return {Result::limited, kHour};
     accounts_[account].spend(now);
     duplicates.spend(now);
     ++issued_[hour];
-    return {Says::issued, {}};
+    return {Result::issued, {}};
   }
+  // The largest number of requests in an hour, rejected ones included.
   std::size_t peak() const { return *std::max_element(requests_.begin(), requests_.end()); }
 
  private:
-  static constexpr std::size_t kAtOnce = 1500;  // orders an hour from all
+  static constexpr std::size_t kOrdersPerHour = 1500;  // for all accounts together
 
   Instant outage_, outage_ends_;
   std::vector<Budget> accounts_;
@@ -176,52 +186,56 @@
   std::vector<std::size_t> issued_{}, requests_{};
 };
 
+// Results of one simulated year. least_left_days: the shortest remaining lifetime of a certificate when it
+// was replaced.
 struct Year {
   std::size_t peak = 0, expired = 0, alarms_late = 0, issued = 0;
   double least_left_days = 1e9;
 };
 
-constexpr Seconds kLife = 90 * kDay;
+constexpr Seconds kLifetime = 90 * kDay;
 
-// `naive`: at a third left to the second, and again every hour after a failure.
-Year play(std::size_t instances, std::size_t each_has, bool naive) {
+// Simulates one year. `naive`: each certificate is renewed exactly when a third of its lifetime is left, and
+// again every hour after a failure; otherwise RenewalSchedule decides.
+Year simulate_year(std::size_t instances, std::size_t certificates_per_instance, bool naive) {
   const Instant begin{Seconds(0)}, end = begin + 365 * kDay;
-  // The outage begins when most are due.
+  // The outage begins when most certificates are due for renewal.
   ModelAuthority authority(instances, begin + 58 * kDay, 2 * kDay);
-  struct Held {
+  struct Certificate {
     RenewalSchedule renewal;
     Validity validity;
     bool late = false, expired = false;
   };
-  std::vector<Held> fleet;
+  std::vector<Certificate> fleet;
   std::vector<std::vector<Budget>> accounts(instances, {Budget(50, 3 * kHour)});
   using Event = std::pair<Instant, std::size_t>;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
-  for (std::size_t i = 0; i < instances * each_has; ++i) {
-    // All were set up within the same hour: the worst case for a schedule.
-    const Instant made = begin + Seconds(static_cast<std::int64_t>(i * 3600 / (instances * each_has)));
-    fleet.push_back({RenewalSchedule({}, i * 7919 + 13, 1), {made, made + kLife}});
-    events.emplace(made, i);
+  for (std::size_t i = 0; i < instances * certificates_per_instance; ++i) {
+    // All certificates are issued within the same hour: the worst case for spreading renewals.
+    const Instant issued =
+        begin + Seconds(static_cast<std::int64_t>(i * 3600 / (instances * certificates_per_instance)));
+    fleet.push_back({RenewalSchedule({}, i * 7919 + 13, 1), {issued, issued + kLifetime}});
+    events.emplace(issued, i);
   }
   Year year;
   while (!events.empty() && events.top().first < end) {
     const auto [now, index] = events.top();
     events.pop();
-    Held& held = fleet[index];
-    const std::size_t account = index / each_has;
-    const auto alarm = held.renewal.alarm(now, held.validity);
-    held.late = held.late || alarm >= acme::Alarm::late;
-    held.expired = held.expired || alarm == acme::Alarm::expired;
+    Certificate& certificate = fleet[index];
+    const std::size_t account = index / certificates_per_instance;
+    const auto alarm = certificate.renewal.alarm(now, certificate.validity);
+    certificate.late = certificate.late || alarm >= acme::Alarm::late;
+    certificate.expired = certificate.expired || alarm == acme::Alarm::expired;
     Decision decision;
     if (naive) {
-      const Instant due = held.validity.ends - kLife / 3;
+      const Instant due = certificate.validity.ends - kLifetime / 3;
       if (now < due) {
         events.emplace(due, index);
         continue;
       }
       decision.action = Decision::Action::renew;
     } else {
-      decision = held.renewal.decide(now, held.validity, {}, accounts[account]);
+      decision = certificate.renewal.decide(now, certificate.validity, {}, accounts[account]);
       if (decision.action == Decision::Action::wait) {
         events.emplace(std::max(decision.at, now + Seconds(1)), index);
         continue;
@@ -229,11 +243,11 @@
     }
     accounts[account][0].spend(now);
     const auto answer = authority.order(now, account, index);
-    if (answer.says == ModelAuthority::Says::issued) {
-      year.least_left_days =
-          std::min(year.least_left_days, static_cast<double>((held.validity.ends - now).count()) / 86400);
-      held.validity = {now, now + kLife};
-      held.renewal.succeeded(now, 0);
+    if (answer.result == ModelAuthority::Result::issued) {
+      year.least_left_days = std::min(year.least_left_days,
+                                      static_cast<double>((certificate.validity.ends - now).count()) / 86400);
+      certificate.validity = {now, now + kLifetime};
+      certificate.renewal.succeeded(now, 0);
       ++year.issued;
       events.emplace(now + Seconds(1), index);
       continue;
@@ -242,51 +256,54 @@
       events.emplace(now + kHour, index);
       continue;
     }
-    const bool limited = answer.says == ModelAuthority::Says::limited;
-    held.renewal.failed(now, 0, limited ? Failure::rate_limited : Failure::unreachable, answer.retry_after,
-                        held.validity);
+    const bool limited = answer.result == ModelAuthority::Result::limited;
+    certificate.renewal.failed(now, 0, limited ? Failure::rate_limited : Failure::unreachable,
+                               answer.retry_after, certificate.validity);
     events.emplace(now + Seconds(1), index);
   }
   year.peak = authority.peak();
-  for (const Held& each : fleet) {
-    year.expired += each.expired;
-    year.alarms_late += each.late;
+  for (const Certificate& certificate : fleet) {
+    year.expired += certificate.expired;
+    year.alarms_late += certificate.late;
   }
   return year;
 }
 
-void fleet_year(Figures& figures, bool quick) {
+void benchmark_fleet_year(Figures& figures, bool quick) {
   const std::size_t instances = quick ? 300 : 1000;
-  const Year ours = play(instances, 3, false), naive = play(instances, 3, true);
+  const Year scheduled = simulate_year(instances, 3, false), naive = simulate_year(instances, 3, true);
   figures.add("instances", static_cast<double>(instances),
-              "with 3 certificates of 90 days, 365 days, two of outage");
-  figures.add("expired", static_cast<double>(ours.expired));
-  figures.add("alarms_late", static_cast<double>(ours.alarms_late));
-  figures.add("least_left_days", ours.least_left_days, "of a certificate when its successor came");
-  figures.add("peak_orders_per_hour", static_cast<double>(ours.peak),
-              "requests for orders, refused ones too");
+              "with 3 certificates of 90 days each, over 365 days with an outage of two days");
+  figures.add("expired", static_cast<double>(scheduled.expired));
+  figures.add("alarms_late", static_cast<double>(scheduled.alarms_late));
+  figures.add("least_left_days", scheduled.least_left_days,
+              "shortest remaining lifetime of a certificate when it was replaced");
+  figures.add("peak_orders_per_hour", static_cast<double>(scheduled.peak),
+              "requests for orders, rejected ones included");
   figures.add("naive_peak_orders_per_hour", static_cast<double>(naive.peak),
-              "all at a third left, hourly retries");
+              "all renewed when a third of the lifetime is left, retried hourly");
   figures.add("naive_expired", static_cast<double>(naive.expired));
   figures.add("naive_alarms_late", static_cast<double>(naive.alarms_late));
-  figures.add("peak_ratio", static_cast<double>(ours.peak) / static_cast<double>(naive.peak));
+  figures.add("peak_ratio", static_cast<double>(scheduled.peak) / static_cast<double>(naive.peak));
 }
 
 // ---- Handshakes by SNI
 
-double handshakes_per_s(tls::Registry& registry, std::size_t names, milliseconds how_long) {
+// Runs TLS handshakes in memory for `duration`, client and server on one thread, with server names spread
+// over the first `names` certificates. Returns handshakes per second.
+double handshakes_per_s(tls::Registry& registry, std::size_t names, milliseconds duration) {
   const std::unique_ptr<SSL_CTX, tls::OpenSslDeleter> context(SSL_CTX_new(TLS_client_method()));
   std::size_t done = 0;
-  const auto begun = std::chrono::steady_clock::now();
-  auto now = begun;
-  while (now - begun < how_long) {
+  const auto start = std::chrono::steady_clock::now();
+  auto now = start;
+  while (now - start < duration) {
     for (int i = 0; i < 10; ++i, ++done) {
       const std::unique_ptr<SSL, tls::OpenSslDeleter> client(SSL_new(context.get())),
           server(SSL_new(registry.server()));
-      BIO *ours = nullptr, *theirs = nullptr;
-      BIO_new_bio_pair(&ours, 1 << 16, &theirs, 1 << 16);
-      SSL_set_bio(client.get(), ours, ours);
-      SSL_set_bio(server.get(), theirs, theirs);
+      BIO *client_end = nullptr, *server_end = nullptr;
+      BIO_new_bio_pair(&client_end, 1 << 16, &server_end, 1 << 16);
+      SSL_set_bio(client.get(), client_end, client_end);
+      SSL_set_bio(server.get(), server_end, server_end);
       SSL_set_connect_state(client.get());
       SSL_set_accept_state(server.get());
       SSL_set_tlsext_host_name(client.get(),
@@ -298,10 +315,10 @@
     }
     now = std::chrono::steady_clock::now();
   }
-  return static_cast<double>(done) / std::chrono::duration<double>(now - begun).count();
+  return static_cast<double>(done) / std::chrono::duration<double>(now - start).count();
 }
 
-void handshakes(Figures& figures, bool quick) {
+void benchmark_handshakes(Figures& figures, bool quick) {
   const auto now = std::chrono::floor<Seconds>(std::chrono::system_clock::now());
   standin::Ca ca(now);
   tls::Registry one, many;
@@ -331,8 +348,8 @@
   std::signal(SIGPIPE, SIG_IGN);
   const bool quick = bench::quick(argc, argv);
   Figures figures("acme");
-  fleet_year(figures, quick);
-  handshakes(figures, quick);
-  during_renewals(figures, quick);
+  benchmark_fleet_year(figures, quick);
+  benchmark_handshakes(figures, quick);
+  benchmark_calls_during_renewals(figures, quick);
   figures.print_json();
 }
