--- a/bench/health.cpp
+++ b/bench/health.cpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "bench.hpp"
-#include "health/laboratory.hpp"
+#include "health/outlier_simulation.hpp"
 
 namespace quartzarch {
 namespace {
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -7,7 +7,7 @@
 
 #include <cmath>
 
-#include "health/laboratory.hpp"
+#include "health/outlier_simulation.hpp"
 #include "health/retry_budget.hpp"
 
 namespace quartzarch::test {
