--- a/bench/health.cpp
+++ b/bench/health.cpp
@@ -11,34 +11,35 @@
 namespace {
 
 using standin::Caller;
-using standin::Judge;
-using standin::Laboratory;
+using standin::Detector;
+using standin::OutlierSimulation;
 using std::chrono::seconds;
 
 // A failure pattern, started after one minute of normal operation.
 struct Scenario {
   const char* name;
   unsigned servers;
-  double calls_a_second;
-  void (*start_failures)(Laboratory&);
+  double calls_per_second;
+  void (*start_failures)(OutlierSimulation&);
 };
 
 const Scenario kScenarios[] = {
-    {"third", 4, 100, [](Laboratory& lab) { lab.fails(1, 0.3); }},
-    {"all", 4, 100, [](Laboratory& lab) { lab.fails(1, 1); }},
-    {"one_class", 4, 100, [](Laboratory& lab) { lab.fails(1, 1, 1); }},
-    {"two_of_three", 3, 100, [](Laboratory& lab) { lab.fails(0, 0.9), lab.fails(1, 0.5); }},
+    {"third", 4, 100, [](OutlierSimulation& lab) { lab.set_failure_share(1, 0.3); }},
+    {"all", 4, 100, [](OutlierSimulation& lab) { lab.set_failure_share(1, 1); }},
+    {"one_class", 4, 100, [](OutlierSimulation& lab) { lab.set_failure_share(1, 1, 1); }},
+    {"two_of_three", 3, 100,
+     [](OutlierSimulation& lab) { lab.set_failure_share(0, 0.9), lab.set_failure_share(1, 0.5); }},
     {"alike", 4, 100,
-     [](Laboratory& lab) {
-       for (unsigned i = 0; i < 4; ++i) lab.fails(i, 0.3);
+     [](OutlierSimulation& lab) {
+       for (unsigned i = 0; i < 4; ++i) lab.set_failure_share(i, 0.3);
      }},
     {"bad_caller", 4, 100,
-     [](Laboratory& lab) {
+     [](OutlierSimulation& lab) {
        lab.callers = {{1, 0}, {1, 0}, {1, 0}, {3, 1}};
      }},
     {"thin", 60, 40,
-     [](Laboratory& lab) {
-       for (unsigned i = 0; i < 6; ++i) lab.fails(i * 10, 0.33);
+     [](OutlierSimulation& lab) {
+       for (unsigned i = 0; i < 6; ++i) lab.set_failure_share(i * 10, 0.33);
      }},
 };
 
@@ -46,17 +47,17 @@
   double kept = 0, attempts = 0, false_avoid = 0;
 };
 
-Outcome run_scenario(const Scenario& scenario, Judge judge, std::uint64_t seed, int length) {
-  Laboratory lab(scenario.servers, seed, judge);
-  lab.calls_a_second = scenario.calls_a_second;
-  lab.attempts = 2;
+Outcome run_scenario(const Scenario& scenario, Detector judge, std::uint64_t seed, int length) {
+  OutlierSimulation lab(scenario.servers, seed, judge);
+  lab.calls_per_second = scenario.calls_per_second;
+  lab.max_attempts = 2;
   lab.run(seconds(60));
   scenario.start_failures(lab);
   // Both calls reset their counters, so that the normal operation before is not counted.
-  lab.stood();
-  lab.attempts_a_call();
+  lab.take_success_share();
+  lab.take_attempts_per_call();
   lab.run(seconds(length));
-  return {lab.stood(), lab.attempts_a_call(), lab.false_avoid()};
+  return {lab.take_success_share(), lab.take_attempts_per_call(), lab.false_avoidance()};
 }
 
 }  // namespace
@@ -68,8 +69,8 @@
   const std::uint64_t seeds = quick ? 2 : 10;
   const int length = quick ? 300 : 1200;
   bench::Figures figures("health");
-  const std::pair<Judge, const char*> judges[] = {
-      {Judge::health, ""}, {Judge::in_a_row, "_naive"}, {Judge::nobody, "_nobody"}};
+  const std::pair<Detector, const char*> judges[] = {
+      {Detector::health, ""}, {Detector::consecutive_errors, "_naive"}, {Detector::none, "_nobody"}};
   for (const Scenario& scenario : kScenarios) {
     for (const auto& [judge, name] : judges) {
       Outcome total;
@@ -91,17 +92,17 @@
   for (const double failing : {0.3, 1.0}) {
     double detection = 0, recovery = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-      Laboratory lab(4, seed);
+      OutlierSimulation lab(4, seed);
       const auto in_seconds = [](Duration d) { return static_cast<double>(d.count()) / 1e6; };
       lab.run(seconds(60));
-      lab.fails(1, failing);
+      lab.set_failure_share(1, failing);
       const auto graded = [&](health::Grade grade) {
         return [&lab, grade] { return lab.verdict(1).grade == grade; };
       };
       detection += in_seconds(lab.run(seconds(600), [&] { return !graded(health::Grade::trusted)(); })) /
                    static_cast<double>(seeds);
       lab.run(seconds(600), graded(health::Grade::avoided));
-      lab.fails(1, 0);
+      lab.set_failure_share(1, 0);
       recovery +=
           in_seconds(lab.run(seconds(600), graded(health::Grade::trusted))) / static_cast<double>(seeds);
     }
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -16,57 +16,57 @@
 using health::Grade;
 using std::chrono::seconds;
 
-using standin::Laboratory;
+using standin::OutlierSimulation;
 
 constexpr double kMaxFalseAvoidance = 0.01;  // allowed loss of a good server's share of calls
 
 TEST(Health, AServerThatFailsAThirdIsAvoidedAndTrustedAgainAfterRecovery) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Laboratory lab(4, seed);
+    OutlierSimulation lab(4, seed);
     lab.run(seconds(30));
-    lab.fails(1, 0.3);
+    lab.set_failure_share(1, 0.3);
     EXPECT_LT(lab.run(seconds(60), [&] { return lab.verdict(1).grade != Grade::trusted; }), seconds(8))
         << seed;
     EXPECT_LT(lab.run(seconds(60), [&] { return lab.avoided(1); }), seconds(15)) << seed;
     lab.run(seconds(120));
-    lab.fails(1, 0);
+    lab.set_failure_share(1, 0);
     const Duration back = lab.run(seconds(900), [&] { return lab.verdict(1).grade == Grade::trusted; });
     EXPECT_LT(back, seconds(200)) << seed;
-    EXPECT_LT(lab.false_avoid(), kMaxFalseAvoidance) << seed;
+    EXPECT_LT(lab.false_avoidance(), kMaxFalseAvoidance) << seed;
   }
 }
 
 TEST(Health, AServerThatFailsAllIsAvoidedWithinSecondsWithGrowingExclusions) {
-  Laboratory lab(4);
-  lab.fails(2, 1);
+  OutlierSimulation lab(4);
+  lab.set_failure_share(2, 1);
   EXPECT_LT(lab.run(seconds(60), [&] { return lab.avoided(2); }), seconds(3));
   lab.run(seconds(300));
   EXPECT_GE(lab.verdict(2).relapses, 4u);
   EXPECT_LE(lab.verdict(2).relapses, 8u) << "rests of 4, 8, 16, 32, 64, 128 s";
-  lab.stood();
+  lab.take_success_share();
   lab.run(seconds(60));
-  EXPECT_EQ(lab.stood(), 1);
-  EXPECT_LT(lab.false_avoid(), kMaxFalseAvoidance);
+  EXPECT_EQ(lab.take_success_share(), 1);
+  EXPECT_LT(lab.false_avoidance(), kMaxFalseAvoidance);
 }
 
 TEST(Health, AServerThatFailsOneClassIsAvoidedForThatClassOnly) {
-  Laboratory lab(4);
+  OutlierSimulation lab(4);
   lab.run(seconds(20));
-  lab.fails(0, 0.8, 1);
+  lab.set_failure_share(0, 0.8, 1);
   lab.run(seconds(60), [&] { return lab.avoided(0); });
   EXPECT_TRUE(lab.avoided(0));
   EXPECT_EQ(lab.verdict(0).only_class, 1u);
-  EXPECT_EQ(lab.health().weight(Laboratory::id(0), 0), 1);
-  EXPECT_EQ(lab.health().weight(Laboratory::id(0), 1), 0);
+  EXPECT_EQ(lab.health().weight(OutlierSimulation::server_id(0), 0), 1);
+  EXPECT_EQ(lab.health().weight(OutlierSimulation::server_id(0), 1), 0);
 }
 
 // At most a third of the traffic is avoided, and the worst server first.
 TEST(Health, OfThreeServersWithTwoBadOneIsAvoidedAndTheOtherReduced) {
-  Laboratory lab(3);
-  lab.fails(0, 0.9);
-  lab.fails(1, 0.4);
+  OutlierSimulation lab(3);
+  lab.set_failure_share(0, 0.9);
+  lab.set_failure_share(1, 0.4);
   lab.run(seconds(40));
-  EXPECT_EQ(lab.most_avoided(), 1u);
+  EXPECT_EQ(lab.max_avoided(), 1u);
   EXPECT_NE(lab.verdict(0).grade, Grade::trusted);
   EXPECT_NE(lab.verdict(1).grade, Grade::trusted);
   EXPECT_EQ(lab.verdict(2).grade, Grade::trusted);
@@ -74,8 +74,8 @@
 
 TEST(Health, OfServersThatFailAlikeNoneIsAvoided) {
   for (const double share : {0.1, 0.5}) {
-    Laboratory lab(6);
-    for (unsigned i = 0; i < 6; ++i) lab.fails(i, share);
+    OutlierSimulation lab(6);
+    for (unsigned i = 0; i < 6; ++i) lab.set_failure_share(i, share);
     lab.run(seconds(300));
     for (unsigned i = 0; i < 6; ++i) EXPECT_FALSE(lab.avoided(i)) << i << " of " << share;
   }
@@ -85,61 +85,62 @@
 // has one attempt only.
 TEST(Health, AFaultyCallerWithHalfOfTheTrafficDoesNotGetServersAvoided) {
   for (const unsigned attempts : {1u, 2u, 3u}) {
-    Laboratory lab(4);
-    lab.attempts = attempts;
+    OutlierSimulation lab(4);
+    lab.max_attempts = attempts;
     lab.callers = {{1, 0}, {1, 0}, {1, 0}, {3, 1}};
     lab.run(seconds(300));
-    EXPECT_LT(lab.false_avoid(), kMaxFalseAvoidance) << attempts << " attempts";
+    EXPECT_LT(lab.false_avoidance(), kMaxFalseAvoidance) << attempts << " attempts";
   }
 }
 
 TEST(Health, OccasionalSecondsOfErrorsDoNotGetAServerAvoided) {
-  Laboratory lab(4);
+  OutlierSimulation lab(4);
   lab.run(seconds(30));
   for (int i = 0; i < 5; ++i) {
-    lab.fails(3, 0.2);
+    lab.set_failure_share(3, 0.2);
     lab.run(seconds(1));
-    lab.fails(3, 0);
+    lab.set_failure_share(3, 0);
     lab.run(seconds(30));
     EXPECT_FALSE(lab.avoided(3)) << i;
   }
 }
 
 TEST(Health, AServerListedAgainStartsTrusted) {
-  Laboratory lab(3);
-  lab.fails(1, 1);
+  OutlierSimulation lab(3);
+  lab.set_failure_share(1, 1);
   lab.run(seconds(10), [&] { return lab.avoided(1); });
   ASSERT_TRUE(lab.avoided(1));
-  auto servers = lab.listed();
+  auto servers = lab.server_list();
   servers.erase(servers.begin() + 1);
-  lab.list(servers);
-  EXPECT_EQ(lab.health().weight(Laboratory::id(1), 0), 1) << "a server that is not listed has no verdict";
-  servers.push_back({Laboratory::id(1), 1, {}});
-  lab.list(servers);
+  lab.set_servers(servers);
+  EXPECT_EQ(lab.health().weight(OutlierSimulation::server_id(1), 0), 1)
+      << "a server that is not listed has no verdict";
+  servers.push_back({OutlierSimulation::server_id(1), 1, {}});
+  lab.set_servers(servers);
   EXPECT_EQ(lab.verdict(1).grade, Grade::trusted);
 }
 
 TEST(Health, TheLastServerOpenToAClassIsNeverAvoided) {
-  Laboratory lab(4);
-  auto servers = lab.listed();
+  OutlierSimulation lab(4);
+  auto servers = lab.server_list();
   servers[0].classes = {0, 1};
   for (unsigned i = 1; i < 4; ++i) servers[i].classes = {0};
-  lab.list(servers);
-  lab.fails(0, 1);
+  lab.set_servers(servers);
+  lab.set_failure_share(0, 1);
   lab.run(seconds(60));
   EXPECT_FALSE(lab.avoided(0));
   EXPECT_EQ(lab.verdict(0).grade, Grade::reduced);
 }
 
 TEST(Health, FaultyServersAreFoundAmongSixtyWithLittleTraffic) {
-  Laboratory lab(60);
-  lab.calls_a_second = 40;  // less than one a second to each
-  for (unsigned i = 0; i < 6; ++i) lab.fails(i * 10, 0.4);
+  OutlierSimulation lab(60);
+  lab.calls_per_second = 40;  // less than one a second to each
+  for (unsigned i = 0; i < 6; ++i) lab.set_failure_share(i * 10, 0.4);
   lab.run(seconds(400));
   unsigned found = 0;
   for (unsigned i = 0; i < 6; ++i) found += lab.verdict(i * 10).grade != Grade::trusted;
   EXPECT_GE(found, 5u);
-  EXPECT_LT(lab.false_avoid(), kMaxFalseAvoidance);
+  EXPECT_LT(lab.false_avoidance(), kMaxFalseAvoidance);
 }
 
 // ---- Retries
