--- a/bench/health.cpp
+++ b/bench/health.cpp
@@ -24,40 +24,42 @@
 };
 
 const Scenario kScenarios[] = {
-    {"third", 4, 100, [](OutlierSimulation& lab) { lab.set_failure_share(1, 0.3); }},
-    {"all", 4, 100, [](OutlierSimulation& lab) { lab.set_failure_share(1, 1); }},
-    {"one_class", 4, 100, [](OutlierSimulation& lab) { lab.set_failure_share(1, 1, 1); }},
+    {"third", 4, 100, [](OutlierSimulation& simulation) { simulation.set_failure_share(1, 0.3); }},
+    {"all", 4, 100, [](OutlierSimulation& simulation) { simulation.set_failure_share(1, 1); }},
+    {"one_class", 4, 100, [](OutlierSimulation& simulation) { simulation.set_failure_share(1, 1, 1); }},
     {"two_of_three", 3, 100,
-     [](OutlierSimulation& lab) { lab.set_failure_share(0, 0.9), lab.set_failure_share(1, 0.5); }},
+     [](OutlierSimulation& simulation) {
+       simulation.set_failure_share(0, 0.9), simulation.set_failure_share(1, 0.5);
+     }},
     {"alike", 4, 100,
-     [](OutlierSimulation& lab) {
-       for (unsigned i = 0; i < 4; ++i) lab.set_failure_share(i, 0.3);
+     [](OutlierSimulation& simulation) {
+       for (unsigned i = 0; i < 4; ++i) simulation.set_failure_share(i, 0.3);
      }},
     {"bad_caller", 4, 100,
-     [](OutlierSimulation& lab) {
-       lab.callers = {{1, 0}, {1, 0}, {1, 0}, {3, 1}};
+     [](OutlierSimulation& simulation) {
+       simulation.callers = {{1, 0}, {1, 0}, {1, 0}, {3, 1}};
      }},
     {"thin", 60, 40,
-     [](OutlierSimulation& lab) {
-       for (unsigned i = 0; i < 6; ++i) lab.set_failure_share(i * 10, 0.33);
+     [](OutlierSimulation& simulation) {
+       for (unsigned i = 0; i < 6; ++i) simulation.set_failure_share(i * 10, 0.33);
      }},
 };
 
 struct Outcome {
-  double kept = 0, attempts = 0, false_avoid = 0;
+  double success_share = 0, attempts = 0, false_avoidance = 0;
 };
 
-Outcome run_scenario(const Scenario& scenario, Detector judge, std::uint64_t seed, int length) {
-  OutlierSimulation lab(scenario.servers, seed, judge);
-  lab.calls_per_second = scenario.calls_per_second;
-  lab.max_attempts = 2;
-  lab.run(seconds(60));
-  scenario.start_failures(lab);
+Outcome run_scenario(const Scenario& scenario, Detector detector, std::uint64_t seed, int length) {
+  OutlierSimulation simulation(scenario.servers, seed, detector);
+  simulation.calls_per_second = scenario.calls_per_second;
+  simulation.max_attempts = 2;
+  simulation.run(seconds(60));
+  scenario.start_failures(simulation);
   // Both calls reset their counters, so that the normal operation before is not counted.
-  lab.take_success_share();
-  lab.take_attempts_per_call();
-  lab.run(seconds(length));
-  return {lab.take_success_share(), lab.take_attempts_per_call(), lab.false_avoidance()};
+  simulation.take_success_share();
+  simulation.take_attempts_per_call();
+  simulation.run(seconds(length));
+  return {simulation.take_success_share(), simulation.take_attempts_per_call(), simulation.false_avoidance()};
 }
 
 }  // namespace
@@ -69,42 +71,44 @@
   const std::uint64_t seeds = quick ? 2 : 10;
   const int length = quick ? 300 : 1200;
   bench::Figures figures("health");
-  const std::pair<Detector, const char*> judges[] = {
+  const std::pair<Detector, const char*> detectors[] = {
       {Detector::health, ""}, {Detector::consecutive_errors, "_naive"}, {Detector::none, "_nobody"}};
   for (const Scenario& scenario : kScenarios) {
-    for (const auto& [judge, name] : judges) {
+    for (const auto& [detector, name] : detectors) {
       Outcome total;
       for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const Outcome outcome = run_scenario(scenario, judge, seed, length);
-        total.kept += outcome.kept / static_cast<double>(seeds);
+        const Outcome outcome = run_scenario(scenario, detector, seed, length);
+        total.success_share += outcome.success_share / static_cast<double>(seeds);
         total.attempts += outcome.attempts / static_cast<double>(seeds);
-        total.false_avoid = std::max(total.false_avoid, outcome.false_avoid);
+        total.false_avoidance = std::max(total.false_avoidance, outcome.false_avoidance);
       }
       const std::string key = std::string(scenario.name) + name;
       // With perfect knowledge, routing makes every valid call succeed if at least one server is healthy; it
       // cannot if all servers fail alike.
-      figures.add("kept_" + key, total.kept, "share of valid calls that succeeded, with up to two attempts");
+      figures.add("kept_" + key, total.success_share,
+                  "share of valid calls that succeeded, with up to two attempts");
       figures.add("attempts_" + key, total.attempts, "attempts per valid call");
-      figures.add("false_avoid_" + key, total.false_avoid,
+      figures.add("false_avoid_" + key, total.false_avoidance,
                   "share of traffic withheld from healthy servers, worst seed");
     }
   }
   for (const double failing : {0.3, 1.0}) {
     double detection = 0, recovery = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-      OutlierSimulation lab(4, seed);
+      OutlierSimulation simulation(4, seed);
       const auto in_seconds = [](Duration d) { return static_cast<double>(d.count()) / 1e6; };
-      lab.run(seconds(60));
-      lab.set_failure_share(1, failing);
-      const auto graded = [&](health::Grade grade) {
-        return [&lab, grade] { return lab.verdict(1).grade == grade; };
+      simulation.run(seconds(60));
+      simulation.set_failure_share(1, failing);
+      const auto has_grade = [&](health::Grade grade) {
+        return [&simulation, grade] { return simulation.verdict(1).grade == grade; };
       };
-      detection += in_seconds(lab.run(seconds(600), [&] { return !graded(health::Grade::trusted)(); })) /
-                   static_cast<double>(seeds);
-      lab.run(seconds(600), graded(health::Grade::avoided));
-      lab.set_failure_share(1, 0);
-      recovery +=
-          in_seconds(lab.run(seconds(600), graded(health::Grade::trusted))) / static_cast<double>(seeds);
+      detection +=
+          in_seconds(simulation.run(seconds(600), [&] { return !has_grade(health::Grade::trusted)(); })) /
+          static_cast<double>(seeds);
+      simulation.run(seconds(600), has_grade(health::Grade::avoided));
+      simulation.set_failure_share(1, 0);
+      recovery += in_seconds(simulation.run(seconds(600), has_grade(health::Grade::trusted))) /
+                  static_cast<double>(seeds);
     }
     const std::string suffix = failing == 1 ? "_all" : "_third";
     figures.add("detect_s" + suffix, detection,
